--- a/crates/basaltrail-admission/src/allotment.rs
+++ b/crates/basaltrail-admission/src/allotment.rs
@@ -1,4 +1,4 @@
-//! The record that tells a node how much it may accept.
+//! The record that tells a controller how much it may accept.
 
 use crate::room::Room;
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
     }
 }
 
-/// How much a node may accept of one class of a team.
+/// How much a controller may accept of one class of a team.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassRoom {
     /// The class; [`OTHER_CLASSES`] for all that are not named.
@@ -55,16 +55,16 @@
     }
 }
 
-/// How much one process of a node may accept of a team's jobs.
+/// How much one process of a controller may accept of a team's jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Allotment {
     /// The team.
     #[serde(rename = "t")]
     pub team: String,
-    /// The node.
+    /// The controller.
     #[serde(rename = "n")]
-    pub node: String,
-    /// The process: a later one of the same node has none of it.
+    pub controller: String,
+    /// The process: a later one of the same controller has none of it.
     #[serde(rename = "i")]
     pub incarnation: u64,
     /// Seconds up to which work counts.
--- a/crates/basaltrail-admission/src/gate.rs
+++ b/crates/basaltrail-admission/src/gate.rs
@@ -1,11 +1,11 @@
-//! The node's side: what it admits out of its allotments.
+//! The controller's side: what it admits out of its allotments.
 
 use crate::allotment::Demand;
 use crate::room::Room;
 use crate::view::View;
 use std::collections::BTreeMap;
 
-/// Seconds after which a node asks again that has no allotment, or whose allotment has moved on.
+/// Seconds after which a controller asks again that has no allotment, or whose allotment has moved on.
 const SOON_S: u32 = 1;
 
 /// Whether allotments bind.
@@ -48,20 +48,20 @@
     pub retry_after_s: u32,
 }
 
-/// What was set aside for one submission. The acceptance is conditional on `stamp`.
+/// What was set aside for one submission. The acceptance is conditional on `mod revision`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ticket {
     demand: Demand,
     entry: usize,
     cost: Room,
-    /// The stamp of the allotment; none where allotments do not bind.
-    stamp: Option<u64>,
+    /// The mod revision of the allotment; none where allotments do not bind.
+    mod_revision: Option<u64>,
 }
 
 impl Ticket {
-    /// The team and the stamp that its allotment must still have when the job is accepted.
+    /// The team and the mod revision that its allotment must still have when the job is accepted.
     pub fn condition(&self) -> Option<(&str, u64)> {
-        self.stamp.map(|stamp| (self.demand.team.as_str(), stamp))
+        self.mod_revision.map(|mod_revision| (self.demand.team.as_str(), mod_revision))
     }
 }
 
@@ -76,16 +76,16 @@
 
 #[derive(Clone, Debug, Default)]
 struct Spending {
-    stamp: u64,
+    mod_revision: u64,
     used: Vec<Room>,
-    /// An acceptance under this stamp was refused: the allotment has moved on.
+    /// An acceptance under this mod revision was refused: the allotment has moved on.
     moved: bool,
 }
 
 /// See the module.
 #[derive(Clone, Debug)]
 pub struct Gate {
-    node: String,
+    controller: String,
     incarnation: u64,
     mode: Mode,
     /// By team.
@@ -94,8 +94,8 @@
 
 impl Gate {
     /// The gate of a process that has just started.
-    pub fn new(node: &str, incarnation: u64, mode: Mode) -> Self {
-        Gate { node: node.into(), incarnation, mode, spending: BTreeMap::new() }
+    pub fn new(controller: &str, incarnation: u64, mode: Mode) -> Self {
+        Gate { controller: controller.into(), incarnation, mode, spending: BTreeMap::new() }
     }
 
     /// Whether allotments bind.
@@ -115,10 +115,10 @@
     /// If there is no room for it now.
     pub fn admit(&mut self, view: &View, demand: Demand) -> Result<Ticket, Refusal> {
         if self.mode == Mode::Open {
-            return Ok(Ticket { demand, entry: 0, cost: Room::default(), stamp: None });
+            return Ok(Ticket { demand, entry: 0, cost: Room::default(), mod_revision: None });
         }
         let refuse = |reason, retry_after_s| Err(Refusal { reason, retry_after_s });
-        let held = view.held(&demand.team, &self.node);
+        let held = view.held(&demand.team, &self.controller);
         let Some(held) = held.filter(|held| held.allotment.incarnation == self.incarnation) else {
             return refuse(Reason::NoAllotment, SOON_S);
         };
@@ -126,9 +126,9 @@
             return refuse(Reason::NoAllotment, SOON_S);
         };
         let spending = self.spending.entry(demand.team.clone()).or_default();
-        if spending.stamp != held.stamp {
+        if spending.mod_revision != held.mod_revision {
             let used = vec![Room::default(); held.allotment.classes.len()];
-            *spending = Spending { stamp: held.stamp, used, moved: false };
+            *spending = Spending { mod_revision: held.mod_revision, used, moved: false };
         }
         if spending.moved {
             return refuse(Reason::Moved, SOON_S);
@@ -139,19 +139,19 @@
         }
         let cost = demand.cost(held.allotment.horizon_s);
         spending.used[entry] = spending.used[entry].plus(cost);
-        Ok(Ticket { demand, entry, cost, stamp: Some(held.stamp) })
+        Ok(Ticket { demand, entry, cost, mod_revision: Some(held.mod_revision) })
     }
 
     /// Whether a ticket still holds. One that does not is settled as not used, and its
     /// submission asks again.
     pub fn is_current(&self, view: &View, ticket: &Ticket) -> bool {
-        match (self.mode, ticket.stamp) {
+        match (self.mode, ticket.mod_revision) {
             (Mode::Open, _) => true,
             (Mode::Allotted, None) => false,
-            (Mode::Allotted, Some(stamp)) => {
-                let held = view.held(&ticket.demand.team, &self.node);
+            (Mode::Allotted, Some(mod_revision)) => {
+                let held = view.held(&ticket.demand.team, &self.controller);
                 let moved = self.spending.get(&ticket.demand.team).is_some_and(|s| s.moved);
-                held.is_some_and(|held| held.stamp == stamp) && !moved
+                held.is_some_and(|held| held.mod_revision == mod_revision) && !moved
             }
         }
     }
@@ -159,7 +159,7 @@
     /// What became of the acceptance that a ticket was for.
     pub fn settle(&mut self, ticket: &Ticket, outcome: Outcome) {
         let Some(spending) = self.spending.get_mut(&ticket.demand.team) else { return };
-        if outcome == Outcome::NotUsed && Some(spending.stamp) == ticket.stamp {
+        if outcome == Outcome::NotUsed && Some(spending.mod_revision) == ticket.mod_revision {
             let used = &mut spending.used[ticket.entry];
             *used = used.minus(ticket.cost);
         }
@@ -169,7 +169,7 @@
     /// admitted out of it.
     pub fn moved(&mut self, ticket: &Ticket) {
         if let Some(spending) = self.spending.get_mut(&ticket.demand.team) {
-            spending.moved |= Some(spending.stamp) == ticket.stamp;
+            spending.moved |= Some(spending.mod_revision) == ticket.mod_revision;
         }
     }
 
@@ -183,11 +183,11 @@
         self.admit(view, ticket.demand)
     }
 
-    /// Whether this node has used up what the leader takes for unspent. What became of some
+    /// Whether this controller has used up what the leader takes for unspent. What became of some
     /// acceptances was never heard, and they were not carried out; or jobs that were accepted
     /// and have ended were never read of. The leader does not replace the record by itself.
     pub fn is_misjudged(&self, view: &View, team: &str) -> bool {
-        let Some(held) = view.held(team, &self.node) else { return false };
+        let Some(held) = view.held(team, &self.controller) else { return false };
         let left = self.left(view, team);
         left.iter().enumerate().any(|(entry, left)| {
             !left.is_open()
@@ -198,11 +198,11 @@
 
     /// What is left of a team's allotment here, by entry.
     pub fn left(&self, view: &View, team: &str) -> Vec<Room> {
-        let held = view.held(team, &self.node);
+        let held = view.held(team, &self.controller);
         let Some(held) = held.filter(|held| held.allotment.incarnation == self.incarnation) else {
             return Vec::new();
         };
-        let spending = self.spending.get(team).filter(|s| s.stamp == held.stamp);
+        let spending = self.spending.get(team).filter(|s| s.mod_revision == held.mod_revision);
         let used = |entry| spending.map_or(Room::default(), |s| s.used[entry]);
         let classes = held.allotment.classes.iter().enumerate();
         classes.map(|(entry, class)| class.room().minus(used(entry))).collect()
--- a/crates/basaltrail-admission/src/lib.rs
+++ b/crates/basaltrail-admission/src/lib.rs
@@ -1,9 +1,9 @@
 //! Admission of submissions, agreed between all controllers, without I/O.
 //!
 //! The leader bounds the backlog of each team and hands out parts of it, allotments, to the
-//! nodes ([`Planner`]). A node admits out of its allotment in memory ([`Gate`]) and makes the
-//! acceptance conditional on the stamp of the allotment's record. What is known of the records,
-//! and of what was accepted under each, is a [`View`], which every node keeps.
+//! controllers ([`Planner`]). A controller admits out of its allotment in memory ([`Gate`]) and makes the
+//! acceptance conditional on the mod revision of the allotment's record. What is known of the records,
+//! and of what was accepted under each, is a [`View`], which every controller keeps.
 #![warn(missing_docs)]
 
 mod allotment;
--- a/crates/basaltrail-admission/src/planner.rs
+++ b/crates/basaltrail-admission/src/planner.rs
@@ -1,8 +1,8 @@
-//! The leader's side: how much each node may accept of each team and class.
+//! The leader's side: how much each controller may accept of each team and class.
 //!
 //! For a team, what waits and what was handed out and is not known to be used stay within a bound
 //! together. A record that is being replaced counts until the view has reached the revision of
-//! the new one: until then its node may use all that is left of it.
+//! the new one: until then its controller may use all that is left of it.
 
 use crate::allotment::{Allotment, ClassRoom, OTHER_CLASSES};
 use crate::room::Room;
@@ -11,7 +11,7 @@
 
 /// Part of a team's bound that its classes keep in equal shares, whatever the others ask for.
 const LEAST_OF_CLASSES: f64 = 0.5;
-/// Part of what a class has that the nodes get in equal shares.
+/// Part of what a class has that the controllers get in equal shares.
 const LEAST_OF_NODES: f64 = 0.5;
 /// Part of what is free that is handed out; the rest is there to replace records with.
 const HANDED_OUT: f64 = 0.5;
@@ -22,7 +22,7 @@
 const REMEMBERED: f64 = 0.5;
 /// A team may let wait at least as much as this part of all guarantees would work off.
 const LEAST_RATE: f64 = 0.1;
-/// Jobs of each class that a team may have for each node, however little its part is.
+/// Jobs of each class that a team may have for each controller, however little its part is.
 const LEAST_JOBS: u32 = 4;
 /// Classes that one team's allotments name; the others share one entry.
 const CLASSES_MOST: usize = 16;
@@ -71,7 +71,7 @@
 pub struct Grant {
     /// What it says.
     pub allotment: Allotment,
-    /// The stamp that the record must still have; 0 if there is none.
+    /// The mod revision that the record must still have; 0 if there is none.
     pub replaces: u64,
 }
 
@@ -87,7 +87,7 @@
 }
 
 /// Grants on their way, or carried out and not in the view yet: they count beside what they
-/// replace. At most one of those that replace the same stamp is carried out.
+/// replace. At most one of those that replace the same mod revision is carried out.
 #[derive(Clone, Debug)]
 struct Pending {
     replaces: u64,
@@ -99,11 +99,11 @@
 /// See the module.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
-    /// By team and node.
+    /// By team and controller.
     pending: BTreeMap<(String, String), Pending>,
-    /// Jobs accepted of late, fading: by team, class and node.
+    /// Jobs accepted of late, fading: by team, class and controller.
     demand: BTreeMap<(String, String, String), f64>,
-    /// What each record was known to have spent at the last plan, with its stamp.
+    /// What each record was known to have spent at the last plan, with its mod revision.
     seen: BTreeMap<(String, String), (u64, Vec<u32>)>,
 }
 
@@ -126,7 +126,7 @@
 
     /// What became of a grant.
     pub fn written(&mut self, grant: &Grant, outcome: Written) {
-        let key = (grant.allotment.team.clone(), grant.allotment.node.clone());
+        let key = (grant.allotment.team.clone(), grant.allotment.controller.clone());
         let Some(pending) = self.pending.get_mut(&key) else { return };
         match outcome {
             // The view will show it.
@@ -141,22 +141,22 @@
     }
 
     /// The bound of a team: what may wait of it, handed out or not.
-    pub fn bound(bounds: &Bounds, team: &TeamLoad, guaranteed: f64, nodes: usize) -> Room {
+    pub fn bound(bounds: &Bounds, team: &TeamLoad, guaranteed: f64, controllers: usize) -> Room {
         let least = team.guaranteed.max(guaranteed * LEAST_RATE);
         let rate = team.served.max(least).min(team.limit);
         let jobs = (f64::from(bounds.jobs) * team.share) as u32;
-        let entries = (team.classes.len() + 1).min(CLASSES_MOST + 1) * nodes;
+        let entries = (team.classes.len() + 1).min(CLASSES_MOST + 1) * controllers;
         Room { jobs: jobs.max(entries as u32 * LEAST_JOBS), work: rate * bounds.horizon_s }
     }
 
     fn forget_what_arrived(&mut self, view: &View) {
-        self.pending.retain(|(team, node), pending| {
-            view.held(team, node).map_or(0, |held| held.stamp) == pending.replaces
+        self.pending.retain(|(team, controller), pending| {
+            view.held(team, controller).map_or(0, |held| held.mod_revision) == pending.replaces
         });
     }
 
     fn note_pending(&mut self, grant: &Grant) {
-        let key = (grant.allotment.team.clone(), grant.allotment.node.clone());
+        let key = (grant.allotment.team.clone(), grant.allotment.controller.clone());
         let pending = self.pending.entry(key).or_insert_with(|| Pending {
             replaces: grant.replaces,
             most: BTreeMap::new(),
@@ -168,30 +168,31 @@
         }
     }
 
-    /// How many jobs each node accepted since the last plan, by class.
+    /// How many jobs each controller accepted since the last plan, by class.
     fn note_demand(&mut self, view: &View, teams: &[TeamLoad]) {
         self.demand.values_mut().for_each(|jobs| *jobs *= REMEMBERED);
         self.demand.retain(|_, jobs| *jobs > 0.01);
         let before = std::mem::take(&mut self.seen);
         for held in teams.iter().flat_map(|team| view.of_team(&team.team)) {
-            let Allotment { team, node, classes, .. } = &held.allotment;
-            let key = (team.clone(), node.clone());
-            let known = before.get(&key).filter(|(stamp, _)| *stamp == held.stamp);
+            let Allotment { team, controller, classes, .. } = &held.allotment;
+            let key = (team.clone(), controller.clone());
+            let known =
+                before.get(&key).filter(|(mod_revision, _)| *mod_revision == held.mod_revision);
             let spent: Vec<u32> = (0..classes.len()).map(|at| held.spent(at).jobs).collect();
             for (entry, class) in classes.iter().enumerate() {
                 let earlier = known.map_or(0, |(_, spent)| spent[entry]);
                 let new = spent[entry].saturating_sub(earlier);
                 if new > 0 {
-                    let key = (team.clone(), class.class.clone(), node.clone());
+                    let key = (team.clone(), class.class.clone(), controller.clone());
                     *self.demand.entry(key).or_default() += f64::from(new);
                 }
             }
-            self.seen.insert(key, (held.stamp, spent));
+            self.seen.insert(key, (held.mod_revision, spent));
         }
     }
 
-    fn demand_of(&self, team: &str, class: &str, node: &str) -> f64 {
-        let key = (team.to_string(), class.to_string(), node.to_string());
+    fn demand_of(&self, team: &str, class: &str, controller: &str) -> f64 {
+        let key = (team.to_string(), class.to_string(), controller.to_string());
         self.demand.get(&key).copied().unwrap_or(0.0)
     }
 
@@ -211,13 +212,15 @@
         guaranteed: f64,
     ) -> Vec<Grant> {
         let classes = named_classes(team);
-        let nodes: Vec<(&str, u64)> = view.nodes().collect();
-        let bound = Self::bound(bounds, team, guaranteed, nodes.len());
+        let controllers: Vec<(&str, u64)> = view.controllers().collect();
+        let bound = Self::bound(bounds, team, guaranteed, controllers.len());
         let demands: Vec<Vec<f64>> = classes
             .iter()
             .map(|load| {
-                let of = |(node, _): &(&str, u64)| self.demand_of(&team.team, &load.class, node);
-                nodes.iter().map(of).collect()
+                let of = |(controller, _): &(&str, u64)| {
+                    self.demand_of(&team.team, &load.class, controller)
+                };
+                controllers.iter().map(of).collect()
             })
             .collect();
         let waiting: Vec<Room> = classes.iter().map(|load| load.waiting).collect();
@@ -228,15 +231,15 @@
             classes.iter().map(|load| load.waiting.plus(outstanding(load))).collect();
         let mut left = free_by_class(bound, &taken, &demands);
         let mut grants = Vec::new();
-        for (at, (node, incarnation)) in nodes.iter().enumerate() {
+        for (at, (controller, incarnation)) in controllers.iter().enumerate() {
             let targets: Vec<Room> = free
                 .iter()
                 .zip(&demands)
-                .map(|(free, demands)| target(*free, share_of_node(demands, at), nodes.len()))
+                .map(|(free, demands)| target(*free, share_of_node(demands, at), controllers.len()))
                 .collect();
-            let held = view.held(&team.team, node);
+            let held = view.held(&team.team, controller);
             let held = held.filter(|held| held.allotment.incarnation == *incarnation);
-            let key = (team.team.clone(), (*node).to_string());
+            let key = (team.team.clone(), (*controller).to_string());
             let replace = match self.pending.get(&key) {
                 // What became of the last write shows in the view, or is settled by another.
                 Some(pending) => pending.uncertain,
@@ -249,7 +252,7 @@
             if !replace {
                 continue;
             }
-            let replaces = view.held(&team.team, node).map_or(0, |held| held.stamp);
+            let replaces = view.held(&team.team, controller).map_or(0, |held| held.mod_revision);
             let entry = |(at, load): (usize, &ClassLoad)| {
                 let room = targets[at].min(left[at]);
                 left[at] = left[at].minus(room);
@@ -258,7 +261,7 @@
             };
             let allotment = Allotment {
                 team: team.team.clone(),
-                node: (*node).into(),
+                controller: (*controller).into(),
                 incarnation: *incarnation,
                 horizon_s: bounds.horizon_s,
                 classes: classes.iter().enumerate().map(entry).collect(),
@@ -319,19 +322,19 @@
         .collect()
 }
 
-fn share_of_node(demands: &[f64], node: usize) -> f64 {
+fn share_of_node(demands: &[f64], controller: usize) -> f64 {
     let count = demands.len().max(1) as f64;
     let sum: f64 = demands.iter().sum();
     match sum > 0.0 {
-        true => LEAST_OF_NODES / count + (1.0 - LEAST_OF_NODES) * demands[node] / sum,
+        true => LEAST_OF_NODES / count + (1.0 - LEAST_OF_NODES) * demands[controller] / sum,
         false => 1.0 / count,
     }
 }
 
-/// What a node should hold of a class. At least one job where there is one for each node.
-fn target(free: Room, share: f64, nodes: usize) -> Room {
+/// What a controller should hold of a class. At least one job where there is one for each controller.
+fn target(free: Room, share: f64, controllers: usize) -> Room {
     let room = free.part(HANDED_OUT * share);
-    let least = u32::from(free.jobs as usize >= 2 * nodes);
+    let least = u32::from(free.jobs as usize >= 2 * controllers);
     Room { jobs: room.jobs.max(least), work: room.work }
 }
 
--- a/crates/basaltrail-admission/src/room.rs
+++ b/crates/basaltrail-admission/src/room.rs
@@ -11,7 +11,7 @@
 
 impl Room {
     /// Whether one more job is admitted. The work of the last one may be more than what is left:
-    /// otherwise a job larger than a node's allotment could never be admitted.
+    /// otherwise a job larger than a controller's allotment could never be admitted.
     pub fn is_open(self) -> bool {
         self.jobs >= 1 && self.work > 0.0
     }
--- a/crates/basaltrail-admission/src/view.rs
+++ b/crates/basaltrail-admission/src/view.rs
@@ -1,23 +1,23 @@
-//! What a node knows of allotments, of the processes they are for, and of what was accepted
+//! What a controller knows of allotments, of the processes they are for, and of what was accepted
 //! under each. It is told of records in the order of their revisions.
 
 use crate::allotment::{Allotment, Demand};
 use crate::room::Room;
 use std::collections::BTreeMap;
 
-/// Nodes, and allotments, that are kept at the most: records of others are passed over.
+/// Controllers, and allotments, that are kept at the most: records of others are passed over.
 const NODES_MOST: usize = 256;
 const ALLOTMENTS_MOST: usize = 16_384;
 
-/// A job that a node accepted out of its allotment.
+/// A job that a controller accepted out of its allotment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Acceptance {
-    /// The node.
-    pub node: String,
+    /// The controller.
+    pub controller: String,
     /// What the job asks for.
     pub demand: Demand,
     /// The revision of the acceptance.
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 /// An allotment, and what is known to have been accepted under it.
@@ -25,8 +25,8 @@
 pub struct Held {
     /// The record.
     pub allotment: Allotment,
-    /// Its stamp.
-    pub stamp: u64,
+    /// Its mod revision.
+    pub mod_revision: u64,
     /// Whether every acceptance under it was seen. If it was read from a list, jobs that have
     /// ended since are missing, and more counts as unspent than is.
     pub complete: bool,
@@ -35,7 +35,7 @@
 
 impl Held {
     fn count(&mut self, acceptance: &Acceptance) {
-        if acceptance.stamp <= self.stamp {
+        if acceptance.mod_revision <= self.mod_revision {
             return;
         }
         if let Some(entry) = self.allotment.entry_of(&acceptance.demand.class) {
@@ -58,93 +58,98 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Presence {
     incarnation: u64,
-    stamp: u64,
+    mod_revision: u64,
 }
 
 /// See the module.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    nodes: BTreeMap<String, Presence>,
-    /// By team and node.
+    controllers: BTreeMap<String, Presence>,
+    /// By team and controller.
     allotments: BTreeMap<(String, String), Held>,
 }
 
 impl View {
     /// A process tells that it is there.
-    pub fn learn_node(&mut self, node: &str, incarnation: u64, stamp: u64) {
-        let known = self.nodes.get(node);
-        let old = known.is_some_and(|presence| presence.stamp >= stamp);
-        if !old && (known.is_some() || self.nodes.len() < NODES_MOST) {
-            self.nodes.insert(node.into(), Presence { incarnation, stamp });
+    pub fn learn_controller(&mut self, controller: &str, incarnation: u64, mod_revision: u64) {
+        let known = self.controllers.get(controller);
+        let old = known.is_some_and(|presence| presence.mod_revision >= mod_revision);
+        if !old && (known.is_some() || self.controllers.len() < NODES_MOST) {
+            self.controllers.insert(controller.into(), Presence { incarnation, mod_revision });
         }
     }
 
-    /// An allotment was read. `accepted` are the known acceptances of its node and team;
-    /// `complete` says whether none that ended can be missing among those after its stamp.
+    /// An allotment was read. `accepted` are the known acceptances of its controller and team;
+    /// `complete` says whether none that ended can be missing among those after its mod revision.
     pub fn learn_allotment(
         &mut self,
         allotment: Allotment,
-        stamp: u64,
+        mod_revision: u64,
         accepted: impl Iterator<Item = Acceptance>,
         complete: bool,
     ) {
-        let key = (allotment.team.clone(), allotment.node.clone());
+        let key = (allotment.team.clone(), allotment.controller.clone());
         let known = self.allotments.get(&key);
-        if known.is_some_and(|held| held.stamp >= stamp)
+        if known.is_some_and(|held| held.mod_revision >= mod_revision)
             || (known.is_none() && self.allotments.len() >= ALLOTMENTS_MOST)
         {
             return;
         }
         let spent = vec![Room::default(); allotment.classes.len()];
-        let mut held = Held { allotment, stamp, complete, spent };
-        let own =
-            |acceptance: &Acceptance| acceptance.node == key.1 && acceptance.demand.team == key.0;
+        let mut held = Held { allotment, mod_revision, complete, spent };
+        let own = |acceptance: &Acceptance| {
+            acceptance.controller == key.1 && acceptance.demand.team == key.0
+        };
         accepted.filter(own).for_each(|acceptance| held.count(&acceptance));
         self.allotments.insert(key, held);
     }
 
     /// A record of an allotment that cannot be read: whatever was known before is over.
-    pub fn lose_allotment(&mut self, team: &str, node: &str, stamp: u64) {
-        let key = (team.to_string(), node.to_string());
-        if self.allotments.get(&key).is_some_and(|held| held.stamp < stamp) {
+    pub fn lose_allotment(&mut self, team: &str, controller: &str, mod_revision: u64) {
+        let key = (team.to_string(), controller.to_string());
+        if self.allotments.get(&key).is_some_and(|held| held.mod_revision < mod_revision) {
             self.allotments.remove(&key);
         }
     }
 
     /// A job was accepted; each is told once.
     pub fn learn_acceptance(&mut self, acceptance: &Acceptance) {
-        let key = (acceptance.demand.team.clone(), acceptance.node.clone());
+        let key = (acceptance.demand.team.clone(), acceptance.controller.clone());
         if let Some(held) = self.allotments.get_mut(&key) {
             held.count(acceptance);
         }
     }
 
-    /// The present process of a node, and the stamp of its record.
-    pub fn presence(&self, node: &str) -> Option<(u64, u64)> {
-        self.nodes.get(node).map(|presence| (presence.incarnation, presence.stamp))
+    /// The present process of a controller, and the mod revision of its record.
+    pub fn presence(&self, controller: &str) -> Option<(u64, u64)> {
+        self.controllers
+            .get(controller)
+            .map(|presence| (presence.incarnation, presence.mod_revision))
     }
 
-    /// The nodes, with the present process of each.
-    pub fn nodes(&self) -> impl Iterator<Item = (&str, u64)> {
-        self.nodes.iter().map(|(node, presence)| (node.as_str(), presence.incarnation))
+    /// The controllers, with the present process of each.
+    pub fn controllers(&self) -> impl Iterator<Item = (&str, u64)> {
+        self.controllers
+            .iter()
+            .map(|(controller, presence)| (controller.as_str(), presence.incarnation))
     }
 
-    /// Whether a node's process has written its record again since its allotment of a team was
+    /// Whether a controller's process has written its record again since its allotment of a team was
     /// written: it asks for another one.
     pub fn asks_again(&self, held: &Held) -> bool {
-        let presence = self.nodes.get(&held.allotment.node);
-        presence.is_some_and(|presence| presence.stamp > held.stamp)
+        let presence = self.controllers.get(&held.allotment.controller);
+        presence.is_some_and(|presence| presence.mod_revision > held.mod_revision)
     }
 
-    /// The names of all nodes.
-    pub fn node_names(&self) -> Vec<String> {
-        self.nodes.keys().cloned().collect()
+    /// The names of all controllers.
+    pub fn controller_names(&self) -> Vec<String> {
+        self.controllers.keys().cloned().collect()
     }
 
-    /// The allotment of a team at a node.
-    pub fn held(&self, team: &str, node: &str) -> Option<&Held> {
+    /// The allotment of a team at a controller.
+    pub fn held(&self, team: &str, controller: &str) -> Option<&Held> {
         // The key is owned; a lookup by reference would take a map of maps.
-        self.allotments.get(&(team.to_string(), node.to_string()))
+        self.allotments.get(&(team.to_string(), controller.to_string()))
     }
 
     /// All allotments of a team.
--- a/crates/basaltrail-admission/tests/gate.rs
+++ b/crates/basaltrail-admission/tests/gate.rs
@@ -1,4 +1,4 @@
-//! What a node admits, and what it refuses.
+//! What a controller admits, and what it refuses.
 
 use basaltrail_admission::*;
 
@@ -6,7 +6,7 @@
     let class = |name: &str| ClassRoom { class: name.into(), jobs, work, wait_s: 7 };
     Allotment {
         team: "t".into(),
-        node: "n".into(),
+        controller: "n".into(),
         incarnation,
         horizon_s: 100.0,
         classes: vec![class("c"), class(OTHER_CLASSES)],
@@ -17,9 +17,9 @@
     Demand { team: "t".into(), class: class.into(), cpus: 2.0, run_s: Some(10.0) }
 }
 
-fn view(allotment: Allotment, stamp: u64) -> View {
+fn view(allotment: Allotment, mod_revision: u64) -> View {
     let mut view = View::default();
-    view.learn_allotment(allotment, stamp, std::iter::empty(), true);
+    view.learn_allotment(allotment, mod_revision, std::iter::empty(), true);
     view
 }
 
--- a/crates/basaltrail-admission/tests/model.rs
+++ b/crates/basaltrail-admission/tests/model.rs
@@ -1,4 +1,4 @@
-//! Nodes, a leader and a state service as a model: views that lag, writes that are carried out
+//! Controllers, a leader and a state service as a model: views that lag, writes that are carried out
 //! late or twice, answers that are lost, processes that stand still, end and come back, leaders
 //! that change. At no revision have more jobs of a team been accepted and not ended than its
 //! bound allows.
@@ -17,7 +17,7 @@
 /// What is written, in the order of the revisions.
 #[derive(Clone)]
 enum Record {
-    Node { node: usize, incarnation: u64 },
+    Controller { controller: usize, incarnation: u64 },
     Allotment(Allotment),
     Job { id: u64, acceptance: Acceptance },
 }
@@ -44,8 +44,8 @@
     rng: SmallRng,
     t: u64,
     log: Vec<Record>,
-    stamps: BTreeMap<String, u64>,
-    nodes: Vec<Process>,
+    mod_revisions: BTreeMap<String, u64>,
+    controllers: Vec<Process>,
     leader: usize,
     leader_stamp: u64,
     planner: Planner,
@@ -59,12 +59,12 @@
     /// The most that were accepted and not ended.
     most: usize,
     flood: Option<usize>,
-    /// Whether acceptances are conditional on the allotment's stamp.
+    /// Whether acceptances are conditional on the allotment's mod revision.
     fenced: bool,
 }
 
-fn name(node: usize) -> String {
-    format!("n{node}")
+fn name(controller: usize) -> String {
+    format!("n{controller}")
 }
 
 fn team(classes: Vec<ClassLoad>) -> TeamLoad {
@@ -85,10 +85,10 @@
 
 impl Model {
     fn new(seed: u64, fenced: bool) -> Self {
-        let process = |node: usize| Process {
+        let process = |controller: usize| Process {
             incarnation: 1,
             view: View::default(),
-            gate: Gate::new(&name(node), 1, Mode::Allotted),
+            gate: Gate::new(&name(controller), 1, Mode::Allotted),
             read: 0,
             frozen_until: 0,
             began: 0,
@@ -97,8 +97,8 @@
             rng: SmallRng::seed_from_u64(seed),
             t: 0,
             log: Vec::new(),
-            stamps: BTreeMap::new(),
-            nodes: (0..NODES).map(process).collect(),
+            mod_revisions: BTreeMap::new(),
+            controllers: (0..NODES).map(process).collect(),
             leader: 0,
             leader_stamp: 1,
             planner: Planner::default(),
@@ -112,8 +112,8 @@
             flood: None,
             fenced,
         };
-        for node in 0..NODES {
-            model.log.push(Record::Node { node, incarnation: 1 });
+        for controller in 0..NODES {
+            model.log.push(Record::Controller { controller, incarnation: 1 });
         }
         model
     }
@@ -127,7 +127,7 @@
 
     /// What the leader knows: acceptances that it has read, and which jobs have ended.
     fn load(&self) -> TeamLoad {
-        let read = &self.log[..self.nodes[self.leader].read];
+        let read = &self.log[..self.controllers[self.leader].read];
         let mut classes: Vec<ClassLoad> = CLASSES
             .map(|class| ClassLoad { class: class.into(), waiting: Room::default() })
             .to_vec();
@@ -142,15 +142,15 @@
         team(classes)
     }
 
-    /// A node reads what is new.
-    fn read(&mut self, node: usize) {
-        let process = &mut self.nodes[node];
+    /// A controller reads what is new.
+    fn read(&mut self, controller: usize) {
+        let process = &mut self.controllers[controller];
         while process.read < self.log.len() {
-            let stamp = process.read as u64 + 1;
+            let mod_revision = process.read as u64 + 1;
             let earlier = &self.log[..process.read];
             match &self.log[process.read] {
-                Record::Node { node, incarnation } => {
-                    process.view.learn_node(&name(*node), *incarnation, stamp);
+                Record::Controller { controller, incarnation } => {
+                    process.view.learn_controller(&name(*controller), *incarnation, mod_revision);
                 }
                 Record::Allotment(allotment) => {
                     let complete = process.read >= process.began;
@@ -162,7 +162,12 @@
                         }
                         _ => None,
                     });
-                    process.view.learn_allotment(allotment.clone(), stamp, accepted, complete);
+                    process.view.learn_allotment(
+                        allotment.clone(),
+                        mod_revision,
+                        accepted,
+                        complete,
+                    );
                 }
                 Record::Job { id, acceptance } => {
                     if process.read >= process.began || self.jobs.contains_key(id) {
@@ -187,7 +192,7 @@
             // Its sender gives up before that.
             match &write {
                 Write::Accept { from, ticket, .. } if self.is_there(*from) => {
-                    self.nodes[from.0].gate.settle(ticket, Outcome::Used);
+                    self.controllers[from.0].gate.settle(ticket, Outcome::Used);
                 }
                 Write::Allot { leader, grant } if *leader == self.leader_stamp => {
                     self.planner.written(grant, Written::Perhaps);
@@ -201,19 +206,20 @@
         }
     }
 
-    fn is_there(&self, (node, incarnation): (usize, u64)) -> bool {
-        self.nodes[node].incarnation == incarnation
+    fn is_there(&self, (controller, incarnation): (usize, u64)) -> bool {
+        self.controllers[controller].incarnation == incarnation
     }
 
     fn carry_out(&mut self, write: Write, unheard: bool) {
         match write {
             Write::Accept { from, id, ticket, class } => {
-                let (_, stamp) = ticket.condition().unwrap();
+                let (_, mod_revision) = ticket.condition().unwrap();
                 let key = name(from.0);
-                let moved = self.fenced && self.stamps.get(&key) != Some(&stamp);
+                let moved = self.fenced && self.mod_revisions.get(&key) != Some(&mod_revision);
                 if !moved && !self.jobs.contains_key(&id) {
-                    let stamp = self.log.len() as u64 + 1;
-                    let acceptance = Acceptance { node: key, demand: demand(class), stamp };
+                    let mod_revision = self.log.len() as u64 + 1;
+                    let acceptance =
+                        Acceptance { controller: key, demand: demand(class), mod_revision };
                     self.log.push(Record::Job { id, acceptance: acceptance.clone() });
                     self.jobs.insert(id, acceptance);
                     self.accepted += 1;
@@ -221,7 +227,7 @@
                 if unheard || !self.is_there(from) {
                     return;
                 }
-                let gate = &mut self.nodes[from.0].gate;
+                let gate = &mut self.controllers[from.0].gate;
                 match moved {
                     true => {
                         gate.moved(&ticket);
@@ -231,12 +237,12 @@
                 }
             }
             Write::Allot { leader, grant } => {
-                let key = grant.allotment.node.clone();
-                let stamp = self.stamps.get(&key).copied().unwrap_or(0);
-                let done = leader == self.leader_stamp && stamp == grant.replaces;
+                let key = grant.allotment.controller.clone();
+                let mod_revision = self.mod_revisions.get(&key).copied().unwrap_or(0);
+                let done = leader == self.leader_stamp && mod_revision == grant.replaces;
                 if done {
                     self.log.push(Record::Allotment(grant.allotment.clone()));
-                    self.stamps.insert(key, self.log.len() as u64);
+                    self.mod_revisions.insert(key, self.log.len() as u64);
                 }
                 if !unheard && leader == self.leader_stamp {
                     let outcome = if done { Written::Done } else { Written::Not };
@@ -253,30 +259,30 @@
         for (_, write, unheard) in due {
             self.carry_out(write, unheard);
         }
-        for node in 0..NODES {
-            if self.t < self.nodes[node].frozen_until {
+        for controller in 0..NODES {
+            if self.t < self.controllers[controller].frozen_until {
                 continue;
             }
             if self.rng.random_bool(0.4) {
-                self.read(node);
+                self.read(controller);
             }
-            let flooded = self.flood.is_none_or(|flooded| flooded == node);
+            let flooded = self.flood.is_none_or(|flooded| flooded == controller);
             let asks = if flooded { 12 } else { 0 };
             for _ in 0..asks {
                 let class = CLASSES[self.rng.random_range(0..CLASSES.len())];
-                let process = &mut self.nodes[node];
+                let process = &mut self.controllers[controller];
                 let Ok(ticket) = process.gate.admit(&process.view, demand(class)) else { continue };
                 if !process.gate.is_current(&process.view, &ticket) {
                     continue;
                 }
                 self.next_job += 1;
-                let (from, id) = ((node, process.incarnation), self.next_job);
+                let (from, id) = ((controller, process.incarnation), self.next_job);
                 self.send(Write::Accept { from, id, ticket, class });
             }
         }
-        if self.t >= self.next_plan && self.t >= self.nodes[self.leader].frozen_until {
+        if self.t >= self.next_plan && self.t >= self.controllers[self.leader].frozen_until {
             self.next_plan = self.t + 10;
-            let (load, view) = (self.load(), &self.nodes[self.leader].view);
+            let (load, view) = (self.load(), &self.controllers[self.leader].view);
             for grant in self.planner.plan(view, &BOUNDS, &[load]) {
                 self.send(Write::Allot { leader: self.leader_stamp, grant });
             }
@@ -298,38 +304,38 @@
     }
 
     fn trouble(&mut self) {
-        let node = self.rng.random_range(0..NODES);
+        let controller = self.rng.random_range(0..NODES);
         match self.rng.random_range(0..6) {
-            0 => self.nodes[node].frozen_until = self.t + self.rng.random_range(5..80),
+            0 => self.controllers[controller].frozen_until = self.t + self.rng.random_range(5..80),
             1 => {
                 // It ends and is back at once, knowing nothing but what a list tells.
-                let incarnation = self.nodes[node].incarnation + 1;
-                self.nodes[node] = Process {
+                let incarnation = self.controllers[controller].incarnation + 1;
+                self.controllers[controller] = Process {
                     incarnation,
                     view: View::default(),
-                    gate: Gate::new(&name(node), incarnation, Mode::Allotted),
+                    gate: Gate::new(&name(controller), incarnation, Mode::Allotted),
                     read: 0,
                     frozen_until: 0,
                     began: self.log.len(),
                 };
-                self.log.push(Record::Node { node, incarnation });
-                if node == self.leader {
-                    self.lead((node + 1) % NODES);
+                self.log.push(Record::Controller { controller, incarnation });
+                if controller == self.leader {
+                    self.lead((controller + 1) % NODES);
                 }
             }
-            2 => self.lead(node),
+            2 => self.lead(controller),
             3 | 4 => self.stalled_until = self.t + self.rng.random_range(50..200),
-            _ => self.flood = [None, Some(node)][self.rng.random_range(0..2)],
+            _ => self.flood = [None, Some(controller)][self.rng.random_range(0..2)],
         }
     }
 
     /// Another leader begins; what the one before sent is refused from now on. It reads what
     /// was written before it acts.
-    fn lead(&mut self, node: usize) {
-        self.leader = node;
+    fn lead(&mut self, controller: usize) {
+        self.leader = controller;
         self.leader_stamp += 1;
         self.planner = Planner::default();
-        self.read(node);
+        self.read(controller);
     }
 }
 
@@ -357,7 +363,7 @@
     assert!(most as u32 >= BOUNDS.jobs * 3 / 4, "{most}: the bound was never near");
 }
 
-/// The same model with acceptances that do not name their allotment's stamp.
+/// The same model with acceptances that do not name their allotment's mod revision.
 #[test]
 #[should_panic(expected = "jobs accepted")]
 fn without_the_stamp_more_is_accepted() {
--- a/crates/basaltrail-admission/tests/planner.rs
+++ b/crates/basaltrail-admission/tests/planner.rs
@@ -19,10 +19,10 @@
     }
 }
 
-fn nodes(count: usize) -> View {
+fn controllers(count: usize) -> View {
     let mut view = View::default();
-    for node in 0..count {
-        view.learn_node(&format!("n{node}"), 1, node as u64 + 1);
+    for controller in 0..count {
+        view.learn_controller(&format!("n{controller}"), 1, controller as u64 + 1);
     }
     view
 }
@@ -37,16 +37,16 @@
 }
 
 /// The view takes the grants as written at these stamps.
-fn arrive(view: &mut View, grants: &[Grant], stamp: u64) {
+fn arrive(view: &mut View, grants: &[Grant], mod_revision: u64) {
     for (n, grant) in grants.iter().enumerate() {
         let allotment = grant.allotment.clone();
-        view.learn_allotment(allotment, stamp + n as u64, std::iter::empty(), true);
+        view.learn_allotment(allotment, mod_revision + n as u64, std::iter::empty(), true);
     }
 }
 
 #[test]
 fn a_flood_of_one_team_or_class_leaves_the_others_theirs() {
-    let view = nodes(3);
+    let view = controllers(3);
     let teams = [load("flood", &[("a", 5_000), ("b", 0)]), load("calm", &[("c", 0)])];
     let grants = Planner::default().plan(&view, &BOUNDS, &teams);
     assert_eq!(sum(&grants, "flood", "a").jobs, 0);
@@ -58,7 +58,7 @@
 
 #[test]
 fn what_is_on_its_way_counts_until_the_view_has_it() {
-    let mut view = nodes(3);
+    let mut view = controllers(3);
     let mut planner = Planner::default();
     let team = load("t", &[("c", 0)]);
     let first = planner.plan(&view, &BOUNDS, std::slice::from_ref(&team));
@@ -72,7 +72,7 @@
 /// A write without an answer is written again: until then it may come late.
 #[test]
 fn a_write_without_an_answer_is_settled_by_the_next() {
-    let view = nodes(2);
+    let view = controllers(2);
     let mut planner = Planner::default();
     let team = [load("t", &[("c", 0)])];
     let first = planner.plan(&view, &BOUNDS, &team);
@@ -87,49 +87,49 @@
 
 #[test]
 fn shares_follow_what_nodes_accept_and_none_goes_without() {
-    let mut view = nodes(3);
+    let mut view = controllers(3);
     let mut planner = Planner::default();
     let team = [load("t", &[("c", 0)])];
-    let mut stamp = 10;
+    let mut mod_revision = 10;
     let mut grants = planner.plan(&view, &BOUNDS, &team);
     for _ in 0..8 {
         grants.iter().for_each(|grant| planner.written(grant, Written::Done));
-        arrive(&mut view, &grants, stamp);
-        stamp += 100;
-        // All of it is used at one node, and has ended by the next plan.
+        arrive(&mut view, &grants, mod_revision);
+        mod_revision += 100;
+        // All of it is used at one controller, and has ended by the next plan.
         let used = view.held("t", "n1").unwrap().unspent(0).jobs;
         for n in 0..u64::from(used) {
             let demand =
                 Demand { team: "t".into(), class: "c".into(), cpus: 1.0, run_s: Some(1.0) };
-            let stamp = stamp - 50 + n % 50;
-            view.learn_acceptance(&Acceptance { node: "n1".into(), demand, stamp });
+            let mod_revision = mod_revision - 50 + n % 50;
+            view.learn_acceptance(&Acceptance { controller: "n1".into(), demand, mod_revision });
         }
         grants = planner.plan(&view, &BOUNDS, &team);
     }
-    let has = |node: &str| view.held("t", node).unwrap().allotment.classes[0].jobs;
+    let has = |controller: &str| view.held("t", controller).unwrap().allotment.classes[0].jobs;
     assert!(has("n1") >= 2 * has("n0"), "{} and {}", has("n1"), has("n0"));
     assert!(has("n0") >= 1 && has("n2") >= 1);
 }
 
 #[test]
 fn a_new_process_gets_an_allotment_of_its_own() {
-    let mut view = nodes(2);
+    let mut view = controllers(2);
     let mut planner = Planner::default();
     let team = [load("t", &[("c", 0)])];
     let first = planner.plan(&view, &BOUNDS, &team);
     first.iter().for_each(|grant| planner.written(grant, Written::Done));
     arrive(&mut view, &first, 10);
-    view.learn_node("n1", 2, 50);
+    view.learn_controller("n1", 2, 50);
     let second = planner.plan(&view, &BOUNDS, &team);
     assert_eq!(second.len(), 1);
     assert_eq!((second[0].allotment.incarnation, second[0].replaces), (2, 11));
 }
 
-/// One node's record holds much that it has not used; it and another's are replaced at once.
+/// One controller's record holds much that it has not used; it and another's are replaced at once.
 #[test]
 fn what_is_left_of_a_record_counts_while_it_is_replaced() {
-    let mut view = nodes(2);
-    let held = |node: &str, jobs| {
+    let mut view = controllers(2);
+    let held = |controller: &str, jobs| {
         let class = |name: &str, jobs| ClassRoom {
             class: name.into(),
             jobs,
@@ -138,7 +138,7 @@
         };
         Allotment {
             team: "t".into(),
-            node: node.into(),
+            controller: controller.into(),
             incarnation: 1,
             horizon_s: 100.0,
             classes: vec![class("c", jobs), class(OTHER_CLASSES, 0)],
@@ -153,7 +153,7 @@
     assert!(140 + granted <= bound, "{granted} beside 140 of {bound}");
 }
 
-/// Nodes join one after the other, and the view shows none of the records that were written.
+/// Controllers join one after the other, and the view shows none of the records that were written.
 #[test]
 fn what_was_written_counts_for_the_others_until_the_view_has_it() {
     let mut view = View::default();
@@ -161,27 +161,27 @@
     let team = [load("t", &[])];
     let mut granted = Room::default();
     let mut bound = 0;
-    for node in 0..16 {
-        view.learn_node(&format!("n{node:02}"), 1, node + 1);
+    for controller in 0..16 {
+        view.learn_controller(&format!("n{controller:02}"), 1, controller + 1);
         let grants = planner.plan(&view, &BOUNDS, &team);
         grants.iter().for_each(|grant| planner.written(grant, Written::Done));
         granted = granted.plus(sum(&grants, "t", OTHER_CLASSES));
-        bound = Planner::bound(&BOUNDS, &team[0], 20.0, node as usize + 1).jobs;
+        bound = Planner::bound(&BOUNDS, &team[0], 20.0, controller as usize + 1).jobs;
     }
     assert!(granted.jobs <= bound, "{} of {bound}", granted.jobs);
 }
 
 #[test]
 fn a_node_that_asks_again_gets_another_record() {
-    let mut view = nodes(2);
+    let mut view = controllers(2);
     let mut planner = Planner::default();
     let team = [load("t", &[("c", 0)])];
     let first = planner.plan(&view, &BOUNDS, &team);
     first.iter().for_each(|grant| planner.written(grant, Written::Done));
     arrive(&mut view, &first, 10);
     assert!(planner.plan(&view, &BOUNDS, &team).is_empty());
-    view.learn_node("n1", 1, 50);
+    view.learn_controller("n1", 1, 50);
     let second = planner.plan(&view, &BOUNDS, &team);
     assert_eq!(second.len(), 1);
-    assert_eq!((second[0].allotment.node.as_str(), second[0].replaces), ("n1", 11));
+    assert_eq!((second[0].allotment.controller.as_str(), second[0].replaces), ("n1", 11));
 }
--- a/crates/basaltrail-core/src/node/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -1,4 +1,4 @@
-//! What this node may accept: its allotments, and submissions that wait for the next one.
+//! What this controller may accept: its allotments, and submissions that wait for the next one.
 
 use super::*;
 use basaltrail_admission::{Allotment, Gate, Mode, Outcome, Reason, Refusal, Ticket};
@@ -6,10 +6,10 @@
 /// The longest that somebody is told to wait, in seconds; PROTOCOL's users follow no more.
 const RETRY_MOST_S: u32 = 30;
 
-/// This node's side of admission.
-pub(super) struct NodeAdmission {
+/// This controller's side of admission.
+pub(super) struct ControllerAdmission {
     gate: Gate,
-    node: String,
+    controller: String,
     incarnation: u64,
     /// A record of this process is on its way.
     announcing: bool,
@@ -27,17 +27,17 @@
     unreadable: BTreeSet<String>,
 }
 
-impl NodeAdmission {
-    /// Until a leader is seen, a node goes by its own policy: where allotments are to bind, it
+impl ControllerAdmission {
+    /// Until a leader is seen, a controller goes by its own policy: where allotments are to bind, it
     /// accepts nothing before it has one.
     pub(super) fn new(cfg: &Settings) -> Self {
         let mode = match cfg.policy.admission {
             Some(_) => Mode::Allotted,
             None => Mode::Open,
         };
-        NodeAdmission {
-            gate: Gate::new(&cfg.node, cfg.incarnation, mode),
-            node: cfg.node.clone(),
+        ControllerAdmission {
+            gate: Gate::new(&cfg.controller, cfg.incarnation, mode),
+            controller: cfg.controller.clone(),
             incarnation: cfg.incarnation,
             announcing: false,
             next_announcement: 0,
@@ -54,22 +54,26 @@
         self.gate.mode() == Mode::Allotted
     }
 
-    pub(super) fn admit(&mut self, table: &Table, spec: &JobSpec) -> Result<Ticket, Refusal> {
-        let admitted = self.gate.admit(&table.admission, spec.demand());
+    pub(super) fn admit(
+        &mut self,
+        job_cache: &JobCache,
+        spec: &JobSpec,
+    ) -> Result<Ticket, Refusal> {
+        let admitted = self.gate.admit(&job_cache.admission, spec.demand());
         if matches!(admitted, Err(Refusal { reason: Reason::Full, .. })) {
-            self.asks_again |= self.gate.is_misjudged(&table.admission, &spec.team);
+            self.asks_again |= self.gate.is_misjudged(&job_cache.admission, &spec.team);
         }
         admitted
     }
 
-    pub(super) fn is_current(&self, table: &Table, new: &NewJob) -> bool {
-        self.gate.is_current(&table.admission, &new.ticket)
+    pub(super) fn is_current(&self, job_cache: &JobCache, new: &NewJob) -> bool {
+        self.gate.is_current(&job_cache.admission, &new.ticket)
     }
 
     /// What must still be so when the job is accepted.
     pub(super) fn condition(&self, new: &NewJob) -> Option<(String, u64)> {
-        let (team, stamp) = new.ticket.condition()?;
-        Some((allotment_key(team, &self.node), stamp))
+        let (team, mod_revision) = new.ticket.condition()?;
+        Some((allotment_key(team, &self.controller), mod_revision))
     }
 
     pub(super) fn settle(&mut self, new: &NewJob, outcome: Outcome) {
@@ -91,18 +95,18 @@
         let Refusal { reason, retry_after_s } = refusal;
         *self.refused.entry(reason).or_default() += 1;
         let spread = rng.random_range(0..=retry_after_s / 2 + 1);
-        let retry_s = (retry_after_s + spread).clamp(1, RETRY_MOST_S);
+        let retry_after_s = (retry_after_s + spread).clamp(1, RETRY_MOST_S);
         let why = match reason {
             Reason::Full => "the team's backlog is full",
             Reason::Moved => "its allotment moves",
             Reason::NoAllotment => "no allotment yet",
         };
-        Answer::Busy { retry_s, why }
+        Answer::Unavailable { retry_after_s, why }
     }
 
     /// Whether this process has to write that it is there.
-    fn announcement_due(&self, table: &Table, now: Ms) -> bool {
-        let known = table.admission.presence(&self.node);
+    fn announcement_due(&self, job_cache: &JobCache, now: Ms) -> bool {
+        let known = job_cache.admission.presence(&self.controller);
         let told = known.is_some_and(|(incarnation, _)| incarnation == self.incarnation);
         let due = match told {
             true => self.asks_again && now >= self.next_ask,
@@ -115,7 +119,7 @@
     pub(super) fn announced(&mut self, now: Ms, cfg: &Settings) {
         self.announcing = false;
         self.asks_again = false;
-        self.next_announcement = now + cfg.report_ms / 4;
+        self.next_announcement = now + cfg.heartbeat_interval_ms / 4;
         self.next_ask = now + (cfg.policy.round_s * 1000.0) as Ms;
     }
 
@@ -124,13 +128,13 @@
     }
 
     /// What is left of a team's allotment here, by entry.
-    pub(super) fn left(&self, table: &Table, team: &str) -> Vec<basaltrail_admission::Room> {
-        self.gate.left(&table.admission, team)
+    pub(super) fn left(&self, job_cache: &JobCache, team: &str) -> Vec<basaltrail_admission::Room> {
+        self.gate.left(&job_cache.admission, team)
     }
 }
 
-impl Node {
-    /// Whether allotments bind is the leader's to say; a node of an earlier version that leads
+impl Controller {
+    /// Whether allotments bind is the leader's to say; a controller of an earlier version that leads
     /// hands out none.
     pub(super) fn follow_admission(&mut self) {
         if let Some(allots) = self.election.leader_allots() {
@@ -139,15 +143,15 @@
                 self.admission.gate.set_mode(mode);
                 if allots {
                     // What was written of allotments before is listed only where they bind.
-                    self.jobs_view.compacted();
+                    self.job_watch.compacted();
                 }
                 self.calls.log(Level::Info, "admission_mode", format!("allotted={allots}"));
             }
         }
-        if self.jobs_view.is_loaded()
-            && self.admission.announcement_due(&self.table, self.now)
-            && self.calls.pay(self.now, Class::Request)
-            && self.calls.writes.take(self.now, 1.0, Class::Request)
+        if self.job_watch.is_loaded()
+            && self.admission.announcement_due(&self.job_cache, self.now)
+            && self.calls.pay(self.now, CallPriority::Request)
+            && self.calls.writes.take(self.now, 1.0, CallPriority::Request)
         {
             self.announce();
         }
@@ -156,44 +160,54 @@
 
     fn announce(&mut self) {
         self.admission.announcing = true;
-        let NodeAdmission { node, incarnation, .. } = &self.admission;
-        let record = NodeRecord { node: node.clone(), incarnation: *incarnation };
-        // An earlier process of this name that is late changes nothing: the stamp has moved on.
-        let stamp = self.table.admission.presence(node).map_or(0, |(_, stamp)| stamp);
-        let key = node_key(node);
-        let op = StateOp::Txn {
-            conds: vec![(key.clone(), stamp)],
-            puts: vec![Put { key, value: encode(&record), loan: None }],
-            removes: Vec::new(),
+        let ControllerAdmission { controller, incarnation, .. } = &self.admission;
+        let record = ControllerRecord { controller: controller.clone(), incarnation: *incarnation };
+        // An earlier process of this name that is late changes nothing: the mod revision has moved on.
+        let mod_revision = self
+            .job_cache
+            .admission
+            .presence(controller)
+            .map_or(0, |(_, mod_revision)| mod_revision);
+        let key = controller_key(controller);
+        let op = StoreRequest::Transaction {
+            preconditions: vec![(key.clone(), mod_revision)],
+            puts: vec![PutRequest { key, value: encode(&record), lease_id: None }],
+            deletes: Vec::new(),
         };
         self.calls.state(Purpose::Announce, op, self.cfg.leader_lease_ms() / 4);
     }
 
     /// Takes the record of a process or an allotment.
-    pub(super) fn apply_admission(&mut self, item: &Item, in_order: bool) {
-        let readable = if item.key.starts_with(&format!("{ADMISSION}n/")) {
-            decode::<NodeRecord>(&item.value).map(|record| {
-                self.table.admission.learn_node(&record.node, record.incarnation, item.stamp);
+    pub(super) fn apply_admission(&mut self, item: &KeyValue, in_order: bool) {
+        let readable = if item.key.starts_with(&format!("{ADMISSION_PREFIX}n/")) {
+            decode::<ControllerRecord>(&item.value).map(|record| {
+                self.job_cache.admission.learn_controller(
+                    &record.controller,
+                    record.incarnation,
+                    item.mod_revision,
+                );
             })
         } else {
             let allotment = decode::<Allotment>(&item.value).filter(Allotment::is_sound);
-            allotment.map(|allotment| self.table.put_allotment(allotment, item.stamp, in_order))
+            allotment.map(|allotment| {
+                self.job_cache.put_allotment(allotment, item.mod_revision, in_order)
+            })
         };
         if readable.is_none() {
-            // Nothing is accepted on it: whatever stood there before has another stamp.
-            self.lose_allotment(&item.key, item.stamp);
+            // Nothing is accepted on it: whatever stood there before has another mod revision.
+            self.lose_allotment(&item.key, item.mod_revision);
         }
     }
 
-    fn lose_allotment(&mut self, key: &str, stamp: u64) {
+    fn lose_allotment(&mut self, key: &str, mod_revision: u64) {
         for team in &self.cfg.teams {
-            for node in self.table.admission.node_names() {
-                if allotment_key(&team.name, &node) == key {
-                    self.table.admission.lose_allotment(&team.name, &node, stamp);
+            for controller in self.job_cache.admission.controller_names() {
+                if allotment_key(&team.name, &controller) == key {
+                    self.job_cache.admission.lose_allotment(&team.name, &controller, mod_revision);
                 }
             }
         }
-        if self.admission.unreadable.len() < self.cfg.most_active_jobs()
+        if self.admission.unreadable.len() < self.cfg.max_active_jobs()
             && self.admission.unreadable.insert(key.to_string())
         {
             self.calls.log(Level::Error, "allotment_unreadable", format!("key={key}"));
@@ -205,7 +219,7 @@
     pub(super) fn renew_moved(&mut self) {
         for new in std::mem::take(&mut self.requests.moved) {
             let NewJob { job, spec, asks, alone, ticket, waits_until } = new;
-            match self.admission.gate.renew(&self.table.admission, ticket.clone()) {
+            match self.admission.gate.renew(&self.job_cache.admission, ticket.clone()) {
                 Ok(ticket) => {
                     let new = NewJob { job, spec, asks, alone, ticket, waits_until };
                     self.requests.submits.push(new);
@@ -216,8 +230,9 @@
                 }
                 Err(refusal) => {
                     self.count_refusal(&spec.team);
-                    let refused = Some(NotTaken::Later(refusal));
-                    let asks = asks.into_iter().map(|ask| Ask { refused, ..ask }).collect();
+                    let refused = Some(Rejection::Later(refusal));
+                    let asks =
+                        asks.into_iter().map(|ask| ClientRequest { refused, ..ask }).collect();
                     self.requests.check_again(job, asks);
                 }
             }
--- /dev/null
+++ b/crates/basaltrail-core/src/controller/admission_tests.rs
@@ -0,0 +1,185 @@
+use super::*;
+use crate::settings::sample::{a_job, a_type, settings};
+use crate::settings::{AdmissionPolicy, Policy, Team};
+use basaltrail_admission::ClassRoom;
+
+const ACTIVE_STAMP: u64 = 9;
+const ALLOTMENT_STAMP: u64 = 5;
+
+fn controller(policy: Option<AdmissionPolicy>) -> Controller {
+    let team =
+        Team { name: "t".into(), cpus: 100.0, cpus_max: 100.0, gpus: 0.0, gpus_max: f64::INFINITY };
+    let base = settings();
+    let policy = Policy { admission: policy, ..base.policy.clone() };
+    let cfg = Settings { teams: vec![team], policy, ..base };
+    let mut controller = Controller::new(Arc::new(cfg), 1);
+    controller.job_watch.page(1);
+    controller.job_watch.listed(0);
+    controller.types = MachineTypes::of(vec![a_type()]);
+    controller
+}
+
+fn allotment(incarnation: u64, jobs: u32) -> KeyValue {
+    let class = ClassRoom { class: "c".into(), jobs, work: 1e6, wait_s: 4 };
+    let allotment = Allotment {
+        team: "t".into(),
+        controller: "n0".into(),
+        incarnation,
+        horizon_s: 100.0,
+        classes: vec![class],
+    };
+    let (key, value) = (allotment_key("t", "n0"), encode(&allotment));
+    KeyValue { key, value, mod_revision: ALLOTMENT_STAMP, lease_id: None }
+}
+
+/// Submits a job and gives the transaction that would accept it, if there is one, and answers.
+fn submit(
+    controller: &mut Controller,
+    job: u64,
+    spec: JobSpec,
+) -> (Option<(CallId, StoreRequest)>, Vec<Effect>) {
+    let input = Input::Submit { req: RequestId(job), job: JobId(job), spec: Box::new(spec) };
+    let effects = controller.step(1_000 + job, 0, input);
+    let accepts = |effect: &Effect| match effect {
+        Effect::Store {
+            op,
+            call: StoreRequest::Transaction { preconditions, puts, deletes },
+            ..
+        } if puts.iter().any(|put| put.key.starts_with(ACTIVE_JOBS_PREFIX)) => {
+            let (preconditions, puts, deletes) =
+                (preconditions.clone(), puts.clone(), deletes.clone());
+            Some((*op, StoreRequest::Transaction { preconditions, puts, deletes }))
+        }
+        _ => None,
+    };
+    (effects.iter().find_map(accepts), effects)
+}
+
+/// A transaction that is carried out after its allotment has moved on would accept what nobody
+/// counts any more.
+#[test]
+fn an_acceptance_names_the_stamp_of_its_allotment() {
+    let mut controller = controller(Some(AdmissionPolicy::default()));
+    controller.apply(&allotment(1, 9));
+    let (txn, _) = submit(&mut controller, 7, a_job(1, true));
+    let Some((_, StoreRequest::Transaction { preconditions, puts, .. })) = txn else {
+        panic!("not sent")
+    };
+    assert!(
+        preconditions.contains(&(allotment_key("t", "n0"), ALLOTMENT_STAMP)),
+        "{preconditions:?}"
+    );
+    let record: JobRecord = decode(&puts[0].value).unwrap();
+    assert_eq!(record.by.as_deref(), Some("n0"), "the leader counts it");
+}
+
+#[test]
+fn an_acceptance_whose_allotment_moved_on_waits_for_the_next_one() {
+    let mut controller = controller(Some(AdmissionPolicy::default()));
+    controller.apply(&allotment(1, 9));
+    let (txn, _) = submit(&mut controller, 7, a_job(1, true));
+    let failed = vec![allotment_key("t", "n0")];
+    let reply = StoreReply::Conflict { failed };
+    let effects = controller.step(1_100, 0, Input::Store { op: txn.unwrap().0, reply });
+    assert!(!effects.iter().any(|e| matches!(e, Effect::Answer { .. })), "{effects:?}");
+    assert_eq!(controller.requests.moved.len(), 1);
+    controller.apply(&KeyValue { mod_revision: 12, ..allotment(1, 9) });
+    let effects = controller.step(1_200, 0, Input::Tick);
+    let names = |e: &Effect| match e {
+        Effect::Store { call: StoreRequest::Transaction { preconditions, .. }, .. } => {
+            preconditions.contains(&(allotment_key("t", "n0"), 12))
+        }
+        _ => false,
+    };
+    assert!(effects.iter().any(names), "{effects:?}");
+}
+
+/// Without an allotment nothing is accepted: before it is known, of an earlier process, used up,
+/// or not to be read.
+#[test]
+fn nothing_is_accepted_without_an_allotment() {
+    let unreadable = KeyValue { value: "[]".into(), ..allotment(1, 9) };
+    for item in [None, Some(allotment(2, 9)), Some(allotment(1, 0)), Some(unreadable)] {
+        let mut controller = controller(Some(AdmissionPolicy::default()));
+        item.iter().for_each(|item| controller.apply(item));
+        let (txn, _) = submit(&mut controller, 7, a_job(1, true));
+        assert!(txn.is_none(), "{item:?}");
+    }
+    let (txn, _) = submit(&mut controller(None), 7, a_job(1, true));
+    assert!(txn.is_some(), "without the policy everything is");
+}
+
+/// Another controller took it, by other limits or while this controller had not read of it: a repeat of an
+/// accepted job is never told that it can't run, or that the backlog is full.
+#[test]
+fn a_repeat_of_what_another_node_accepted_is_not_refused() {
+    let too_wide = JobSpec { cpus: 101.0, ..a_job(1, true) };
+    for (policy, spec) in [(None, too_wide), (Some(AdmissionPolicy::default()), a_job(1, true))] {
+        let mut controller = controller(policy);
+        let (txn, mut effects) = submit(&mut controller, 7, spec.clone());
+        assert!(txn.is_none());
+        effects.extend(controller.step(1_500, 0, Input::Tick));
+        let answered = |effects: &[Effect]| {
+            effects.iter().any(|e| matches!(e, Effect::Answer { req: RequestId(7), .. }))
+        };
+        assert!(!answered(&effects), "refused before it was looked up");
+        let check = effects.iter().find_map(|e| match e {
+            Effect::Store {
+                op,
+                call: StoreRequest::Transaction { preconditions, puts, .. },
+                ..
+            } if puts.is_empty()
+                && preconditions.iter().any(|(key, _)| *key == active_key(JobId(7))) =>
+            {
+                Some(*op)
+            }
+            _ => None,
+        });
+        let failed = vec![active_key(JobId(7))];
+        let reply = StoreReply::Conflict { failed };
+        let effects = controller.step(1_600, 0, Input::Store { op: check.unwrap(), reply });
+        let read = effects.iter().find_map(|e| match e {
+            Effect::Store { op, call: StoreRequest::Get(key), .. }
+                if *key == active_key(JobId(7)) =>
+            {
+                Some(*op)
+            }
+            _ => None,
+        });
+        let value = encode(&JobRecord::new(0, spec));
+        let key = active_key(JobId(7));
+        let item = KeyValue { key, value, mod_revision: ACTIVE_STAMP, lease_id: None };
+        let reply = StoreReply::KeyValue(item);
+        let effects = controller.step(1_700, 0, Input::Store { op: read.unwrap(), reply });
+        let known = |e: &Effect| {
+            matches!(e, Effect::Answer { req: RequestId(7), answer: Answer::Job { .. } })
+        };
+        assert!(effects.iter().any(known), "{effects:?}");
+    }
+}
+
+/// Acceptances without an answer count as used here, and if they were not carried out, not for
+/// the leader: it would never replace the allotment, and the controller would refuse for ever.
+#[test]
+fn a_node_whose_acceptances_were_lost_asks_for_another_allotment() {
+    let mut controller = controller(Some(AdmissionPolicy::default()));
+    controller.job_cache.admission.learn_controller("n0", 1, 2);
+    controller.apply(&allotment(1, 1));
+    let (txn, _) = submit(&mut controller, 7, a_job(1, true));
+    let lost = Input::Store { op: txn.unwrap().0, reply: StoreReply::Unknown };
+    controller.step(1_100, 0, lost);
+    let (txn, effects) = submit(&mut controller, 200, a_job(1, true));
+    assert!(txn.is_none(), "the allotment is used up");
+    let announces = |e: &Effect| match e {
+        Effect::Store { call: StoreRequest::Transaction { preconditions, puts, .. }, .. } => {
+            preconditions.contains(&(controller_key("n0"), 2))
+                && puts.iter().any(|p| p.key == controller_key("n0"))
+        }
+        _ => false,
+    };
+    assert!(effects.iter().any(announces), "{effects:?}");
+    // The leader takes the record for a wish, since it is newer than the allotment.
+    controller.job_cache.admission.learn_controller("n0", 1, 11);
+    let held = controller.job_cache.admission.held("t", "n0").unwrap();
+    assert!(controller.job_cache.admission.asks_again(held));
+}
--- a/crates/basaltrail-core/src/node/workers.rs
+++ b/crates/basaltrail-core/src/controller/heartbeats.rs
@@ -4,84 +4,85 @@
 use crate::lease_renewal::{Knowledge, Refusal};
 use std::collections::BTreeSet;
 
-impl Node {
-    pub(super) fn checkin(&mut self, req: ReqId, report: &Report) {
-        let decision = self.answer_worker(report);
-        self.log_decision(report, &decision);
+impl Controller {
+    pub(super) fn heartbeat(&mut self, req: RequestId, heartbeat: &Heartbeat) {
+        let decision = self.answer_worker(heartbeat);
+        self.log_decision(heartbeat, &decision);
         let answer = match decision {
             Ok(answer) => answer,
             Err(refusal) => {
                 self.answers.count_refusal(refusal);
-                let leader = self.election.leader_hint().filter(|l| *l != self.cfg.node);
+                let leader = self.election.leader_hint().filter(|l| *l != self.cfg.controller);
                 refusal.answer(leader.map(str::to_string))
             }
         };
-        self.check_renewal(report, &answer);
+        self.check_renewal(heartbeat, &answer);
         self.calls.answer(req, answer);
     }
 
-    /// What this node may rely on now.
+    /// What this controller may rely on now.
     fn knowledge(&self) -> Knowledge<'_> {
-        let entitled = self.election.entitled(self.now);
+        let holds_valid_lease = self.election.holds_valid_lease(self.now);
         Knowledge {
             cfg: &self.cfg,
-            table: &self.table,
+            job_cache: &self.job_cache,
             now: self.now,
             // The right may have begun in this very step.
-            entitled_since: entitled.then(|| self.entitled_since.unwrap_or(self.now)),
-            jobs_as_of: self.jobs_view.as_of(),
+            lease_held_since: holds_valid_lease.then(|| self.lease_held_since.unwrap_or(self.now)),
+            jobs_as_of: self.job_watch.as_of(),
         }
     }
 
-    fn answer_worker(&mut self, report: &Report) -> Result<Answer, Refusal> {
+    fn answer_worker(&mut self, heartbeat: &Heartbeat) -> Result<Answer, Refusal> {
         let knowledge = self.knowledge();
-        let permit = knowledge.permit(report);
+        let permit = knowledge.permit(heartbeat);
         let unknown = match permit {
             // Without the right or recent knowledge the report is not even taken.
             Err(refusal @ (Refusal::NotEntitled | Refusal::JobsNotRead)) => return Err(refusal),
-            Err(_) => knowledge.unknown_jobs(report),
+            Err(_) => knowledge.unknown_jobs(heartbeat),
             Ok(_) => BTreeSet::new(),
         };
-        self.with_leadership(|leadership, ctx, calls, rng| {
+        self.with_leader(|leader, ctx, calls, rng| {
             for job in unknown {
-                leadership.read_job(ctx, job);
+                leader.read_job(ctx, job);
             }
-            leadership.checkin(ctx, calls, report, permit, rng)
+            leader.heartbeat(ctx, calls, heartbeat, permit, rng)
         })
         .unwrap_or(Err(Refusal::NotEntitled))
     }
 
     /// The invariant of [`crate::lease_renewal`], judged by the answer alone. A violation is
     /// reported and the answer goes out: ending the process would help nobody.
-    fn check_renewal(&mut self, report: &Report, answer: &Answer) {
-        let Answer::Orders { orders, .. } = answer else { return };
-        self.answers.count_orders(orders);
-        let kept = self.knowledge().kept_without_knowledge(report, answer);
+    fn check_renewal(&mut self, heartbeat: &Heartbeat, answer: &Answer) {
+        let Answer::Commands { commands, .. } = answer else { return };
+        self.answers.count_orders(commands);
+        let kept = self.knowledge().kept_without_knowledge(heartbeat, answer);
         for task in &kept {
             self.answers.violations += 1;
-            let detail = format!("machine={} job={} task={}", report.machine, task.job, task.index);
+            let detail =
+                format!("machine={} job={} task={}", heartbeat.machine, task.job, task.index);
             self.calls.log(Level::Error, "renewal_violation", detail);
         }
     }
 
-    fn log_decision(&mut self, report: &Report, decision: &Result<Answer, Refusal>) {
+    fn log_decision(&mut self, heartbeat: &Heartbeat, decision: &Result<Answer, Refusal>) {
         if !self.verbose {
             return;
         }
         let verdict = match decision {
-            Ok(Answer::Orders { token, orders }) => {
-                format!("renewed token={} orders={}", token.0, orders.len())
+            Ok(Answer::Commands { token, commands }) => {
+                format!("renewed token={} orders={}", token.0, commands.len())
             }
             Ok(_) => return,
             Err(refusal) => format!("refused why={}", refusal.name()),
         };
         let detail = format!(
             "machine={} session={} seq={} token={} tasks={} {verdict}",
-            report.machine,
-            report.session,
-            report.seq,
-            report.token.0,
-            report.tasks.len()
+            heartbeat.machine,
+            heartbeat.agent_epoch,
+            heartbeat.sequence,
+            heartbeat.token.0,
+            heartbeat.tasks.len()
         );
         self.calls.log(Level::Debug, "worker_answer", detail);
     }
@@ -95,18 +96,18 @@
         if self.answers == AnswerCounters::default() {
             return;
         }
-        let age = self.jobs_view.as_of().map_or("none".into(), |t| (self.now - t).to_string());
-        let token = self.election.lead().map_or(0, |lead| lead.token.0);
+        let age = self.job_watch.as_of().map_or("none".into(), |t| (self.now - t).to_string());
+        let token = self.election.leader_term().map_or(0, |leader_term| leader_term.token.0);
         let detail = format!(
             "token={token} entitled={} jobs_revision={} jobs_age_ms={age} {}",
-            self.election.entitled(self.now),
-            self.jobs_view.revision().unwrap_or(0),
+            self.election.holds_valid_lease(self.now),
+            self.job_watch.revision().unwrap_or(0),
             std::mem::take(&mut self.answers).detail()
         );
         self.calls.log(Level::Info, "worker_answers", detail);
     }
 
-    /// A line whenever this node learns of another leader.
+    /// A line whenever this controller learns of another leader.
     pub(super) fn log_leader(&mut self) {
         let leader = self.election.leader_hint();
         if leader == self.leader_logged.as_deref() {
--- a/crates/basaltrail-core/src/node/inspect.rs
+++ b/crates/basaltrail-core/src/controller/inspection.rs
@@ -1,18 +1,18 @@
 //! What operators are told of limits, use and allotments.
 
 use super::*;
-use crate::limits::{ClassReport, LimitsReport, TeamReport};
+use crate::inspection::{ClassReport, LimitsReport, TeamReport};
 use basaltrail_admission::{Room, OTHER_CLASSES};
 
-impl Node {
-    pub(super) fn inspect(&mut self, req: ReqId) {
-        let used = self.with_leadership(|leadership, ctx, _, _| leadership.use_by_team(ctx));
+impl Controller {
+    pub(super) fn inspect(&mut self, req: RequestId) {
+        let used = self.with_leader(|leader, ctx, _, _| leader.use_by_team(ctx));
         let used = used.filter(|_| self.leading());
         let teams = (0..self.cfg.teams.len()).map(|team| self.team_report(team, used.as_deref()));
         let report = LimitsReport {
-            node: self.cfg.node.clone(),
+            controller: self.cfg.controller.clone(),
             leader: self.election.leader_hint().map(str::to_string),
-            revision: self.jobs_view.revision().unwrap_or(0),
+            revision: self.job_watch.revision().unwrap_or(0),
             allotted: self.admission.binds(),
             teams: teams.collect(),
         };
@@ -23,12 +23,12 @@
         let team = &self.cfg.teams[index];
         let mut classes: BTreeMap<String, ClassReport> = BTreeMap::new();
         let class = |name: &str| ClassReport { class: name.into(), ..ClassReport::default() };
-        for job in self.table.active.values().filter(|job| job.spec.team == team.name) {
+        for job in self.job_cache.active.values().filter(|job| job.spec.team == team.name) {
             let name = &job.spec.class;
             classes.entry(name.clone()).or_insert_with(|| class(name)).jobs += 1;
         }
-        let held = self.table.admission.held(&team.name, &self.cfg.node);
-        let left = self.admission.left(&self.table, &team.name);
+        let held = self.job_cache.admission.held(&team.name, &self.cfg.controller);
+        let left = self.admission.left(&self.job_cache, &team.name);
         if let Some(held) = held.filter(|_| self.admission.binds() && !left.is_empty()) {
             let pair = |room: Room| Some((room.jobs, room.work));
             for (entry, left) in held.allotment.classes.iter().zip(left) {
--- a/crates/basaltrail-core/src/requests.rs
+++ b/crates/basaltrail-core/src/controller/request_queue.rs
@@ -1,63 +1,63 @@
-//! Submissions, polls and cancels, on every node alike.
+//! Submissions, polls and cancels, on every controller alike.
 //!
 //! Ends are told from memory. Anything else is told only after the state service
 //! has confirmed, since the request came, that what we hold is still so.
 
 use crate::io::*;
-use crate::jobs::Table;
+use crate::jobs::JobCache;
 use crate::model::*;
-use crate::records::*;
 use crate::settings::Settings;
+use crate::store::records::*;
 use basaltrail_admission::{Refusal, Ticket};
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     Submit,
     Poll,
     Cancel,
 }
 
 #[derive(Clone, Debug)]
-pub struct Ask {
-    pub req: ReqId,
-    pub kind: Kind,
+pub struct ClientRequest {
+    pub req: RequestId,
+    pub kind: RequestKind,
     /// Why a submission is not taken, if the job is not known either.
-    pub refused: Option<NotTaken>,
+    pub refused: Option<Rejection>,
 }
 
-/// Why a submission is not taken here. Another node may have taken it all the same, by other
+/// Why a submission is not taken here. Another controller may have taken it all the same, by other
 /// settings or out of another allotment, and its repeat must not be refused then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum Rejection {
     /// Not now.
     Later(Refusal),
     /// It can never run.
-    Impossible(&'static str),
+    Unschedulable(&'static str),
     /// It cannot be kept.
     Invalid(&'static str),
 }
 
-impl Ask {
-    pub fn new(req: ReqId, kind: Kind) -> Self {
-        Ask { req, kind, refused: None }
+impl ClientRequest {
+    pub fn new(req: RequestId, kind: RequestKind) -> Self {
+        ClientRequest { req, kind, refused: None }
     }
 }
 
 /// A job and those who wait for word of it.
-pub type Waiting = (JobId, Vec<Ask>);
+pub type Waiting = (JobId, Vec<ClientRequest>);
 
 /// A job whose entry is being confirmed, and whether it is the entry or that there is none.
 pub struct Confirming {
     pub job: JobId,
-    pub asks: Vec<Ask>,
+    pub asks: Vec<ClientRequest>,
     pub known: bool,
 }
 
 pub struct NewJob {
     pub job: JobId,
     pub spec: Box<JobSpec>,
-    pub asks: Vec<Ask>,
+    pub asks: Vec<ClientRequest>,
     /// The service rejected it among others: it goes in a transaction of its own.
     pub alone: bool,
     /// What was set aside for it.
@@ -69,7 +69,7 @@
 #[derive(Default)]
 pub struct RequestQueue {
     /// Jobs to be checked, with those who wait for them, and since when.
-    checks: HashMap<JobId, Vec<Ask>>,
+    checks: HashMap<JobId, Vec<ClientRequest>>,
     /// The same jobs as they came: none may starve behind others.
     check_order: VecDeque<JobId>,
     pub checks_since: Ms,
@@ -85,8 +85,12 @@
     pub display: HashMap<JobId, (u32, u32)>,
 }
 
-/// Whether the job can ever run: the answer is the same on every node.
-pub fn impossible(s: &Settings, types: &[MachineType], spec: &JobSpec) -> Option<&'static str> {
+/// Whether the job can ever run: the answer is the same on every controller.
+pub fn unschedulable_reason(
+    s: &Settings,
+    types: &[MachineType],
+    spec: &JobSpec,
+) -> Option<&'static str> {
     let Some(team) = s.team(&spec.team) else { return Some("unknown team") };
     let t = &s.teams[team];
     // The replicas of a service run all at once, and for good.
@@ -101,7 +105,7 @@
 }
 
 impl RequestQueue {
-    pub fn check(&mut self, now: Ms, job: JobId, ask: Ask) {
+    pub fn check(&mut self, now: Ms, job: JobId, ask: ClientRequest) {
         if self.checks.is_empty() {
             self.checks_since = now;
         }
@@ -110,7 +114,7 @@
     }
 
     /// Takes up a job whose askers are counted already.
-    pub fn check_again(&mut self, job: JobId, asks: Vec<Ask>) {
+    pub fn check_again(&mut self, job: JobId, asks: Vec<ClientRequest>) {
         let here = self.checks.entry(job).or_default();
         if here.is_empty() {
             self.check_order.push_back(job);
@@ -123,7 +127,7 @@
     }
 
     /// All who wait for a check.
-    pub fn give_up_checks(&mut self) -> Vec<Ask> {
+    pub fn give_up_checks(&mut self) -> Vec<ClientRequest> {
         self.check_order.clear();
         self.checks.drain().flat_map(|(_, asks)| asks).collect()
     }
@@ -131,51 +135,51 @@
     /// As many jobs as the conditions allow, and the conditions that confirm what we hold.
     pub fn take_checks(
         &mut self,
-        table: &Table,
+        job_cache: &JobCache,
         conditions: usize,
     ) -> (Vec<Confirming>, Vec<(String, u64)>) {
         let mut jobs = Vec::new();
-        let mut conds = Vec::new();
-        while conds.len() + 2 <= conditions {
+        let mut preconditions = Vec::new();
+        while preconditions.len() + 2 <= conditions {
             let Some(job) = self.check_order.pop_front() else { break };
             let asks = self.checks.remove(&job).unwrap_or_default();
-            match table.active.get(&job) {
-                Some(a) => conds.push((active_key(job), a.stamp)),
+            match job_cache.active.get(&job) {
+                Some(a) => preconditions.push((active_key(job), a.mod_revision)),
                 None => {
-                    conds.push((active_key(job), 0));
-                    conds.push((final_key(job), 0));
+                    preconditions.push((active_key(job), 0));
+                    preconditions.push((final_key(job), 0));
                 }
             }
-            jobs.push(Confirming { job, asks, known: table.active.contains_key(&job) });
+            jobs.push(Confirming { job, asks, known: job_cache.active.contains_key(&job) });
         }
-        (jobs, conds)
+        (jobs, preconditions)
     }
 
     /// Takes what the leader tells of running tasks. Of many jobs it tells in several parts, so
     /// what an earlier part told stays, as long as the job is active.
-    pub fn show(&mut self, table: &Table, progress: &[Progress]) {
-        let active = |job: &JobId| table.active.contains_key(job);
+    pub fn show(&mut self, job_cache: &JobCache, progress: &[Progress]) {
+        let active = |job: &JobId| job_cache.active.contains_key(job);
         self.display.retain(|job, _| active(job));
         let known = progress.iter().filter(|p| active(&p.job));
         self.display.extend(known.map(|p| (p.job, (p.done, p.running))));
     }
 
     /// What a user is told of a job whose entry has just been confirmed.
-    pub fn view(&self, table: &Table, job: JobId) -> Option<Answer> {
-        let told = |view, done, running| Some(Answer::State { job, view, done, running });
-        match table.ended(job) {
-            Some(Final::Done) => return told(JobView::Done, 0, 0),
-            Some(Final::Cancelled) => return told(JobView::Cancelled, 0, 0),
+    pub fn view(&self, job_cache: &JobCache, job: JobId) -> Option<Answer> {
+        let told = |view, done, running| Some(Answer::Job { job, view, done, running });
+        match job_cache.ended(job) {
+            Some(JobOutcome::Done) => return told(JobStatus::Done, 0, 0),
+            Some(JobOutcome::Cancelled) => return told(JobStatus::Cancelled, 0, 0),
             None => {}
         }
-        let a = table.active.get(&job)?;
+        let a = job_cache.active.get(&job)?;
         let (done, running) = self.display.get(&job).copied().unwrap_or((0, 0));
         // Done is told only from the durable end, never from counts.
         let done = done.min(a.spec.tasks);
-        told(if running > 0 { JobView::Running } else { JobView::Queued }, done, running)
+        told(if running > 0 { JobStatus::Running } else { JobStatus::Queued }, done, running)
     }
 }
 
 #[cfg(test)]
-#[path = "requests_tests.rs"]
+#[path = "request_queue_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/node/tests.rs
+++ b/crates/basaltrail-core/src/controller/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::settings::sample::{a_type, settings};
 
-/// A node that alone lost the state service would answer its users 503 for as long as
-/// it looked ready. In an outage of all there is no better node to send them to.
+/// A controller that alone lost the state service would answer its users 503 for as long as
+/// it looked ready. In an outage of all there is no better controller to send them to.
 #[test]
 fn a_node_that_is_alone_without_the_state_service_is_not_ready() {
-    let mut n = Node::new(Arc::new(settings()), 1);
-    n.jobs_view.page(1);
-    n.jobs_view.listed(0);
+    let mut n = Controller::new(Arc::new(settings()), 1);
+    n.job_watch.page(1);
+    n.job_watch.listed(0);
     n.types = MachineTypes::of(vec![a_type()]);
     n.state_ok = 10_000;
     let mut ready_at = |now, leader_heard| {
--- a/crates/basaltrail-core/src/election.rs
+++ b/crates/basaltrail-core/src/election.rs
@@ -1,42 +1,42 @@
-//! Leadership: one key held under a loan of the state service, one growing token.
+//! Leadership: one key held under a lease of the state service, one growing token.
 //!
-//! A node is entitled from the moment its last successful extend was *sent*,
-//! for the loan's life less clock drift; the service ends a loan late but never
-//! early, so no two nodes are entitled at once. Nothing peers say counts here.
+//! A controller is entitled from the moment its last successful extend was *sent*,
+//! for the lease's life less clock drift; the service ends a lease late but never
+//! early, so no two controllers are entitled at once. Nothing peers say counts here.
 
 use crate::io::*;
 use crate::model::*;
-use crate::records::*;
+use crate::store::records::*;
 
 #[derive(Clone, Debug, PartialEq)]
 struct Holder {
     record: LeaderRecord,
-    stamp: u64,
-    loan: Option<u64>,
+    mod_revision: u64,
+    lease_id: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct View {
     holder: Option<Holder>,
-    term: Token,
-    term_stamp: u64,
-    home: Option<String>,
+    term: FencingToken,
+    term_mod_revision: u64,
+    primary_zone: Option<String>,
     revision: u64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Role {
     Following,
-    Leading(Lead),
+    Leading(LeaderTerm),
 }
 
 /// What a leader holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lead {
-    pub token: Token,
-    pub stamp: u64,
-    loan: u64,
-    right_until: Ms,
+pub struct LeaderTerm {
+    pub token: FencingToken,
+    pub mod_revision: u64,
+    lease_id: u64,
+    lease_valid_until: Ms,
 }
 
 /// Calls the election has in flight.
@@ -45,25 +45,25 @@
     List,
     Watch,
     Grant { sent: Ms },
-    Take { loan: u64, granted: Ms, token: Token },
+    Take { lease_id: u64, granted: Ms, token: FencingToken },
     Extend { sent: Ms },
-    Revoke { loan: u64 },
+    Revoke { lease_id: u64 },
 }
 
 pub struct Election {
-    node: String,
+    controller: String,
     incarnation: u64,
     /// Whether it hands out allotments while it leads.
     allots: bool,
     ttl: Ms,
-    right: Ms,
+    lease_validity: Ms,
     view: Option<View>,
     role: Role,
     watching: bool,
     listing: bool,
     acting: bool,
     extending: bool,
-    /// A loan just granted, and when it was asked for.
+    /// A lease just granted, and when it was asked for.
     pending: Option<(u64, Ms)>,
     next_list: Ms,
     next_act: Ms,
@@ -73,13 +73,19 @@
 }
 
 impl Election {
-    pub fn new(node: &str, incarnation: u64, allots: bool, ttl: Ms, right: Ms) -> Self {
+    pub fn new(
+        controller: &str,
+        incarnation: u64,
+        allots: bool,
+        ttl: Ms,
+        lease_validity: Ms,
+    ) -> Self {
         Election {
-            node: node.into(),
+            controller: controller.into(),
             incarnation,
             allots,
             ttl,
-            right,
+            lease_validity,
             view: None,
             role: Role::Following,
             watching: false,
@@ -95,27 +101,27 @@
         }
     }
 
-    /// What this node leads with, entitled at the moment or not.
-    pub fn lead(&self) -> Option<Lead> {
+    /// What this controller leads with, entitled at the moment or not.
+    pub fn leader_term(&self) -> Option<LeaderTerm> {
         match &self.role {
             Role::Leading(l) => Some(*l),
             Role::Following => None,
         }
     }
 
-    /// Whether this node may act for the controllers now.
-    pub fn entitled(&self, now: Ms) -> bool {
-        self.lead().is_some_and(|l| now < l.right_until)
+    /// Whether this controller may act for the controllers now.
+    pub fn holds_valid_lease(&self, now: Ms) -> bool {
+        self.leader_term().is_some_and(|l| now < l.lease_valid_until)
     }
 
     /// The zone that a leader had better be in, as the last one left word.
-    pub fn home(&self) -> Option<&str> {
-        self.view.as_ref()?.home.as_deref()
+    pub fn primary_zone(&self) -> Option<&str> {
+        self.view.as_ref()?.primary_zone.as_deref()
     }
 
-    /// The node that is believed to lead; a hint.
+    /// The controller that is believed to lead; a hint.
     pub fn leader_hint(&self) -> Option<&str> {
-        self.view.as_ref()?.holder.as_ref().map(|h| h.record.node.as_str())
+        self.view.as_ref()?.holder.as_ref().map(|h| h.record.controller.as_str())
     }
 
     /// Whether the leader that was read last hands out allotments.
@@ -123,9 +129,9 @@
         self.view.as_ref()?.holder.as_ref().map(|h| h.record.allots)
     }
 
-    /// The last term that this node knows of, and the revision at which it was read.
-    pub fn seen(&self) -> (Token, u64) {
-        self.view.as_ref().map_or((Token(0), 0), |v| (v.term, v.revision))
+    /// The last term that this controller knows of, and the revision at which it was read.
+    pub fn seen(&self) -> (FencingToken, u64) {
+        self.view.as_ref().map_or((FencingToken(0), 0), |v| (v.term, v.revision))
     }
 
     pub fn step_down(&mut self, now: Ms) {
@@ -134,28 +140,32 @@
         self.next_list = now;
     }
 
-    /// Gives leadership up for a while, so that another node may take it. The loan is
+    /// Gives leadership up for a while, so that another controller may take it. The lease is
     /// ended as that of an earlier process would be.
     pub fn resign(&mut self, now: Ms, hold: Ms) {
         self.step_down(now);
         self.hold_until = now + hold;
     }
 
-    /// The calls to make now. `jitter` keeps equal nodes from asking at once.
-    pub fn calls(&mut self, now: Ms, jitter: Ms) -> Vec<(Call, StateOp, Ms)> {
+    /// The calls to make now. `jitter` keeps equal controllers from asking at once.
+    pub fn calls(&mut self, now: Ms, jitter: Ms) -> Vec<(Call, StoreRequest, Ms)> {
         let mut out = Vec::new();
         let wait = self.ttl / 2;
         if self.view.is_none() {
             if !self.listing && now >= self.next_list {
                 self.listing = true;
-                let op = StateOp::List { prefix: CONTROL.into(), after: None, limit: 10 };
+                let op =
+                    StoreRequest::List { prefix: CONTROL_PREFIX.into(), after: None, limit: 10 };
                 out.push((Call::List, op, self.ttl / 4));
             }
         } else if !self.watching && now >= self.next_list {
             if let Some(v) = &self.view {
                 self.watching = true;
-                let op =
-                    StateOp::Watch { prefix: CONTROL.into(), after: v.revision, wait_ms: wait };
+                let op = StoreRequest::Watch {
+                    prefix: CONTROL_PREFIX.into(),
+                    after: v.revision,
+                    wait_ms: wait,
+                };
                 out.push((Call::Watch, op, wait + self.ttl / 4));
             }
         }
@@ -163,7 +173,7 @@
             Role::Leading(l) => {
                 if !self.extending && now >= self.next_extend {
                     self.extending = true;
-                    let op = StateOp::Extend { loan: l.loan };
+                    let op = StoreRequest::KeepAlive { lease_id: l.lease_id };
                     out.push((Call::Extend { sent: now }, op, self.ttl / 5));
                 }
             }
@@ -171,19 +181,21 @@
                 let Some(v) = self.view.as_ref().filter(|_| !self.acting) else { return out };
                 match &v.holder {
                     // Our own name with a process that is gone (or a take whose outcome
-                    // we never heard): nobody acts under it, so its loan can end now.
-                    Some(h) if h.record.node == self.node && now >= self.next_revoke => {
-                        if let Some(loan) = h.loan {
+                    // we never heard): nobody acts under it, so its lease can end now.
+                    Some(h)
+                        if h.record.controller == self.controller && now >= self.next_revoke =>
+                    {
+                        if let Some(lease_id) = h.lease_id {
                             self.acting = true;
                             self.next_revoke = now + self.ttl / 10;
-                            let op = StateOp::Revoke { loan };
-                            out.push((Call::Revoke { loan }, op, self.ttl / 4));
+                            let op = StoreRequest::RevokeLease { lease_id };
+                            out.push((Call::Revoke { lease_id }, op, self.ttl / 4));
                         }
                     }
                     None if self.next_act == Ms::MAX => self.next_act = now + jitter,
                     None if now >= self.next_act.max(self.hold_until) => {
                         self.acting = true;
-                        let op = StateOp::Grant { ttl_ms: self.ttl };
+                        let op = StoreRequest::GrantLease { ttl_ms: self.ttl };
                         out.push((Call::Grant { sent: now }, op, self.ttl / 4));
                     }
                     _ => {}
@@ -193,37 +205,37 @@
         out
     }
 
-    fn learn(&mut self, key: &str, item: Option<&Item>, now: Ms) {
+    fn learn(&mut self, key: &str, item: Option<&KeyValue>, now: Ms) {
         let Some(v) = self.view.as_mut() else { return };
-        if key == LEADER {
+        if key == LEADER_KEY {
             v.holder = item.and_then(|i| {
                 let record = decode(&i.value)?;
-                Some(Holder { record, stamp: i.stamp, loan: i.loan })
+                Some(Holder { record, mod_revision: i.mod_revision, lease_id: i.lease_id })
             });
             if v.holder.is_none() {
                 self.next_act = Ms::MAX; // a fresh draw of the jitter
             }
-        } else if key == TERM {
+        } else if key == TERM_KEY {
             if let Some(i) = item {
                 v.term = decode(&i.value).unwrap_or_default();
-                v.term_stamp = i.stamp;
+                v.term_mod_revision = i.mod_revision;
             }
-        } else if key == HOME {
-            v.home = item.and_then(|i| decode(&i.value));
+        } else if key == PRIMARY_ZONE_KEY {
+            v.primary_zone = item.and_then(|i| decode(&i.value));
         }
         let holder = v.holder.clone();
         if let (Role::Leading(l), Some(h)) = (&self.role, holder) {
-            if h.stamp > l.stamp {
+            if h.mod_revision > l.mod_revision {
                 self.step_down(now);
             }
         }
     }
 
-    /// Takes an answer; gives a loan that must be ended, if there is one.
-    pub fn answer(&mut self, now: Ms, call: Call, reply: StateReply) -> Option<u64> {
+    /// Takes an answer; gives a lease that must be ended, if there is one.
+    pub fn answer(&mut self, now: Ms, call: Call, reply: StoreReply) -> Option<u64> {
         let pause = self.ttl / 20;
         match (call, reply) {
-            (Call::List, StateReply::Rows { items, revision, .. }) => {
+            (Call::List, StoreReply::Page { items, revision, .. }) => {
                 self.listing = false;
                 self.view = Some(View { revision, ..View::default() });
                 self.next_act = Ms::MAX;
@@ -235,12 +247,12 @@
                 self.listing = false;
                 self.next_list = now + pause;
             }
-            (Call::Watch, StateReply::Events { revision, events }) => {
+            (Call::Watch, StoreReply::Events { revision, events }) => {
                 self.watching = false;
                 for e in &events {
                     match e {
-                        Event::Put(i) => self.learn(&i.key, Some(i), now),
-                        Event::Remove { key, .. } => self.learn(key, None, now),
+                        WatchEvent::Put(i) => self.learn(&i.key, Some(i), now),
+                        WatchEvent::Delete { key, .. } => self.learn(key, None, now),
                     }
                 }
                 if let Some(v) = self.view.as_mut() {
@@ -248,51 +260,56 @@
                 }
             }
             (Call::Watch, _) => {
-                // A node that is cut off names no leader either: it would send workers
+                // A controller that is cut off names no leader either: it would send workers
                 // to one that may be gone, again and again, until their leases end.
                 self.watching = false;
                 self.view = None;
                 self.next_list = now + pause;
             }
-            (Call::Grant { sent }, StateReply::Granted { loan }) => {
+            (Call::Grant { sent }, StoreReply::LeaseGranted { lease_id }) => {
                 // The take follows at once; see `take`.
                 self.acting = false;
-                let Some(v) = &self.view else { return Some(loan) };
-                if v.holder.is_some() || self.lead().is_some() {
-                    return Some(loan);
+                let Some(v) = &self.view else { return Some(lease_id) };
+                if v.holder.is_some() || self.leader_term().is_some() {
+                    return Some(lease_id);
                 }
                 self.acting = true;
-                self.pending = Some((loan, sent));
+                self.pending = Some((lease_id, sent));
             }
             (Call::Grant { .. }, _) => {
                 self.acting = false;
                 self.next_act = now + pause;
             }
-            (Call::Take { loan, granted, token }, StateReply::Committed { revision }) => {
+            (Call::Take { lease_id, granted, token }, StoreReply::Committed { revision }) => {
                 self.acting = false;
-                let right_until = granted + self.right;
-                self.role = Role::Leading(Lead { token, stamp: revision, loan, right_until });
+                let lease_valid_until = granted + self.lease_validity;
+                self.role = Role::Leading(LeaderTerm {
+                    token,
+                    mod_revision: revision,
+                    lease_id,
+                    lease_valid_until,
+                });
                 self.next_extend = now;
             }
-            (Call::Take { loan, .. }, _) => {
-                // Refused, lost to another, or unknown: the loan ends, so a late
+            (Call::Take { lease_id, .. }, _) => {
+                // Refused, lost to another, or unknown: the lease ends, so a late
                 // put under it does nothing that lasts.
                 self.acting = false;
                 self.view = None;
                 self.next_list = now + pause;
-                return Some(loan);
+                return Some(lease_id);
             }
-            (Call::Extend { sent }, StateReply::Ok) => {
+            (Call::Extend { sent }, StoreReply::Ok) => {
                 self.extending = false;
                 self.next_extend = sent + self.ttl / 5;
-                let right = self.right;
+                let lease_validity = self.lease_validity;
                 if let Role::Leading(l) = &mut self.role {
-                    l.right_until = l.right_until.max(sent + right);
+                    l.lease_valid_until = l.lease_valid_until.max(sent + lease_validity);
                 }
             }
-            (Call::Extend { .. }, StateReply::Missing) => {
+            (Call::Extend { .. }, StoreReply::NotFound) => {
                 self.extending = false;
-                if self.lead().is_some() {
+                if self.leader_term().is_some() {
                     self.step_down(now);
                 }
             }
@@ -302,7 +319,7 @@
             }
             (Call::Revoke { .. }, reply) => {
                 self.acting = false;
-                if matches!(reply, StateReply::Ok | StateReply::Missing) {
+                if matches!(reply, StoreReply::Ok | StoreReply::NotFound) {
                     self.view = None;
                     self.next_list = now;
                 }
@@ -311,25 +328,29 @@
         None
     }
 
-    /// The take that follows a granted loan.
-    pub fn take(&mut self) -> Option<(Call, StateOp, Ms)> {
-        let (loan, granted) = self.pending.take()?;
+    /// The take that follows a granted lease.
+    pub fn take(&mut self) -> Option<(Call, StoreRequest, Ms)> {
+        let (lease_id, granted) = self.pending.take()?;
         let v = self.view.as_ref()?;
-        let token = Token(v.term.0 + 1);
+        let token = FencingToken(v.term.0 + 1);
         let record = LeaderRecord {
-            node: self.node.clone(),
+            controller: self.controller.clone(),
             incarnation: self.incarnation,
             token,
             allots: self.allots,
         };
-        let op = StateOp::Txn {
-            conds: vec![(LEADER.into(), 0), (TERM.into(), v.term_stamp)],
+        let op = StoreRequest::Transaction {
+            preconditions: vec![(LEADER_KEY.into(), 0), (TERM_KEY.into(), v.term_mod_revision)],
             puts: vec![
-                Put { key: LEADER.into(), value: encode(&record), loan: Some(loan) },
-                Put { key: TERM.into(), value: encode(&token), loan: None },
+                PutRequest {
+                    key: LEADER_KEY.into(),
+                    value: encode(&record),
+                    lease_id: Some(lease_id),
+                },
+                PutRequest { key: TERM_KEY.into(), value: encode(&token), lease_id: None },
             ],
-            removes: Vec::new(),
+            deletes: Vec::new(),
         };
-        Some((Call::Take { loan, granted, token }, op, self.ttl / 4))
+        Some((Call::Take { lease_id, granted, token }, op, self.ttl / 4))
     }
 }
--- a/crates/basaltrail-core/src/fairness.rs
+++ b/crates/basaltrail-core/src/fairness.rs
@@ -1,8 +1,8 @@
 //! The ledger of CPU-seconds run and owed, and the degrees that rank teams and jobs.
 
 use crate::model::*;
-use crate::records::LedgerRecord;
 use crate::settings::Settings;
+use crate::store::records::LedgerRecord;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Account {
--- a/crates/basaltrail-core/src/limits.rs
+++ b/crates/basaltrail-core/src/inspection.rs
@@ -1,13 +1,13 @@
-//! What a node tells operators of limits, use, backlog and allotments.
+//! What a controller tells operators of limits, use, backlog and allotments.
 
 /// What one class of a team has here.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassReport {
     /// The class; empty for all that are not named.
     pub class: String,
-    /// Unfinished jobs of it, on all nodes.
+    /// Unfinished jobs of it, on all controllers.
     pub jobs: u32,
-    /// Jobs and CPU-seconds that this node may accept until the next allotment; none where
+    /// Jobs and CPU-seconds that this controller may accept until the next allotment; none where
     /// allotments do not bind.
     pub allotted: Option<(u32, f64)>,
     /// What is left of them.
@@ -25,7 +25,7 @@
     pub limit: Option<f64>,
     /// CPUs that its tasks may be using; only the leader knows.
     pub used: Option<f64>,
-    /// Submissions that this node told to come back since it began.
+    /// Submissions that this controller told to come back since it began.
     pub refused: u64,
     /// Its classes.
     pub classes: Vec<ClassReport>,
@@ -34,9 +34,9 @@
 /// See the module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitsReport {
-    /// The node that tells.
-    pub node: String,
-    /// The node that leads, as far as is known here.
+    /// The controller that tells.
+    pub controller: String,
+    /// The controller that leads, as far as is known here.
     pub leader: Option<String>,
     /// The revision up to which jobs and allotments are known here.
     pub revision: u64,
--- a/crates/basaltrail-core/src/io.rs
+++ b/crates/basaltrail-core/src/io.rs
@@ -1,46 +1,46 @@
 //! What goes into the core and what comes out of it.
 
-use crate::limits::LimitsReport;
+use crate::inspection::LimitsReport;
 use crate::model::*;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Item {
+pub struct KeyValue {
     pub key: String,
     pub value: String,
-    pub stamp: u64,
-    pub loan: Option<u64>,
+    pub mod_revision: u64,
+    pub lease_id: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
-    Put(Item),
-    Remove { key: String, stamp: u64 },
+pub enum WatchEvent {
+    Put(KeyValue),
+    Delete { key: String, mod_revision: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Put {
+pub struct PutRequest {
     pub key: String,
     pub value: String,
-    pub loan: Option<u64>,
+    pub lease_id: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum StateOp {
+pub enum StoreRequest {
     Get(String),
     List { prefix: String, after: Option<String>, limit: u32 },
-    Txn { conds: Vec<(String, u64)>, puts: Vec<Put>, removes: Vec<String> },
-    Grant { ttl_ms: u64 },
-    Extend { loan: u64 },
-    Revoke { loan: u64 },
+    Transaction { preconditions: Vec<(String, u64)>, puts: Vec<PutRequest>, deletes: Vec<String> },
+    GrantLease { ttl_ms: u64 },
+    KeepAlive { lease_id: u64 },
+    RevokeLease { lease_id: u64 },
     Watch { prefix: String, after: u64, wait_ms: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum StateReply {
-    Found(Item),
-    Missing,
-    Rows {
-        items: Vec<Item>,
+pub enum StoreReply {
+    KeyValue(KeyValue),
+    NotFound,
+    Page {
+        items: Vec<KeyValue>,
         more: bool,
         revision: u64,
     },
@@ -50,14 +50,14 @@
     Conflict {
         failed: Vec<String>,
     },
-    Granted {
-        loan: u64,
+    LeaseGranted {
+        lease_id: u64,
     },
     /// An extend or revoke that was carried out.
     Ok,
     Events {
         revision: u64,
-        events: Vec<Event>,
+        events: Vec<WatchEvent>,
     },
     Compacted,
     /// Surely not executed (429, 503).
@@ -69,19 +69,19 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum CloudOp {
+pub enum CloudRequest {
     Types,
-    Rent { requisition: String, machine_type: String, zone: String, spot: bool, count: u32 },
-    Release(Vec<MachineId>),
+    Provision { requisition: String, machine_type: String, zone: String, spot: bool, count: u32 },
+    Terminate(Vec<MachineId>),
     List { after: Option<String> },
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
     Types(Vec<MachineType>),
-    Rented(Vec<MachineId>),
+    Provisioned(Vec<MachineId>),
     NoCapacity,
-    Released,
+    Terminated,
     Listed { machines: Vec<ListedMachine>, more: bool },
     Failed,
 }
@@ -98,32 +98,32 @@
 pub enum Input {
     Tick,
     Submit {
-        req: ReqId,
+        req: RequestId,
         job: JobId,
         spec: Box<JobSpec>,
     },
     Poll {
-        req: ReqId,
+        req: RequestId,
         job: JobId,
     },
     Cancel {
-        req: ReqId,
+        req: RequestId,
         job: JobId,
     },
     /// An operator asks for limits, use and allotments.
     Inspect {
-        req: ReqId,
+        req: RequestId,
     },
-    Checkin {
-        req: ReqId,
-        report: Box<Report>,
+    Heartbeat {
+        req: RequestId,
+        heartbeat: Box<Heartbeat>,
     },
-    State {
-        op: OpId,
-        reply: StateReply,
+    Store {
+        op: CallId,
+        reply: StoreReply,
     },
     Cloud {
-        op: OpId,
+        op: CallId,
         reply: CloudReply,
     },
     /// Progress told by a peer that believes it leads; for display only.
@@ -137,27 +137,27 @@
     Created {
         job: JobId,
     },
-    State {
+    Job {
         job: JobId,
-        view: JobView,
+        view: JobStatus,
         done: u32,
         running: u32,
     },
     Invalid(&'static str),
-    Impossible(&'static str),
+    Unschedulable(&'static str),
     NotFound,
     /// Not now; come back after so many seconds.
-    Busy {
-        retry_s: u32,
+    Unavailable {
+        retry_after_s: u32,
         why: &'static str,
     },
-    Orders {
-        token: Token,
-        orders: Vec<Order>,
+    Commands {
+        token: FencingToken,
+        commands: Vec<TaskCommand>,
     },
     Limits(Box<LimitsReport>),
-    /// Not entitled; the node that may be, if one is known.
-    Elsewhere {
+    /// Not entitled; the controller that may be, if one is known.
+    NotLeader {
         leader: Option<String>,
     },
 }
@@ -171,9 +171,9 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    Answer { req: ReqId, answer: Answer },
-    State { op: OpId, call: StateOp, timeout_ms: u64 },
-    Cloud { op: OpId, call: CloudOp, timeout_ms: u64 },
+    Answer { req: RequestId, answer: Answer },
+    Store { op: CallId, call: StoreRequest, timeout_ms: u64 },
+    Cloud { op: CallId, call: CloudRequest, timeout_ms: u64 },
     Peers { progress: Vec<Progress> },
     Log { level: Level, event: &'static str, detail: String },
 }
--- a/crates/basaltrail-core/src/jobs.rs
+++ b/crates/basaltrail-core/src/jobs/mod.rs
@@ -1,35 +1,37 @@
-//! Jobs: the table every node keeps of them, and the leader's account of their tasks.
+//! Jobs: the table every controller keeps of them, and the leader's account of their tasks.
+
+pub mod watch;
 
 use crate::fairness::Account;
 use crate::health::JobHealth;
 use crate::model::*;
-use crate::records::*;
+use crate::store::records::*;
 use basaltrail_admission::{Acceptance, Allotment, View};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
 /// An active job as the state service holds it.
 #[derive(Clone, Debug)]
-pub struct Active {
-    pub stamp: u64,
+pub struct ActiveJob {
+    pub mod_revision: u64,
     pub at: WallMs,
     pub spec: Arc<JobSpec>,
-    /// The node that accepted it out of its allotment.
+    /// The controller that accepted it out of its allotment.
     pub by: Option<String>,
 }
 
-impl Active {
+impl ActiveJob {
     fn acceptance(&self) -> Option<Acceptance> {
-        let node = self.by.clone()?;
-        Some(Acceptance { node, demand: self.spec.demand(), stamp: self.stamp })
+        let controller = self.by.clone()?;
+        Some(Acceptance { controller, demand: self.spec.demand(), mod_revision: self.mod_revision })
     }
 }
 
-/// What this node knows of jobs. Ends never change, so they may be told from here;
+/// What this controller knows of jobs. Ends never change, so they may be told from here;
 /// anything else must be checked first.
-pub struct Table {
-    pub active: BTreeMap<JobId, Active>,
-    finals: HashMap<JobId, Final>,
+pub struct JobCache {
+    pub active: BTreeMap<JobId, ActiveJob>,
+    finals: HashMap<JobId, JobOutcome>,
     order: VecDeque<JobId>,
     keep: usize,
     /// Allotments, and what was accepted under them.
@@ -38,9 +40,9 @@
     pub changed: BTreeSet<JobId>,
 }
 
-impl Table {
+impl JobCache {
     pub fn new(keep: usize) -> Self {
-        Table {
+        JobCache {
             active: BTreeMap::new(),
             finals: HashMap::new(),
             order: VecDeque::new(),
@@ -50,19 +52,19 @@
         }
     }
 
-    pub fn ended(&self, job: JobId) -> Option<Final> {
+    pub fn ended(&self, job: JobId) -> Option<JobOutcome> {
         self.finals.get(&job).copied()
     }
 
-    pub fn put_active(&mut self, job: JobId, stamp: u64, record: JobRecord) {
+    pub fn put_active(&mut self, job: JobId, mod_revision: u64, record: JobRecord) {
         if self.finals.contains_key(&job) {
             return;
         }
-        if self.active.get(&job).is_some_and(|a| a.stamp >= stamp) {
+        if self.active.get(&job).is_some_and(|a| a.mod_revision >= mod_revision) {
             return;
         }
         let JobRecord { at, spec, by } = record;
-        let active = Active { stamp, at, spec: Arc::new(spec), by };
+        let active = ActiveJob { mod_revision, at, spec: Arc::new(spec), by };
         if let Some(acceptance) = active.acceptance() {
             self.admission.learn_acceptance(&acceptance);
         }
@@ -72,20 +74,20 @@
 
     /// An allotment was read, by a watch or from a list: a list does not tell of the jobs that
     /// were accepted under it and have ended.
-    pub fn put_allotment(&mut self, allotment: Allotment, stamp: u64, complete: bool) {
-        let Allotment { team, node, .. } = &allotment;
-        let own = |job: &&Active| job.by.as_ref() == Some(node) && job.spec.team == *team;
+    pub fn put_allotment(&mut self, allotment: Allotment, mod_revision: u64, complete: bool) {
+        let Allotment { team, controller, .. } = &allotment;
+        let own = |job: &&ActiveJob| job.by.as_ref() == Some(controller) && job.spec.team == *team;
         let since: Vec<Acceptance> = self
             .active
             .values()
-            .filter(|job| job.stamp > stamp)
+            .filter(|job| job.mod_revision > mod_revision)
             .filter(own)
-            .filter_map(Active::acceptance)
+            .filter_map(ActiveJob::acceptance)
             .collect();
-        self.admission.learn_allotment(allotment, stamp, since.into_iter(), complete);
+        self.admission.learn_allotment(allotment, mod_revision, since.into_iter(), complete);
     }
 
-    pub fn put_final(&mut self, job: JobId, end: Final) {
+    pub fn put_final(&mut self, job: JobId, end: JobOutcome) {
         self.active.remove(&job);
         self.changed.insert(job);
         if self.finals.insert(job, end).is_none() {
@@ -99,9 +101,9 @@
         }
     }
 
-    /// The active entry is gone as of `stamp`; how the job ended is told elsewhere.
-    pub fn remove_active(&mut self, job: JobId, stamp: u64) {
-        if self.active.get(&job).is_some_and(|a| a.stamp < stamp) {
+    /// The active entry is gone as of `mod revision`; how the job ended is told elsewhere.
+    pub fn remove_active(&mut self, job: JobId, mod_revision: u64) {
+        if self.active.get(&job).is_some_and(|a| a.mod_revision < mod_revision) {
             self.active.remove(&job);
             self.changed.insert(job);
         }
@@ -113,11 +115,11 @@
     pub id: JobId,
     pub spec: Arc<JobSpec>,
     pub team: usize,
-    pub stamp: u64,
+    pub mod_revision: u64,
     pub at: WallMs,
-    pub done: Bits,
+    pub done: TaskSet,
     /// Completions known to be in the state service.
-    pub durable: Bits,
+    pub durable: TaskSet,
     pub dirty: BTreeSet<u32>,
     pub parts: BTreeSet<u32>,
     /// Where each task may be. One place at a time.
@@ -128,20 +130,20 @@
     pub started: bool,
     /// Since when nothing of it is placed though some waits.
     pub bare_since: Option<Ms>,
-    pub ended: Option<Final>,
+    pub ended: Option<JobOutcome>,
     pub health: JobHealth,
 }
 
 impl RunJob {
-    pub fn new(id: JobId, team: usize, a: &Active) -> Self {
+    pub fn new(id: JobId, team: usize, a: &ActiveJob) -> Self {
         RunJob {
             id,
             spec: a.spec.clone(),
             team,
-            stamp: a.stamp,
+            mod_revision: a.mod_revision,
             at: a.at,
-            done: Bits::default(),
-            durable: Bits::default(),
+            done: TaskSet::default(),
+            durable: TaskSet::default(),
             dirty: BTreeSet::new(),
             parts: BTreeSet::new(),
             placed: BTreeMap::new(),
@@ -217,7 +219,7 @@
     pub fn mark_done(&mut self, task: u32) -> bool {
         let ends = !self.spec.is_service() && task < self.spec.tasks;
         if ends && self.done.set(task) {
-            self.dirty.insert(task / PART);
+            self.dirty.insert(task / TASKS_PER_SEGMENT);
             return true;
         }
         false
--- a/crates/basaltrail-core/src/jobs_view.rs
+++ b/crates/basaltrail-core/src/jobs/watch.rs
@@ -1,8 +1,8 @@
-//! How recent a node's knowledge of the jobs is, and which call to the state service keeps it so.
+//! How recent a controller's knowledge of the jobs is, and which call to the state service keeps it so.
 //!
 //! The jobs are listed once; from then on a watch that is opened again and again tells of every
 //! change. A second watch, which does not wait, overtakes one that hangs or that was opened
-//! before the node's right began. What the calls tell stands in [`crate::jobs::Table`].
+//! before the controller's right began. What the calls tell stands in [`crate::jobs::Table`].
 
 use crate::model::Ms;
 
@@ -17,7 +17,7 @@
 
 /// The call that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ViewCall {
+pub enum JobWatchCall {
     /// All jobs, from the first page on.
     List,
     /// What changed after a revision.
@@ -40,9 +40,9 @@
     }
 }
 
-/// What a node's knowledge of the jobs rests on.
+/// What a controller's knowledge of the jobs rests on.
 #[derive(Debug, Default)]
-pub struct JobsView {
+pub struct JobWatch {
     loaded: bool,
     revision: Option<u64>,
     as_of: Option<Ms>,
@@ -52,7 +52,7 @@
     catch_up: Repeated,
 }
 
-impl JobsView {
+impl JobWatch {
     /// Whether the jobs were listed since the process began.
     pub fn is_loaded(&self) -> bool {
         self.loaded
@@ -75,11 +75,11 @@
     }
 
     /// The list, or the watch that waits, if it is to be sent now.
-    pub fn call_due(&self, now: Ms) -> Option<ViewCall> {
+    pub fn call_due(&self, now: Ms) -> Option<JobWatchCall> {
         if !self.waiting.is_due(now) {
             return None;
         }
-        Some(self.revision.map_or(ViewCall::List, |after| ViewCall::Watch { after }))
+        Some(self.revision.map_or(JobWatchCall::List, |after| JobWatchCall::Watch { after }))
     }
 
     /// The revision after which to catch up, if what is known is not fresh and no such call is
@@ -141,5 +141,5 @@
 }
 
 #[cfg(test)]
-#[path = "jobs_view_tests.rs"]
+#[path = "watch_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/jobs_view_tests.rs
+++ b/crates/basaltrail-core/src/jobs/watch_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn listed(revision: u64, sent: Ms) -> JobsView {
-    let mut view = JobsView::default();
+fn listed(revision: u64, sent: Ms) -> JobWatch {
+    let mut view = JobWatch::default();
     view.sent(WatchKind::Waiting);
     view.page(revision);
     view.listed(sent);
@@ -10,26 +10,26 @@
 
 #[test]
 fn the_watch_begins_where_the_first_page_was_read() {
-    let mut view = JobsView::default();
-    assert_eq!(view.call_due(0), Some(ViewCall::List));
+    let mut view = JobWatch::default();
+    assert_eq!(view.call_due(0), Some(JobWatchCall::List));
     view.sent(WatchKind::Waiting);
     assert_eq!(view.call_due(0), None);
     assert_eq!((view.page(7), view.page(9)), (7, 7));
     assert!(!view.is_loaded());
     view.listed(100);
     assert!(view.is_loaded());
-    assert_eq!(view.call_due(200), Some(ViewCall::Watch { after: 7 }));
+    assert_eq!(view.call_due(200), Some(JobWatchCall::Watch { after: 7 }));
     assert_eq!(view.as_of(), Some(100));
 }
 
 #[test]
 fn a_list_that_failed_begins_again_after_a_pause() {
-    let mut view = JobsView::default();
+    let mut view = JobWatch::default();
     view.sent(WatchKind::Waiting);
     view.page(7);
     view.list_failed(500);
     assert_eq!(view.call_due(499), None);
-    assert_eq!(view.call_due(500), Some(ViewCall::List));
+    assert_eq!(view.call_due(500), Some(JobWatchCall::List));
     assert_eq!(view.page(9), 9);
 }
 
@@ -60,5 +60,5 @@
     view.compacted();
     assert_eq!(view.catch_up_due(100, 400, 200), None);
     view.answered(WatchKind::Waiting, 0);
-    assert_eq!(view.call_due(400), Some(ViewCall::List));
+    assert_eq!(view.call_due(400), Some(JobWatchCall::List));
 }
--- a/crates/basaltrail-core/src/leadership/listing.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -1,8 +1,8 @@
 //! What the cloud's list says of machines.
 
-use super::*;
+use crate::leader::*;
 
-impl Leadership {
+impl Leader {
     pub fn list_answer(&mut self, ctx: &Context, calls: &mut Calls, reply: CloudReply) {
         self.rental.list_in_flight = false;
         let CloudReply::Listed { machines, more } = reply else {
@@ -45,13 +45,13 @@
             m.asked_at = asked_at;
             calls.log(Level::Info, "machine_found", format!("machine={}", l.machine));
             self.machines.insert(l.machine.clone(), m);
-            self.add_to_roster(ctx, &l.machine);
+            self.add_to_registry(ctx, &l.machine);
         }
     }
 
     /// Machines that a list shows to be gone: one that was listed stays listed until it is
     /// gone, and a list is at most two lags old. What ran there need not wait for its lease.
-    pub(super) fn remove_unlisted(
+    pub(in crate::leader) fn remove_unlisted(
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
@@ -63,8 +63,10 @@
             .machines
             .values()
             .filter(|m| m.first_listed.is_some_and(|t| self.rental.list_sent > t + oldest))
-            .filter(|m| m.last_checkin.is_none_or(|t| ctx.now > t + ctx.cfg.report_ms))
-            .filter(|m| m.returning != Returning::Releasing && !listed.contains(&m.id))
+            .filter(|m| {
+                m.last_heartbeat.is_none_or(|t| ctx.now > t + ctx.cfg.heartbeat_interval_ms)
+            })
+            .filter(|m| m.decommission != Decommission::Releasing && !listed.contains(&m.id))
             .map(|m| m.id.clone())
             .collect();
         for id in gone {
--- a/crates/basaltrail-core/src/rental.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning.rs
@@ -1,17 +1,17 @@
 //! How many machines to rent, of which kind, and which to give back.
 
-use crate::boot::Boots;
+use crate::leader::autoscaler::provisioning_time::ProvisioningTimes;
 use crate::model::*;
 
 /// A kind of machine that can be asked for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Kind {
+pub struct MachineKind {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
 }
 
-impl Kind {
+impl MachineKind {
     /// Whether tasks of the job may be placed on machines of this kind.
     pub fn permitted_by(&self, spec: &JobSpec) -> bool {
         spec.permits(&self.machine_type, &self.zone, self.spot)
@@ -20,9 +20,9 @@
 
 /// A rental whose outcome is not known yet; the same name is asked again until it is.
 #[derive(Clone, Debug)]
-pub struct Request {
+pub struct ProvisioningRequest {
     pub requisition: String,
-    pub kind: Kind,
+    pub kind: MachineKind,
     pub count: u32,
     pub tries: u32,
     pub in_flight: bool,
@@ -30,11 +30,11 @@
 }
 
 #[derive(Default)]
-pub struct Rental {
-    pub boots: Boots,
-    pub pending: Vec<Request>,
+pub struct Provisioning {
+    pub boots: ProvisioningTimes,
+    pub pending: Vec<ProvisioningRequest>,
     /// Kinds that had no capacity, and until when they are left alone.
-    pub refused: Vec<(Kind, Ms)>,
+    pub refused: Vec<(MachineKind, Ms)>,
     pub counter: u64,
     pub next_list: Ms,
     pub listing: Option<Vec<ListedMachine>>,
@@ -46,28 +46,33 @@
     pub next_plan: Ms,
 }
 
-impl Rental {
-    pub fn refuse(&mut self, kind: Kind, until: Ms) {
+impl Provisioning {
+    pub fn refuse(&mut self, kind: MachineKind, until: Ms) {
         self.refused.retain(|(k, _)| *k != kind);
         self.refused.push((kind, until));
     }
 
-    pub fn open(&self, kind: &Kind, now: Ms) -> bool {
+    pub fn open(&self, kind: &MachineKind, now: Ms) -> bool {
         !self.refused.iter().any(|(k, t)| k == kind && *t > now)
     }
 
     /// Machines asked for and not answered yet.
-    pub fn asked(&self, wanted: impl Fn(&Kind) -> bool) -> usize {
+    pub fn asked(&self, wanted: impl Fn(&MachineKind) -> bool) -> usize {
         self.pending.iter().filter(|r| wanted(&r.kind)).map(|r| r.count as usize).sum()
     }
 
     /// The kinds that may be asked, the cheapest per CPU first.
-    pub fn kinds(&self, types: &[MachineType], fleet: impl Fn(&Kind) -> usize) -> Vec<Kind> {
-        let mut all: Vec<(f64, usize, Kind)> = Vec::new();
+    pub fn kinds(
+        &self,
+        types: &[MachineType],
+        fleet: impl Fn(&MachineKind) -> usize,
+    ) -> Vec<MachineKind> {
+        let mut all: Vec<(f64, usize, MachineKind)> = Vec::new();
         for t in types {
             for zone in &t.zones {
                 for spot in [false, true] {
-                    let kind = Kind { machine_type: t.name.clone(), zone: zone.clone(), spot };
+                    let kind =
+                        MachineKind { machine_type: t.name.clone(), zone: zone.clone(), spot };
                     let price = if spot { t.spot_price } else { t.price } / t.cpus.max(1e-9);
                     all.push((price, fleet(&kind), kind));
                 }
--- a/crates/basaltrail-core/src/boot.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning_time.rs
@@ -37,11 +37,11 @@
 
 /// What is known of a type's boots in each zone.
 #[derive(Debug, Default)]
-pub struct Boots {
+pub struct ProvisioningTimes {
     zones: BTreeMap<(String, String), Zone>,
 }
 
-impl Boots {
+impl ProvisioningTimes {
     fn zone(&mut self, t: &MachineType, zone: &str) -> &mut Zone {
         self.zones.entry((t.name.clone(), zone.to_string())).or_default()
     }
@@ -125,5 +125,5 @@
 }
 
 #[cfg(test)]
-#[path = "boot_tests.rs"]
+#[path = "provisioning_time_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/boot_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning_time_tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn late_is_what_has_not_been_seen() {
     let t = a_type();
-    let mut b = Boots::default();
+    let mut b = ProvisioningTimes::default();
     assert_eq!(b.late_after(&t, "a", 0), 50_000);
     b.came(&t, "a", 1_000, 1_000);
     assert_eq!(b.late_after(&t, "a", 2_000), 50_000, "quick ones promise nothing");
@@ -31,7 +31,7 @@
 #[test]
 fn a_zone_in_trouble_is_tried_with_few() {
     let t = a_type();
-    let mut b = Boots::default();
+    let mut b = ProvisioningTimes::default();
     let late = |n: usize, coming: usize, t| {
         let late = (0..n).map(move |_| (t, "a", true));
         late.chain((0..coming).map(move |_| (t, "a", false)))
--- a/crates/basaltrail-core/src/leadership/returning.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -1,12 +1,12 @@
 //! Machines given back, and what silence of many of them means.
 
-use super::*;
-use crate::boot::NEVER;
+use crate::leader::autoscaler::provisioning_time::NEVER;
+use crate::leader::*;
 
-impl Leadership {
+impl Leader {
     /// Gives back what is drained, failed or lost.
-    pub(super) fn returns(&mut self, ctx: &Context, calls: &mut Calls) {
-        let ready = ctx.entitled && !ctx.types.is_empty();
+    pub(in crate::leader) fn returns(&mut self, ctx: &Context, calls: &mut Calls) {
+        let ready = ctx.holds_valid_lease && !ctx.types.is_empty();
         let busy = self.rental.release_in_flight || ctx.now < self.rental.release_not_before;
         if !ready || busy {
             return;
@@ -19,8 +19,9 @@
         // Those few that are silent when the others have spoken are most likely dead, and
         // the answer to their release makes sure of it sooner than their lease does. Many
         // silent ones of a zone are cut off, and come back.
-        let unheard =
-            |m: &Machine| !m.reconciled && m.answers_without_token == 0 && m.last_checkin.is_none();
+        let unheard = |m: &Machine| {
+            !m.reconciled && m.answers_without_token == 0 && m.last_heartbeat.is_none()
+        };
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for m in self.machines.values() {
             let zone = zones.entry(&m.zone).or_default();
@@ -37,20 +38,21 @@
             let failed = matches!(m.listed, Some((ListedState::Failed, _)));
             let silence = ctx.now - m.heard_at.unwrap_or(m.known_since).max(woke);
             // One that reports and does not hear is of no use.
-            let up = m.last_checkin.is_some()
-                && !m.lapsed
+            let up = m.last_heartbeat.is_some()
+                && !m.lease_expired
                 && (silence <= ctx.cfg.lease_ms * 3 || !m.empty());
             let cut = self.cut_until.contains_key(&m.zone);
             // Its time is over by its own word; the answer makes sure that it is gone.
             let taken = m.gone_at.is_some_and(|t| ctx.now > t + 500)
-                && m.last_checkin.is_some_and(|t| ctx.now > t.max(woke) + ctx.cfg.report_ms);
+                && m.last_heartbeat
+                    .is_some_and(|t| ctx.now > t.max(woke) + ctx.cfg.heartbeat_interval_ms);
             let why = if taken {
                 "taken"
             } else if given_up.contains(&m.id) {
                 "replicas silent"
             } else if unheard(m) && few(&m.zone) {
                 "unheard"
-            } else if up && m.returning != Returning::No && m.empty() && !m.notice(ctx.now) {
+            } else if up && m.decommission != Decommission::No && m.empty() && !m.notice(ctx.now) {
                 "drained"
             } else if up && m.empty() && m.faulty(ctx.now, ctx.cfg.lease_ms) {
                 "faulty"
@@ -60,11 +62,11 @@
                 "failed"
             } else if !seen && silence > ctx.cfg.lease_ms + lag * 4 + 4000 && age > lag * 4 + 4000 {
                 "gone"
-            } else if m.last_checkin.is_some() && !cut && silence > ctx.cfg.lease_ms * 3 {
+            } else if m.last_heartbeat.is_some() && !cut && silence > ctx.cfg.lease_ms * 3 {
                 "silent"
             } else if m.late && m.given_up {
                 "never up"
-            } else if m.last_checkin.is_none()
+            } else if m.last_heartbeat.is_none()
                 && !cut
                 && age as f64 > boot_ms * NEVER + 2.0 * ctx.cfg.lease_ms as f64
             {
@@ -79,14 +81,14 @@
                 break;
             }
         }
-        if go.is_empty() || !calls.cloud.take(ctx.now, 1.0, Class::Completion) {
+        if go.is_empty() || !calls.cloud.take(ctx.now, 1.0, CallPriority::Completion) {
             return;
         }
         for (id, why) in &go {
             if let Some(m) = self.machines.get_mut(id) {
-                m.returning = Returning::Releasing;
+                m.decommission = Decommission::Releasing;
                 let t = ctx.types.iter().find(|t| t.name == m.machine_type);
-                if let Some(t) = t.filter(|_| m.given_up && m.last_checkin.is_none()) {
+                if let Some(t) = t.filter(|_| m.given_up && m.last_heartbeat.is_none()) {
                     self.rental.boots.missed(t, &m.zone, ctx.now);
                 }
             }
@@ -95,44 +97,44 @@
         let go: Vec<MachineId> = go.into_iter().map(|(id, _)| id).collect();
         self.rental.release_in_flight = true;
         let purpose = Purpose::Release { token: self.token, machines: go.clone() };
-        calls.cloud(purpose, CloudOp::Release(go), ctx.cfg.lease_ms / 2);
+        calls.cloud(purpose, CloudRequest::Terminate(go), ctx.cfg.lease_ms / 2);
     }
 
     /// Whether most machines of a zone that were in use under an earlier leader have not
     /// spoken yet: that leader may have ended within a cut.
-    pub(super) fn unheard(&self, zone: &str) -> bool {
+    pub(in crate::leader) fn unheard(&self, zone: &str) -> bool {
         let (mut all, mut silent) = (0, 0);
         for m in self.machines.values().filter(|m| m.expected && m.zone == zone) {
             all += 1;
-            silent += m.last_checkin.is_none() as usize;
+            silent += m.last_heartbeat.is_none() as usize;
         }
         all > 2 && silent * 2 > all
     }
 
     /// Zones most of whose machines went silent: cut off rather than broken. They
     /// count as such for a while after, since their machines come back one by one.
-    pub(super) fn note_cuts(&mut self, ctx: &Context) {
+    pub(in crate::leader) fn note_cuts(&mut self, ctx: &Context) {
         let mut count: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.last_checkin.is_some()) {
+        for m in self.machines.values().filter(|m| m.last_heartbeat.is_some()) {
             let c = count.entry(&m.zone).or_default();
             c.0 += 1;
-            c.1 += m.lapsed as usize;
+            c.1 += m.lease_expired as usize;
         }
-        for (zone, (n, lapsed)) in count {
-            if n > 2 && lapsed * 2 > n {
+        for (zone, (n, lease_expired)) in count {
+            if n > 2 && lease_expired * 2 > n {
                 self.cut_until.insert(zone.to_string(), ctx.now + ctx.cfg.lease_ms);
             }
         }
         self.cut_until.retain(|_, until| *until > ctx.now);
     }
 
-    /// Whether this node seems to have lost the workers: most of those that reported to
+    /// Whether this controller seems to have lost the workers: most of those that reported to
     /// it went silent, in its own zone too, well before their leases end.
-    pub(super) fn find_lost(&self, ctx: &Context) -> bool {
+    pub(in crate::leader) fn find_lost(&self, ctx: &Context) -> bool {
         let silent_after = ctx.cfg.lease_ms * 2 / 5;
         let (mut all, mut silent, mut near, mut near_silent) = (0, 0, 0, 0);
-        for m in self.machines.values().filter(|m| m.returning == Returning::No) {
-            let Some(at) = m.last_checkin else { continue };
+        for m in self.machines.values().filter(|m| m.decommission == Decommission::No) {
+            let Some(at) = m.last_heartbeat else { continue };
             let is_silent = (ctx.now > at.max(self.woke) + silent_after) as usize;
             all += 1;
             silent += is_silent;
@@ -145,14 +147,14 @@
     }
 
     /// Leaves word of the zone with the most machines.
-    pub(super) fn note_preferred_zone(&mut self) {
+    pub(in crate::leader) fn note_preferred_zone(&mut self) {
         let mut count: BTreeMap<&str, usize> = BTreeMap::new();
         for m in self.machines.values() {
             *count.entry(&m.zone).or_default() += 1;
         }
-        let home = count.into_iter().max_by_key(|(_, n)| *n).map(|(z, _)| z.to_string());
-        if home.is_some() && home != self.home {
-            self.home = home;
+        let primary_zone = count.into_iter().max_by_key(|(_, n)| *n).map(|(z, _)| z.to_string());
+        if primary_zone.is_some() && primary_zone != self.primary_zone {
+            self.primary_zone = primary_zone;
             self.preferred_zone_due = true;
         }
     }
@@ -165,7 +167,7 @@
         reply: CloudReply,
     ) {
         self.rental.release_in_flight = false;
-        if reply == CloudReply::Released {
+        if reply == CloudReply::Terminated {
             for id in machines {
                 self.remove_gone(ctx, calls, &id);
             }
@@ -177,5 +179,5 @@
 }
 
 #[cfg(test)]
-#[path = "returning_tests.rs"]
+#[path = "scale_in_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/leadership/returning_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in_tests.rs
@@ -5,31 +5,31 @@
 /// zone beyond it: what it rents there is paid for and cannot be reached.
 #[test]
 fn nothing_is_rented_where_an_earlier_leaders_machines_are_silent() {
-    let (cfg, table) = (settings(), Table::new(10));
+    let (cfg, job_cache) = (settings(), JobCache::new(10));
     let ctx = Context {
         cfg: &cfg,
         types: &[],
-        table: &table,
+        job_cache: &job_cache,
         now: 500,
         wall: 0,
-        entitled: true,
-        view_is_fresh: true,
+        holds_valid_lease: true,
+        job_cache_is_fresh: true,
     };
-    let mut leadership = Leadership::new(&ctx, Token(2), 1);
+    let mut leader = Leader::new(&ctx, FencingToken(2), 1);
     for i in 0..8 {
         let zone = if i < 4 { "a" } else { "b" };
         let id = MachineId(format!("m-{i}").into());
         let mut m = Machine::new(id.clone(), "x", zone, false, 0);
         m.expected = true;
         // Zone a has spoken, but for one; of zone b one was rented since.
-        m.last_checkin = (i < 3).then_some(400);
-        leadership.machines.insert(id, m);
+        m.last_heartbeat = (i < 3).then_some(400);
+        leader.machines.insert(id, m);
     }
     let new = MachineId("m-9".into());
-    leadership.machines.insert(new.clone(), Machine::new(new, "x", "b", false, 400));
-    assert!(!leadership.unheard("a") && leadership.unheard("b"));
-    for m in leadership.machines.values_mut().filter(|m| m.zone == "b").take(2) {
-        m.last_checkin = Some(500);
+    leader.machines.insert(new.clone(), Machine::new(new, "x", "b", false, 400));
+    assert!(!leader.unheard("a") && leader.unheard("b"));
+    for m in leader.machines.values_mut().filter(|m| m.zone == "b").take(2) {
+        m.last_heartbeat = Some(500);
     }
-    assert!(!leadership.unheard("b"), "half of its machines have spoken");
+    assert!(!leader.unheard("b"), "half of its machines have spoken");
 }
--- a/crates/basaltrail-core/src/leadership/renting.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -1,8 +1,8 @@
 //! Machines rented and given back.
 
-use super::*;
+use crate::leader::*;
 
-impl Leadership {
+impl Leader {
     /// What the work at hand asks of each type: machines that it could use now, and
     /// CPU-seconds left by the owners' estimates. A job counts for the type that runs
     /// its tasks at the least price.
@@ -31,7 +31,7 @@
 
     /// Machines of this kind that jobs with wishes of their own still lack: few
     /// machines may be of a type, zone and kind that such a job allows.
-    fn lacking(&self, ctx: &Context, live: &[&Machine], kind: &Kind) -> usize {
+    fn lacking(&self, ctx: &Context, live: &[&Machine], kind: &MachineKind) -> usize {
         let Some(i) = Self::type_index(ctx.types, &kind.machine_type) else { return 0 };
         let t = &ctx.types[i];
         let wishes = |s: &JobSpec| !s.spot || s.zone.is_some() || s.types.is_some();
@@ -61,14 +61,14 @@
         most
     }
 
-    pub(super) fn cloud(&mut self, ctx: &Context, calls: &mut Calls) {
-        if !ctx.entitled || ctx.types.is_empty() {
+    pub(in crate::leader) fn cloud(&mut self, ctx: &Context, calls: &mut Calls) {
+        if !ctx.holds_valid_lease || ctx.types.is_empty() {
             return;
         }
         let timeout = ctx.cfg.lease_ms / 2;
         if !self.rental.list_in_flight
             && ctx.now >= self.rental.next_list
-            && calls.cloud.take(ctx.now, 1.0, Class::Rest)
+            && calls.cloud.take(ctx.now, 1.0, CallPriority::Rest)
         {
             let after =
                 self.rental.listing.as_ref().and_then(|l| l.last()).map(|m| m.machine.to_string());
@@ -76,19 +76,19 @@
                 self.rental.list_sent = ctx.now;
             }
             self.rental.list_in_flight = true;
-            calls.cloud(Purpose::List { token: self.token }, CloudOp::List { after }, timeout);
+            calls.cloud(Purpose::List { token: self.token }, CloudRequest::List { after }, timeout);
         }
         if ctx.now >= self.rental.next_plan {
-            self.rental.next_plan = ctx.now + ctx.cfg.report_ms / 2;
+            self.rental.next_plan = ctx.now + ctx.cfg.heartbeat_interval_ms / 2;
             self.plan(ctx, calls);
         }
-        let due = |r: &&mut Request| !r.in_flight && ctx.now >= r.not_before;
+        let due = |r: &&mut ProvisioningRequest| !r.in_flight && ctx.now >= r.not_before;
         for r in self.rental.pending.iter_mut().filter(due) {
-            if !calls.cloud.take(ctx.now, 1.0, Class::Request) {
+            if !calls.cloud.take(ctx.now, 1.0, CallPriority::Request) {
                 break;
             }
             r.in_flight = true;
-            let call = CloudOp::Rent {
+            let call = CloudRequest::Provision {
                 requisition: r.requisition.clone(),
                 machine_type: r.kind.machine_type.clone(),
                 zone: r.kind.zone.clone(),
@@ -142,22 +142,22 @@
         let live: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.returning == Returning::No && !m.late && !m.notice(ctx.now))
+            .filter(|m| m.decommission == Decommission::No && !m.late && !m.notice(ctx.now))
             .filter(|m| !m.faulty(ctx.now, ctx.cfg.lease_ms))
             .collect();
         let mut have: BTreeMap<String, usize> = BTreeMap::new();
-        let mut fleet: BTreeMap<Kind, usize> = BTreeMap::new();
+        let mut fleet: BTreeMap<MachineKind, usize> = BTreeMap::new();
         for m in &live {
             *have.entry(m.machine_type.clone()).or_default() += 1;
             let (machine_type, zone) = (m.machine_type.clone(), m.zone.clone());
-            *fleet.entry(Kind { machine_type, zone, spot: m.spot }).or_default() += 1;
+            *fleet.entry(MachineKind { machine_type, zone, spot: m.spot }).or_default() += 1;
         }
         let count = |name: &str| have.get(name).copied().unwrap_or(0);
         let kinds = self.rental.kinds(ctx.types, |_| 0);
-        let standing: BTreeMap<Kind, usize> =
+        let standing: BTreeMap<MachineKind, usize> =
             kinds.iter().map(|k| (k.clone(), self.standing(ctx, k))).collect();
-        let standing = |k: &Kind| standing.get(k).copied().unwrap_or(0);
-        let lacking: BTreeMap<Kind, usize> = kinds
+        let standing = |k: &MachineKind| standing.get(k).copied().unwrap_or(0);
+        let lacking: BTreeMap<MachineKind, usize> = kinds
             .into_iter()
             .map(|k| {
                 let services = standing(&k).saturating_sub(fleet.get(&k).copied().unwrap_or(0));
@@ -166,10 +166,10 @@
             })
             .collect();
         while self.rental.pending.len() < RENTALS_MOST {
-            let coming = |k: &Kind| self.rental.asked(|o| o == k);
-            let all = |k: &Kind| fleet.get(k).copied().unwrap_or(0) + coming(k);
+            let coming = |k: &MachineKind| self.rental.asked(|o| o == k);
+            let all = |k: &MachineKind| fleet.get(k).copied().unwrap_or(0) + coming(k);
             let kinds = self.rental.kinds(ctx.types, all);
-            let short = |k: &Kind| {
+            let short = |k: &MachineKind| {
                 let want = wants.iter().find(|w| w.name == k.machine_type && w.spot == k.spot);
                 let most = want.map_or(0, |w| w.most);
                 let asked = self.rental.asked(|o| o.machine_type == k.machine_type);
@@ -180,7 +180,7 @@
             let reached = |zone: &str| !self.cut_until.contains_key(zone) && !self.unheard(zone);
             let mut open =
                 kinds.into_iter().filter(|k| self.rental.open(k, ctx.now) && reached(&k.zone));
-            let boots = |k: &Kind| {
+            let boots = |k: &MachineKind| {
                 let asked =
                     self.rental.asked(|o| (&o.machine_type, &o.zone) == (&k.machine_type, &k.zone));
                 let t = ctx.types.iter().find(|t| t.name == k.machine_type);
@@ -188,14 +188,14 @@
             };
             // A team without a limit may have work for more machines than can report here.
             let taken = self.machines.len() + self.rental.asked(|_| true);
-            let left = ctx.cfg.machines_most.saturating_sub(taken);
+            let left = ctx.cfg.max_machines.saturating_sub(taken);
             let Some((n, kind)) = open.find_map(|k| {
                 Some((short(&k).min(boots(&k)).min(left), k)).filter(|(n, _)| *n > 0)
             }) else {
                 break;
             };
             self.rental.counter += 1;
-            self.rental.pending.push(Request {
+            self.rental.pending.push(ProvisioningRequest {
                 // Never used again: the token is this leadership's alone.
                 requisition: format!("r-{}-{}", self.token.0, self.rental.counter),
                 kind,
@@ -234,14 +234,14 @@
             let idle_ms = (ctx.cfg.policy.idle_s * 1000.0 / w.ratio) as Ms;
             let ours = |m: &&mut Machine| m.machine_type == w.name && m.spot == w.spot;
             for m in self.machines.values_mut().filter(ours) {
-                if !m.empty() || m.last_checkin.is_none() {
+                if !m.empty() || m.last_heartbeat.is_none() {
                     m.idle_since = None;
                 }
                 let (machine_type, zone) = (m.machine_type.clone(), m.zone.clone());
-                let kind = Kind { machine_type, zone, spot: m.spot };
+                let kind = MachineKind { machine_type, zone, spot: m.spot };
                 let have = fleet.entry(kind.clone()).or_default();
                 let kept = *have <= standing(&kind) || replicas.contains(&m.id);
-                let up = m.last_checkin.is_some() && m.returning == Returning::No && !kept;
+                let up = m.last_heartbeat.is_some() && m.decommission == Decommission::No && !kept;
                 let idle =
                     up && m.empty() && ctx.now >= *m.idle_since.get_or_insert(ctx.now) + idle_ms;
                 let why = if idle && spare > 0 {
@@ -254,7 +254,7 @@
                 spare = spare.saturating_sub(1);
                 surplus = surplus.saturating_sub(1);
                 *have -= 1;
-                m.returning = Returning::Draining;
+                m.decommission = Decommission::Draining;
                 calls.log(Level::Info, "machine_drain", format!("machine={} why={why}", m.id));
             }
         }
@@ -265,10 +265,10 @@
         let boots = &self.rental.boots;
         let mut on_way = Vec::new();
         for m in self.machines.values_mut() {
-            let asked_at = m.asked_at.filter(|_| m.last_checkin.is_none() && m.empty());
+            let asked_at = m.asked_at.filter(|_| m.last_heartbeat.is_none() && m.empty());
             let t = ctx.types.iter().find(|t| t.name == m.machine_type);
             m.late = false;
-            if let (Some(at), Some(t), Returning::No) = (asked_at, t, m.returning) {
+            if let (Some(at), Some(t), Decommission::No) = (asked_at, t, m.decommission) {
                 m.late = ctx.now > at + boots.late_after(t, &m.zone, ctx.now);
                 m.given_up = ctx.now > at + boots.never_after(t, &m.zone, ctx.now);
                 on_way.push((t, m.zone.clone(), m.late));
@@ -289,7 +289,7 @@
         let mut r = pending.remove(i);
         r.in_flight = false;
         match reply {
-            CloudReply::Rented(ids) => {
+            CloudReply::Provisioned(ids) => {
                 let detail = format!(
                     "zone={} spot={} asked={} got={}",
                     r.kind.zone,
@@ -310,7 +310,7 @@
                     m.ours = true;
                     m.asked_at = Some(ctx.now);
                     self.machines.insert(id.clone(), m);
-                    self.add_to_roster(ctx, &id);
+                    self.add_to_registry(ctx, &id);
                 }
             }
             CloudReply::NoCapacity => {
@@ -333,5 +333,5 @@
 }
 
 #[cfg(test)]
-#[path = "renting_tests.rs"]
+#[path = "scale_out_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/leadership/checkin.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -1,48 +1,48 @@
 //! Answers to workers' reports, step by step. Whether one may renew a lease is decided in
 //! [`crate::lease_renewal`]; here is what the leader does with the report, and its own orders.
 
-use super::*;
+use crate::leader::*;
 use crate::lease_renewal::{Permit, Refusal};
 
-impl Leadership {
-    /// Takes a report that came while this node is entitled, and answers it. `permit` is what
+impl Leader {
+    /// Takes a report that came while this controller is entitled, and answers it. `permit` is what
     /// [`crate::lease_renewal::Knowledge::permit`] said of it. A report that is refused because
     /// of a job that is not known yet is taken all the same: what it says is true.
     ///
     /// # Errors
     ///
     /// Why the lease is not renewed.
-    pub fn checkin(
+    pub fn heartbeat(
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
-        report: &Report,
+        heartbeat: &Heartbeat,
         permit: Result<Permit, Refusal>,
         rng: &mut SmallRng,
     ) -> Result<Answer, Refusal> {
-        if report.token > self.token {
+        if heartbeat.token > self.token {
             // It would drop the answer.
             return Err(Refusal::HigherToken);
         }
         if !self.loaded() {
-            return self.answer_while_loading(ctx, report, permit?);
+            return self.answer_while_loading(ctx, heartbeat, permit?);
         }
-        if self.returned.contains(&report.machine) {
+        if self.returned.contains(&heartbeat.machine) {
             return Err(Refusal::MachineReturned);
         }
-        let ours = self.machines.get(&report.machine).is_some_and(|m| m.ours);
-        if report.token < self.token && !ours {
-            return self.answer_without_token(ctx, &report.machine, permit?);
+        let ours = self.machines.get(&heartbeat.machine).is_some_and(|m| m.ours);
+        if heartbeat.token < self.token && !ours {
+            return self.answer_without_token(ctx, &heartbeat.machine, permit?);
         }
-        self.adopt_machine(ctx, calls, report);
-        self.take_report(ctx, calls, report)?;
+        self.adopt_machine(ctx, calls, heartbeat);
+        self.take_report(ctx, calls, heartbeat)?;
         let permit = permit?;
-        if self.changed && ctx.view_is_fresh {
+        if self.changed && ctx.job_cache_is_fresh {
             self.place(ctx, calls, rng);
         }
-        self.fill(ctx, &report.machine, rng);
-        let orders = self.orders(ctx, &report.machine, permit.room());
-        Ok(permit.answer(self.token, orders))
+        self.fill(ctx, &heartbeat.machine, rng);
+        let commands = self.commands(ctx, &heartbeat.machine, permit.room());
+        Ok(permit.answer(self.token, commands))
     }
 
     /// Answers a report of an earlier leadership, or the first of a new machine: it may be a
@@ -63,16 +63,17 @@
     }
 
     /// Takes up a machine that nobody expected: a rental that was carried out late, or one
-    /// that an earlier leader asked for. Nothing starts there before it is on the roster, and
+    /// that an earlier leader asked for. Nothing starts there before it is on the machine registry, and
     /// nothing can have been.
-    fn adopt_machine(&mut self, ctx: &Context, calls: &mut Calls, report: &Report) {
-        if !self.machines.contains_key(&report.machine) {
-            let id = report.machine.clone();
-            let m = Machine::new(id, &report.machine_type, &report.zone, report.spot, ctx.now);
-            self.machines.insert(report.machine.clone(), m);
-            calls.log(Level::Info, "machine_adopted", format!("machine={}", report.machine));
+    fn adopt_machine(&mut self, ctx: &Context, calls: &mut Calls, heartbeat: &Heartbeat) {
+        if !self.machines.contains_key(&heartbeat.machine) {
+            let id = heartbeat.machine.clone();
+            let m =
+                Machine::new(id, &heartbeat.machine_type, &heartbeat.zone, heartbeat.spot, ctx.now);
+            self.machines.insert(heartbeat.machine.clone(), m);
+            calls.log(Level::Info, "machine_adopted", format!("machine={}", heartbeat.machine));
         }
-        self.add_to_roster(ctx, &report.machine);
+        self.add_to_registry(ctx, &heartbeat.machine);
     }
 
     /// Takes what a newer report says into the account of its machine and of its tasks.
@@ -80,15 +81,15 @@
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
-        report: &Report,
+        heartbeat: &Heartbeat,
     ) -> Result<(), Refusal> {
-        let id = &report.machine;
-        let Some(m) = self.machines.get_mut(id).filter(|m| m.is_newer(report)) else {
+        let id = &heartbeat.machine;
+        let Some(m) = self.machines.get_mut(id).filter(|m| m.is_newer(heartbeat)) else {
             return Err(Refusal::LateReport);
         };
-        let first = m.last_checkin.is_none();
-        let usable = m.reconciled && !m.lapsed && m.hears;
-        let changes = m.report(ctx.now, report, ctx.cfg.lease_ms);
+        let first = m.last_heartbeat.is_none();
+        let usable = m.reconciled && !m.lease_expired && m.hears;
+        let changes = m.heartbeat(ctx.now, heartbeat, ctx.cfg.lease_ms);
         if first {
             self.note_machine_up(ctx, calls, id);
         }
@@ -121,43 +122,43 @@
     /// A machine that the cloud is about to take back is emptied.
     fn note_notice(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         let Some(m) = self.machines.get_mut(id) else { return };
-        if m.notice(ctx.now) && m.returning == Returning::No {
-            m.returning = Returning::Draining;
+        if m.notice(ctx.now) && m.decommission == Decommission::No {
+            m.decommission = Decommission::Draining;
             calls.log(Level::Info, "machine_notice", format!("machine={id}"));
             self.drain(ctx.now, id);
         }
     }
 
     /// What the machine is to do, in at most so many orders.
-    fn orders(&mut self, ctx: &Context, machine: &MachineId, most: usize) -> Vec<Order> {
-        let mut orders = Vec::new();
-        let Some(m) = self.machines.get_mut(machine) else { return orders };
-        let repeat = ctx.cfg.report_ms * 3;
+    fn commands(&mut self, ctx: &Context, machine: &MachineId, most: usize) -> Vec<TaskCommand> {
+        let mut commands = Vec::new();
+        let Some(m) = self.machines.get_mut(machine) else { return commands };
+        let repeat = ctx.cfg.heartbeat_interval_ms * 3;
         for ((task, attempt), e) in m.entries.iter_mut() {
-            if orders.len() >= most {
+            if commands.len() >= most {
                 break;
             }
             let (task, attempt) = (*task, *attempt);
             match e.place {
-                Place::Told(TaskState::Exited(why)) => {
+                TaskPhase::Told(TaskState::Exited(why)) => {
                     let durable = match self.jobs.get(&task.job) {
                         Some(j) => {
                             // That a replica is done is nowhere kept.
                             j.ended.is_some()
-                                || why != Why::Done
+                                || why != ExitReason::Done
                                 || j.spec.is_service()
                                 || j.durable.get(task.index)
                         }
-                        None => ctx.table.ended(task.job).is_some(),
+                        None => ctx.job_cache.ended(task.job).is_some(),
                     };
                     if durable {
-                        orders.push(Order::Forget { task, attempt });
+                        commands.push(TaskCommand::Forget { task, attempt });
                     }
                 }
-                Place::Assigned { .. } if !ctx.view_is_fresh => {}
-                Place::Assigned { .. } => {
-                    e.place = Place::Sent;
-                    orders.push(Order::Start { task, attempt });
+                TaskPhase::Assigned { .. } if !ctx.job_cache_is_fresh => {}
+                TaskPhase::Assigned { .. } => {
+                    e.place = TaskPhase::Sent;
+                    commands.push(TaskCommand::Start { task, attempt });
                 }
                 _ => {
                     let Some(grace_s) = e.stop else { continue };
@@ -166,11 +167,11 @@
                     if grace_s <= 0.0 || e.stop_sent.is_none_or(|t| ctx.now >= t + repeat) {
                         // A second stop with some grace left does not cut a save short.
                         e.stop_sent = Some(ctx.now);
-                        orders.push(Order::Stop { task, attempt, grace_s });
+                        commands.push(TaskCommand::Stop { task, attempt, grace_s });
                     }
                 }
             }
         }
-        orders
+        commands
     }
 }
--- a/crates/basaltrail-core/src/leadership/reports.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -1,9 +1,9 @@
 //! What workers' reports change in the account of every task.
 
-use super::*;
+use crate::leader::*;
 
-impl Leadership {
-    pub(super) fn need(&self, job: JobId) -> Option<Need> {
+impl Leader {
+    pub(in crate::leader) fn need(&self, job: JobId) -> Option<Need> {
         let j = self.jobs.get(&job)?;
         Some(Need {
             team: j.team,
@@ -15,15 +15,15 @@
         })
     }
 
-    pub(super) fn change(
+    pub(in crate::leader) fn change(
         &mut self,
         ctx: &Context,
         machine: &MachineId,
-        change: Change,
+        change: TaskChange,
     ) -> Option<String> {
         let now = ctx.now;
         match change {
-            Change::Gone { task, attempt } => {
+            TaskChange::Gone { task, attempt } => {
                 if let Some(j) = self.jobs.get_mut(&task.job) {
                     if j.free(task.index, machine, attempt) {
                         self.changed = true;
@@ -31,14 +31,14 @@
                 }
                 None
             }
-            Change::Here { task, attempt } => {
+            TaskChange::Here { task, attempt } => {
                 self.pass = None;
                 let need = self.need(task.job);
                 let m = self.machines.get_mut(machine)?;
                 let e = m.entries.get_mut(&(task, attempt))?;
                 e.need = need;
                 let Some(j) = self.jobs.get_mut(&task.job) else {
-                    match ctx.table.ended(task.job) {
+                    match ctx.job_cache.ended(task.job) {
                         Some(_) => e.stop = Some(0.0),
                         None => self.read_job(ctx, task.job),
                     }
@@ -56,7 +56,7 @@
                 }
                 None
             }
-            Change::Exited { task, attempt, why, ran_ms } => {
+            TaskChange::Exited { task, attempt, why, ran_ms } => {
                 self.changed = true;
                 let stands = self.service_stands(ctx, task);
                 let need = self.need(task.job);
@@ -71,7 +71,7 @@
                 let mut failed_before = BTreeSet::new();
                 let service = j.spec.is_service();
                 let lasted = ran_ms.is_some_and(|ran| ran >= ctx.cfg.lease_ms);
-                if why == Why::Done && !service {
+                if why == ExitReason::Done && !service {
                     if j.mark_done(task.index) {
                         self.unwritten.insert(task.job);
                     }
@@ -91,8 +91,8 @@
                 }
                 match why {
                     // A replica that is done at once fails, too: it would start without end.
-                    Why::Done if !service || lasted => {}
-                    Why::Error | Why::Done => {
+                    ExitReason::Done if !service || lasted => {}
+                    ExitReason::Error | ExitReason::Done => {
                         let first = j.health.failed(machine, now, ctx.cfg.lease_ms);
                         if j.health.proven() {
                             m.health.count_failure(task.job, now);
@@ -109,8 +109,8 @@
                             )
                         });
                     }
-                    Why::NoRoom => m.no_room_until = now + 2000,
-                    Why::Unknown => j.health.pause(now + 2000),
+                    ExitReason::NoRoom => m.no_room_until = now + 2000,
+                    ExitReason::Unknown => j.health.pause(now + 2000),
                     _ => {}
                 }
                 // It was not the job.
@@ -124,12 +124,12 @@
         }
     }
 
-    pub(super) fn apply(
+    pub(in crate::leader) fn apply(
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
         machine: &MachineId,
-        changes: Vec<Change>,
+        changes: Vec<TaskChange>,
     ) {
         for c in changes {
             if let Some(detail) = self.change(ctx, machine, c) {
@@ -138,7 +138,7 @@
         }
     }
 
-    pub(super) fn note_images(&mut self, ctx: &Context, machine: &MachineId) {
+    pub(in crate::leader) fn note_images(&mut self, ctx: &Context, machine: &MachineId) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let cache = ctx.types.iter().find(|t| t.name == m.machine_type).map_or(0.0, |t| t.cache_gb);
         let running: BTreeSet<JobId> =
@@ -152,7 +152,7 @@
 
     /// Tasks that can save leave a machine that is about to go, and so do those that
     /// cannot be done by then: what they did is lost, and elsewhere they begin sooner.
-    pub(super) fn drain(&mut self, now: Ms, machine: &MachineId) {
+    pub(in crate::leader) fn drain(&mut self, now: Ms, machine: &MachineId) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let left_s = m.gone_at.map_or(0.0, |t| t.saturating_sub(now) as f64 / 1000.0);
         for ((task, _), e) in m.entries.iter_mut().filter(|(_, e)| e.stop.is_none()) {
@@ -174,12 +174,12 @@
     }
 
     /// Takes back what was assigned and never sent.
-    pub(super) fn withdraw(&mut self, machine: &MachineId) {
+    pub(in crate::leader) fn withdraw(&mut self, machine: &MachineId) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let unsent: Vec<(TaskId, Attempt)> = m
             .entries
             .iter()
-            .filter(|(_, e)| matches!(e.place, Place::Assigned { .. }))
+            .filter(|(_, e)| matches!(e.place, TaskPhase::Assigned { .. }))
             .map(|(k, _)| *k)
             .collect();
         for (task, attempt) in unsent {
--- a/crates/basaltrail-core/src/leadership/takeover.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -1,38 +1,38 @@
 //! What an earlier leader left, and what the table of jobs says.
 
-use super::*;
+use crate::leader::*;
 use crate::lease_renewal::{Permit, Refusal};
 
-/// Answers to a machine that were given before the roster was read.
+/// Answers to a machine that were given before the machine registry was read.
 #[derive(Default)]
-pub(super) struct EarlyAnswers {
+pub(in crate::leader) struct EarlyAnswers {
     /// The last one; it may have renewed the machine's lease.
     renewed: Ms,
     /// Those to reports that did not show this leader's token.
     without_token: u32,
 }
 
-impl Leadership {
+impl Leader {
     /// Answers a report while the state that earlier leaders left is still being read. The
     /// answer renews the worker's lease: were it refused, all leases would run out where the
     /// state service is slow, or fails, just after the election. Nothing is started, and what
-    /// the answer may have renewed is counted once the roster is read.
+    /// the answer may have renewed is counted once the machine registry is read.
     ///
     /// # Errors
     ///
     /// Why the lease is not renewed.
-    pub(super) fn answer_while_loading(
+    pub(in crate::leader) fn answer_while_loading(
         &mut self,
         ctx: &Context,
-        report: &Report,
+        heartbeat: &Heartbeat,
         permit: Permit,
     ) -> Result<Answer, Refusal> {
-        let known = self.early_answers.contains_key(&report.machine);
-        if !known && self.early_answers.len() >= ctx.cfg.machines_most {
+        let known = self.early_answers.contains_key(&heartbeat.machine);
+        if !known && self.early_answers.len() >= ctx.cfg.max_machines {
             return Err(Refusal::Loading);
         }
-        let answers = self.early_answers.entry(report.machine.clone()).or_default();
-        if report.token < self.token {
+        let answers = self.early_answers.entry(heartbeat.machine.clone()).or_default();
+        if heartbeat.token < self.token {
             if answers.without_token >= ANSWERS_WITHOUT_TOKEN {
                 return Err(Refusal::NoReportWithToken);
             }
@@ -42,7 +42,7 @@
         Ok(permit.answer(self.token, Vec::new()))
     }
 
-    /// Counts what was answered to a machine of the roster before the roster was read.
+    /// Counts what was answered to a machine of the machine registry before the machine registry was read.
     fn count_early_answers(&self, machine: &mut Machine) {
         if let Some(answers) = self.early_answers.get(&machine.id) {
             machine.renewed = machine.renewed.max(answers.renewed);
@@ -54,41 +54,45 @@
         if self.load_in_flight || self.loaded() || ctx.now < self.load_not_before {
             return;
         }
-        if !calls.pay(ctx.now, Class::Lease) {
+        if !calls.pay(ctx.now, CallPriority::Lease) {
             return;
         }
         self.load_in_flight = true;
-        let list = |prefix: &str, after| StateOp::List { prefix: prefix.into(), after, limit: 500 };
+        let list =
+            |prefix: &str, after| StoreRequest::List { prefix: prefix.into(), after, limit: 500 };
         let call = match self.loading {
-            Loading::Roster => list(ROSTER, self.load_after.clone()),
-            Loading::Done => list(DONE, self.load_after.clone()),
-            _ => StateOp::Get(LEDGER.into()),
+            Loading::Roster => list(MACHINE_REGISTRY_PREFIX, self.load_after.clone()),
+            Loading::Done => list(COMPLETIONS_PREFIX, self.load_after.clone()),
+            _ => StoreRequest::Get(LEDGER_KEY.into()),
         };
         calls.state(Purpose::Load { token: self.token }, call, ctx.cfg.leader_lease_ms() / 4);
     }
 
-    pub fn load_answer(&mut self, ctx: &Context, calls: &mut Calls, reply: StateReply) {
+    pub fn load_answer(&mut self, ctx: &Context, calls: &mut Calls, reply: StoreReply) {
         self.load_in_flight = false;
         match (self.loading, reply) {
-            (Loading::Roster, StateReply::Rows { items, more, .. }) => {
+            (Loading::Roster, StoreReply::Page { items, more, .. }) => {
                 self.load_after = items.last().filter(|_| more).map(|i| i.key.clone());
                 for i in items {
-                    self.stamps.insert(i.key.clone(), i.stamp);
-                    let part = i.key.strip_prefix(ROSTER).and_then(|p| p.parse::<usize>().ok());
-                    let entries: Option<Vec<RosterEntry>> = decode(&i.value);
+                    self.mod_revisions.insert(i.key.clone(), i.mod_revision);
+                    let part = i
+                        .key
+                        .strip_prefix(MACHINE_REGISTRY_PREFIX)
+                        .and_then(|p| p.parse::<usize>().ok());
+                    let entries: Option<Vec<MachineRecord>> = decode(&i.value);
                     let (Some(part), Some(entries)) = (part.filter(|p| *p < 1000), entries) else {
                         calls.log(Level::Error, "roster_unreadable", format!("key={}", i.key));
                         continue;
                     };
-                    if self.roster.len() <= part {
-                        self.roster.resize(part + 1, Vec::new());
-                        self.roster_bytes.resize(part + 1, 0);
+                    if self.registry.len() <= part {
+                        self.registry.resize(part + 1, Vec::new());
+                        self.registry_bytes.resize(part + 1, 0);
                     }
                     for e in &entries {
                         let mut m =
                             Machine::new(e.id.clone(), &e.machine_type, &e.zone, e.spot, ctx.now);
                         // Until it reports with our token, an earlier leader's tasks may
-                        // be on it, unless the roster says that nothing is.
+                        // be on it, unless the machine registry says that nothing is.
                         m.reconciled = e.free;
                         m.durable = !e.free;
                         m.expected = !e.free;
@@ -97,18 +101,18 @@
                         self.count_early_answers(&mut m);
                         self.machines.insert(e.id.clone(), m);
                     }
-                    self.roster_bytes[part] = i.value.len();
-                    self.roster[part] = entries;
+                    self.registry_bytes[part] = i.value.len();
+                    self.registry[part] = entries;
                 }
                 if !more {
-                    self.mend_roster(ctx);
+                    self.repair_registry(ctx);
                     self.loading = Loading::Done;
                 }
             }
-            (Loading::Done, StateReply::Rows { items, more, .. }) => {
+            (Loading::Done, StoreReply::Page { items, more, .. }) => {
                 self.load_after = items.last().filter(|_| more).map(|i| i.key.clone());
                 for i in items {
-                    self.stamps.insert(i.key.clone(), i.stamp);
+                    self.mod_revisions.insert(i.key.clone(), i.mod_revision);
                     let text: Option<String> = decode(&i.value);
                     if let (Some((job, part)), Some(text)) = (parse_done_key(&i.key), text) {
                         self.loaded_done.entry(job).or_default().push((part, text));
@@ -118,9 +122,9 @@
                     self.loading = Loading::Ledger;
                 }
             }
-            (Loading::Ledger, reply @ (StateReply::Found(_) | StateReply::Missing)) => {
-                if let StateReply::Found(i) = reply {
-                    self.stamps.insert(i.key.clone(), i.stamp);
+            (Loading::Ledger, reply @ (StoreReply::KeyValue(_) | StoreReply::NotFound)) => {
+                if let StoreReply::KeyValue(i) = reply {
+                    self.mod_revisions.insert(i.key.clone(), i.mod_revision);
                     let record: Option<LedgerRecord> = decode(&i.value);
                     self.ledger = Ledger::new(ctx.cfg, record.as_ref(), ctx.now);
                     let told = record.map(|r| r.suspects).unwrap_or_default();
@@ -172,10 +176,10 @@
     /// Takes over what the table now says of a job.
     pub fn sync_job(&mut self, ctx: &Context, job: JobId) {
         self.unknown.remove(&job);
-        if let Some(a) = ctx.table.active.get(&job) {
+        if let Some(a) = ctx.job_cache.active.get(&job) {
             let Some(team) = ctx.cfg.team(&a.spec.team) else { return };
             if let Some(j) = self.jobs.get_mut(&job) {
-                j.stamp = a.stamp;
+                j.mod_revision = a.mod_revision;
             } else {
                 self.jobs.insert(job, RunJob::new(job, team, a));
                 self.note_shape(ctx, &a.spec);
@@ -185,7 +189,7 @@
                 self.adopt(ctx, job);
             }
             self.changed = true;
-        } else if let Some(end) = ctx.table.ended(job) {
+        } else if let Some(end) = ctx.job_cache.ended(job) {
             if let Some(j) = self.jobs.get_mut(&job) {
                 j.ended = Some(end);
                 self.changed = true;
@@ -206,10 +210,10 @@
             for ((task, attempt), e) in &m.entries {
                 if task.job == job && e.need.is_none() {
                     let change = match e.place {
-                        Place::Told(TaskState::Exited(why)) => {
-                            Change::Exited { task: *task, attempt: *attempt, why, ran_ms: None }
+                        TaskPhase::Told(TaskState::Exited(why)) => {
+                            TaskChange::Exited { task: *task, attempt: *attempt, why, ran_ms: None }
                         }
-                        _ => Change::Here { task: *task, attempt: *attempt },
+                        _ => TaskChange::Here { task: *task, attempt: *attempt },
                     };
                     found.push((m.id.clone(), change));
                 }
@@ -224,7 +228,7 @@
         for m in self.machines.values_mut() {
             // What was never sent is simply not sent.
             m.entries
-                .retain(|(t, _), e| t.job != job || !matches!(e.place, Place::Assigned { .. }));
+                .retain(|(t, _), e| t.job != job || !matches!(e.place, TaskPhase::Assigned { .. }));
             for (_, e) in m.entries.iter_mut().filter(|((t, _), _)| t.job == job) {
                 e.stop = Some(0.0);
                 e.stop_sent = None;
@@ -234,5 +238,5 @@
 }
 
 #[cfg(test)]
-#[path = "takeover_tests.rs"]
+#[path = "recovery_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/leadership/takeover_tests.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
@@ -9,26 +9,31 @@
     let inf = f64::INFINITY;
     let team = Team { name: "t".into(), cpus: 8.0, cpus_max: inf, gpus: 0.0, gpus_max: inf };
     let cfg = Settings { teams: vec![team], ..settings() };
-    let mut table = Table::new(10);
-    table.put_active(JobId(1), 1, JobRecord::new(0, a_job(9, true)));
+    let mut job_cache = JobCache::new(10);
+    job_cache.put_active(JobId(1), 1, JobRecord::new(0, a_job(9, true)));
     let gone = JobSpec { team: "gone".into(), ..a_job(9, true) };
-    table.put_active(JobId(2), 2, JobRecord::new(0, gone));
+    job_cache.put_active(JobId(2), 2, JobRecord::new(0, gone));
     let ctx = Context {
         cfg: &cfg,
         types: &[],
-        table: &table,
+        job_cache: &job_cache,
         now: 500,
         wall: 0,
-        entitled: true,
-        view_is_fresh: true,
+        holds_valid_lease: true,
+        job_cache_is_fresh: true,
     };
     let led = |value: &str| {
-        let mut leadership = Leadership::new(&ctx, Token(2), 1);
-        leadership.loading = Loading::Ledger;
-        let item = Item { key: LEDGER.into(), value: value.into(), stamp: 3, loan: None };
-        leadership.load_answer(&ctx, &mut Calls::default(), StateReply::Found(item));
-        assert!(leadership.loaded() && !leadership.jobs.contains_key(&JobId(2)));
-        leadership.jobs[&JobId(1)].health.room(0)
+        let mut leader = Leader::new(&ctx, FencingToken(2), 1);
+        leader.loading = Loading::Ledger;
+        let item = KeyValue {
+            key: LEDGER_KEY.into(),
+            value: value.into(),
+            mod_revision: 3,
+            lease_id: None,
+        };
+        leader.load_answer(&ctx, &mut Calls::default(), StoreReply::KeyValue(item));
+        assert!(leader.loaded() && !leader.jobs.contains_key(&JobId(2)));
+        leader.jobs[&JobId(1)].health.room(0)
     };
     let record = LedgerRecord {
         teams: vec![("gone".into(), 5.0, 7.0)],
--- a/crates/basaltrail-core/src/leadership/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -1,48 +1,39 @@
 //! What a leader keeps while it leads: machines, tasks, the ledger, and what of
 //! it must be written.
 
-use crate::budget::Class;
-use crate::calls::{Calls, Purpose};
 use crate::fairness::Ledger;
-use crate::fleet::*;
 use crate::io::*;
-use crate::jobs::{RunJob, Table};
+use crate::jobs::{JobCache, RunJob};
+use crate::leader::autoscaler::provisioning::{MachineKind, Provisioning, ProvisioningRequest};
+use crate::leader::scheduler::bin_packing::{choose, Room, Spread, Wish};
+use crate::leader::scheduler::deadline_feasibility::{in_reach, Candidate};
+use crate::machines::*;
 use crate::model::*;
-use crate::placement::{choose, Room, Spread, Wish};
-use crate::reach::{in_reach, Candidate};
-use crate::records::*;
-use crate::rental::{Kind, Rental, Request};
 use crate::settings::Settings;
+use crate::store::calls::{Calls, Purpose};
+use crate::store::rate_limiter::CallPriority;
+use crate::store::records::*;
 use rand::rngs::SmallRng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
-mod allotting;
-mod checkin;
-mod class_shares;
-mod guarantee;
-mod listing;
-mod placing;
-mod preempting;
-mod renting;
-mod reports;
-mod returning;
-mod roster;
-mod standing;
-mod takeover;
-mod writing;
+pub mod autoscaler;
+mod failover;
+mod persistence;
+mod quota_allocation;
+pub mod scheduler;
 
 /// What one pass of the core may look at.
 #[derive(Clone, Copy)]
 pub struct Context<'a> {
     pub cfg: &'a Settings,
     pub types: &'a [MachineType],
-    pub table: &'a Table,
+    pub job_cache: &'a JobCache,
     pub now: Ms,
     pub wall: WallMs,
-    pub entitled: bool,
+    pub holds_valid_lease: bool,
     /// Everything that ended before the right began is known: tasks may be started.
-    pub view_is_fresh: bool,
+    pub job_cache_is_fresh: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,10 +50,10 @@
     keys: Vec<String>,
     ends: Vec<JobId>,
     parts: Vec<(JobId, u32, String)>,
-    roster: Vec<(usize, Vec<MachineId>)>,
+    registry: Vec<(usize, Vec<MachineId>)>,
     cleaned: Vec<(JobId, u32)>,
     ledger: bool,
-    home: bool,
+    primary_zone: bool,
     changes: usize,
 }
 
@@ -92,16 +83,18 @@
     let age = (ctx.wall - j.at) as f64 / 1000.0;
     let mut spares: Vec<f64> = ctx
         .cfg
-        .wanted_s(&j.spec)
+        .completion_objectives_s(&j.spec)
         .map(|due| due - age - j.spec.estimate_s)
         .filter(|spare| *spare > -0.3 * j.spec.estimate_s)
-        .chain(ctx.cfg.begun_s(&j.spec).map(|due| due - age).filter(|spare| *spare > 0.0))
+        .chain(
+            ctx.cfg.start_objectives_s(&j.spec).map(|due| due - age).filter(|spare| *spare > 0.0),
+        )
         .collect();
     spares.sort_by(|a, b| b.total_cmp(a));
     spares
 }
 
-/// What the reply to a flush asks of the node.
+/// What the reply to a flush asks of the controller.
 #[derive(Default)]
 pub struct WriteOutcome {
     pub deposed: bool,
@@ -146,7 +139,7 @@
 /// Names of returned machines that are kept: a whole fleet may go back and late copies of its
 /// reports follow.
 fn most_returned(settings: &Settings) -> usize {
-    settings.machines_most.max((settings.memory_mb * RETURNED_PER_MB) as usize)
+    settings.max_machines.max((settings.memory_mb * RETURNED_PER_MB) as usize)
 }
 
 /// The names seen last, up to a bound.
@@ -177,16 +170,16 @@
     }
 }
 
-pub struct Leadership {
-    pub token: Token,
-    pub stamp: u64,
+pub struct Leader {
+    pub token: FencingToken,
+    pub mod_revision: u64,
     pub since: Ms,
     loading: Loading,
     load_in_flight: bool,
     load_after: Option<String>,
     load_not_before: Ms,
-    /// Until the roster is read: what was answered to which machine.
-    early_answers: HashMap<MachineId, takeover::EarlyAnswers>,
+    /// Until the machine registry is read: what was answered to which machine.
+    early_answers: HashMap<MachineId, failover::recovery::EarlyAnswers>,
     pub machines: BTreeMap<MachineId, Machine>,
     pub jobs: BTreeMap<JobId, RunJob>,
     loaded_done: BTreeMap<JobId, Vec<(u32, String)>>,
@@ -196,7 +189,7 @@
     round_ends: Ms,
     fleet_cpus: f64,
     ledger_due: bool,
-    home: Option<String>,
+    primary_zone: Option<String>,
     preferred_zone_due: bool,
     /// Zones that were cut off of late, and until when they count as such.
     cut_until: BTreeMap<String, Ms>,
@@ -204,19 +197,19 @@
     /// Machines that work of late could use, fading; nothing is known at first.
     peak: f64,
     peak_at: Ms,
-    roster: Vec<Vec<RosterEntry>>,
+    registry: Vec<Vec<MachineRecord>>,
     /// Encoded size of each part.
-    roster_bytes: Vec<usize>,
-    roster_dirty: BTreeSet<usize>,
+    registry_bytes: Vec<usize>,
+    registry_dirty: BTreeSet<usize>,
     /// The part after which the next flush goes on.
-    roster_last: usize,
+    registry_last: usize,
     /// Parts that are written only after these others were.
-    roster_waits: BTreeMap<usize, BTreeSet<usize>>,
+    registry_waits: BTreeMap<usize, BTreeSet<usize>>,
     /// Changes in one transaction, fewer once one was rejected.
     changes_most: usize,
     /// Keys that were rejected alone, and until when they rest.
     parked: BTreeMap<String, Ms>,
-    stamps: HashMap<String, u64>,
+    mod_revisions: HashMap<String, u64>,
     refresh: BTreeMap<String, bool>,
     cleanup: BTreeSet<(JobId, u32)>,
     flush_in_flight: bool,
@@ -226,12 +219,12 @@
     changed: bool,
     next_place: Ms,
     /// The last pass; gone when more may be in use than it counted.
-    pass: Option<placing::Pass>,
+    pass: Option<scheduler::cycle::Pass>,
     next_watch: Ms,
     last_tick: Ms,
     /// Machines and tasks looked at in passes: what the size of the fleet costs.
     pub visited: u64,
-    was_entitled: bool,
+    held_valid_lease: bool,
     /// When this process last went on after it stood still or had no right: silence counts
     /// from there.
     woke: Ms,
@@ -252,22 +245,22 @@
     /// Jobs that can still be in time, with the seconds that each can lose.
     reach: HashMap<JobId, f64>,
     /// The largest service of each class of late.
-    shapes: BTreeMap<String, standing::Shape>,
-    /// What nodes may accept.
-    pub allotting: allotting::Allotting,
-    guarantee_waits: guarantee::GuaranteeWaits,
-    rental: Rental,
+    shapes: BTreeMap<String, scheduler::services::Shape>,
+    /// What controllers may accept.
+    pub allotting: quota_allocation::Allotting,
+    guarantee_waits: scheduler::guarantees::GuaranteeWaits,
+    rental: Provisioning,
     returned: Recent,
     /// Jobs that workers told of and the table does not hold.
     pub unknown: BTreeSet<JobId>,
     pub next_progress: Ms,
 }
 
-impl Leadership {
-    pub fn new(ctx: &Context, token: Token, stamp: u64) -> Self {
-        let mut leadership = Leadership {
+impl Leader {
+    pub fn new(ctx: &Context, token: FencingToken, mod_revision: u64) -> Self {
+        let mut leader = Leader {
             token,
-            stamp,
+            mod_revision,
             since: ctx.now,
             loading: Loading::Roster,
             load_in_flight: false,
@@ -282,20 +275,20 @@
             round_ends: ctx.now,
             fleet_cpus: 0.0,
             ledger_due: false,
-            home: None,
+            primary_zone: None,
             preferred_zone_due: false,
             cut_until: BTreeMap::new(),
             surplus_since: None,
             peak: f64::MAX,
             peak_at: ctx.now,
-            roster: Vec::new(),
-            roster_bytes: Vec::new(),
-            roster_dirty: BTreeSet::new(),
-            roster_last: 0,
-            roster_waits: BTreeMap::new(),
+            registry: Vec::new(),
+            registry_bytes: Vec::new(),
+            registry_dirty: BTreeSet::new(),
+            registry_last: 0,
+            registry_waits: BTreeMap::new(),
             changes_most: usize::MAX,
             parked: BTreeMap::new(),
-            stamps: HashMap::new(),
+            mod_revisions: HashMap::new(),
             refresh: BTreeMap::new(),
             cleanup: BTreeSet::new(),
             flush_in_flight: false,
@@ -308,7 +301,7 @@
             next_watch: 0,
             last_tick: ctx.now,
             visited: 0,
-            was_entitled: true,
+            held_valid_lease: true,
             woke: 0,
             lost_workers: false,
             complete: BTreeSet::new(),
@@ -319,17 +312,17 @@
             reserved: BTreeMap::new(),
             reach: HashMap::new(),
             shapes: BTreeMap::new(),
-            allotting: allotting::Allotting::new(ctx.now),
-            guarantee_waits: guarantee::GuaranteeWaits::default(),
-            rental: Rental::default(),
+            allotting: quota_allocation::Allotting::new(ctx.now),
+            guarantee_waits: scheduler::guarantees::GuaranteeWaits::default(),
+            rental: Provisioning::default(),
             returned: Recent::new(most_returned(ctx.cfg)),
             unknown: BTreeSet::new(),
             next_progress: 0,
         };
-        for job in ctx.table.active.keys() {
-            leadership.sync_job(ctx, *job);
+        for job in ctx.job_cache.active.keys() {
+            leader.sync_job(ctx, *job);
         }
-        leadership
+        leader
     }
 
     /// Has the record of a job read of which a worker or a record told.
@@ -348,17 +341,17 @@
         if !self.loaded() {
             return;
         }
-        let stood = ctx.now > self.last_tick + ctx.cfg.report_ms;
-        if stood || (ctx.entitled && !self.was_entitled) {
+        let stood = ctx.now > self.last_tick + ctx.cfg.heartbeat_interval_ms;
+        if stood || (ctx.holds_valid_lease && !self.held_valid_lease) {
             // Nobody was answered for a while: who was silent then tells nothing.
             self.woke = ctx.now;
             self.lost_workers = false;
         }
         self.last_tick = ctx.now;
-        self.was_entitled = ctx.entitled;
+        self.held_valid_lease = ctx.holds_valid_lease;
         if ctx.now >= self.next_watch {
             self.visited += self.machines.len() as u64;
-            self.next_watch = ctx.now + ctx.cfg.report_ms / 20;
+            self.next_watch = ctx.now + ctx.cfg.heartbeat_interval_ms / 20;
             self.watch_machines(ctx, calls);
             self.lost_workers = self.find_lost(ctx);
             self.finish_jobs();
@@ -376,12 +369,15 @@
             self.plan_allotments(ctx, calls);
             self.changed = true;
         }
-        if (self.changed || ctx.now >= self.wake_at) && ctx.entitled && ctx.view_is_fresh {
+        if (self.changed || ctx.now >= self.wake_at)
+            && ctx.holds_valid_lease
+            && ctx.job_cache_is_fresh
+        {
             self.place(ctx, calls, rng);
         }
         self.flush(ctx, calls);
-        if ctx.entitled {
-            self.allotting.send(ctx.cfg, ctx.now, (self.token, self.stamp), calls);
+        if ctx.holds_valid_lease {
+            self.allotting.send(ctx.cfg, ctx.now, (self.token, self.mod_revision), calls);
         }
         self.cloud(ctx, calls);
     }
@@ -389,27 +385,27 @@
     /// Leases that have surely ended, and machines that went silent. Not at every input:
     /// their number times that of the machines would be all that a leader gets done.
     fn watch_machines(&mut self, ctx: &Context, calls: &mut Calls) {
-        let lapse_after = ctx.cfg.surely(ctx.cfg.lease_ms);
-        let silent_after = ctx.cfg.report_ms * 3;
-        let lapses = |m: &Machine| !m.lapsed && ctx.now > m.renewed + lapse_after;
+        let expires_after = ctx.cfg.with_drift_margin(ctx.cfg.lease_ms);
+        let silent_after = ctx.cfg.heartbeat_interval_ms * 3;
+        let expires = |m: &Machine| !m.lease_expired && ctx.now > m.renewed + expires_after;
         let woke = self.woke;
         let silent =
-            |m: &Machine| m.last_checkin.is_some_and(|t| ctx.now > t.max(woke) + silent_after);
+            |m: &Machine| m.last_heartbeat.is_some_and(|t| ctx.now > t.max(woke) + silent_after);
         let due: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| lapses(m) || (silent(m) && !m.entries.is_empty()))
+            .filter(|m| expires(m) || (silent(m) && !m.entries.is_empty()))
             .map(|m| m.id.clone())
             .collect();
         for id in &due {
             let Some(m) = self.machines.get_mut(id) else { continue };
-            if !lapses(m) {
+            if !expires(m) {
                 self.withdraw(id);
                 continue;
             }
             let had = m.entries.len();
-            let was_up = m.last_checkin.is_some();
-            let changes = m.lapse();
+            let was_up = m.last_heartbeat.is_some();
+            let changes = m.expire_lease();
             if was_up || had > 0 {
                 let detail = format!("machine={id} zone={} tasks={had}", m.zone);
                 calls.log(Level::Info, "machine_lapsed", detail);
@@ -424,7 +420,7 @@
     fn log_round(&self, ctx: &Context, calls: &mut Calls) {
         let mut count = [0usize; 3];
         for m in self.machines.values() {
-            let up = m.last_checkin.is_some() && !m.lapsed;
+            let up = m.last_heartbeat.is_some() && !m.lease_expired;
             count[if up { m.spot as usize } else { 2 }] += 1;
         }
         let mut cpus = [0.0f64; 4];
@@ -432,11 +428,11 @@
         for e in self.machines.values().flat_map(|m| m.entries.values()) {
             let n = e.need.map_or(0.0, |n| n.cpus);
             let i = match e.place {
-                Place::Assigned { .. } | Place::Sent => 0,
-                Place::Told(TaskState::Fetching) => 1,
-                Place::Told(TaskState::Running) => 2,
-                Place::Told(TaskState::Saving) => 3,
-                Place::Told(TaskState::Exited(_)) => continue,
+                TaskPhase::Assigned { .. } | TaskPhase::Sent => 0,
+                TaskPhase::Told(TaskState::Fetching) => 1,
+                TaskPhase::Told(TaskState::Running) => 2,
+                TaskPhase::Told(TaskState::Saving) => 3,
+                TaskPhase::Told(TaskState::Exited(_)) => continue,
             };
             cpus[i] += n;
             if let Some(n) = e.need {
@@ -483,7 +479,7 @@
                 self.complete.remove(&job);
                 self.unwritten.remove(&job);
                 for p in &j.parts {
-                    self.stamps.remove(&done_key(job, *p));
+                    self.mod_revisions.remove(&done_key(job, *p));
                 }
             }
         }
