--- a/crates/basaltrail-core/src/leadership/writing.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -1,27 +1,27 @@
-//! What is written: the roster, completions, ends, the ledger.
+//! What is written: the machine registry, completions, ends, the ledger.
 
-use super::*;
+use crate::leader::*;
 use std::ops::Bound::{Excluded, Unbounded};
 
 /// A transaction that is filled up to the limits of the state service. One that passes
 /// them is refused for ever, since the same would be written again.
 struct Txn {
-    conds: Vec<(String, u64)>,
-    puts: Vec<Put>,
-    removes: Vec<String>,
+    preconditions: Vec<(String, u64)>,
+    puts: Vec<PutRequest>,
+    deletes: Vec<String>,
     most: usize,
     bytes: usize,
 }
 
 impl Txn {
-    /// What a key and its stamp, or a change, take at the most beside the value.
+    /// What a key and its mod revision, or a change, take at the most beside the value.
     const FRAME: usize = 128;
 
     fn new(condition: (String, u64), most: usize) -> Self {
         Txn {
-            conds: vec![condition],
+            preconditions: vec![condition],
             puts: Vec::new(),
-            removes: Vec::new(),
+            deletes: Vec::new(),
             most,
             bytes: Self::FRAME,
         }
@@ -29,106 +29,122 @@
 
     /// Whether so many changes with so much in them still fit. The first always do.
     fn room(&self, changes: usize, bytes: usize) -> bool {
-        let have = self.puts.len() + self.removes.len();
+        let have = self.puts.len() + self.deletes.len();
         have == 0
             || (have + changes <= self.most
                 && self.bytes + changes * 2 * Self::FRAME + bytes <= TXN_BYTES)
     }
 
-    fn put(&mut self, stamp: u64, key: String, value: String) {
+    fn put(&mut self, mod_revision: u64, key: String, value: String) {
         self.bytes += 2 * Self::FRAME + value.len();
-        self.conds.push((key.clone(), stamp));
-        self.puts.push(Put { key, value, loan: None });
+        self.preconditions.push((key.clone(), mod_revision));
+        self.puts.push(PutRequest { key, value, lease_id: None });
     }
 
-    fn put_end(&mut self, job: JobId, stamp: u64) {
+    fn put_end(&mut self, job: JobId, mod_revision: u64) {
         self.bytes += 3 * Self::FRAME;
-        self.conds.push((active_key(job), stamp));
-        self.removes.push(active_key(job));
-        self.puts.push(Put { key: final_key(job), value: encode(&Final::Done), loan: None });
+        self.preconditions.push((active_key(job), mod_revision));
+        self.deletes.push(active_key(job));
+        self.puts.push(PutRequest {
+            key: final_key(job),
+            value: encode(&JobOutcome::Done),
+            lease_id: None,
+        });
     }
 
     fn remove(&mut self, key: String) {
         self.bytes += Self::FRAME;
-        self.removes.push(key);
+        self.deletes.push(key);
     }
 }
 
-impl Leadership {
+impl Leader {
     pub fn flush(&mut self, ctx: &Context, calls: &mut Calls) {
         if self.flush_in_flight
             || !self.loaded()
-            || !ctx.entitled
+            || !ctx.holds_valid_lease
             || ctx.now < self.flush_not_before
         {
             return;
         }
         for (key, asked) in self.refresh.iter_mut().filter(|(_, asked)| !**asked) {
-            if calls.pay(ctx.now, Class::Completion) {
+            if calls.pay(ctx.now, CallPriority::Completion) {
                 *asked = true;
                 let purpose = Purpose::Refresh { token: self.token, key: key.clone() };
-                calls.state(purpose, StateOp::Get(key.clone()), ctx.cfg.leader_lease_ms() / 4);
+                calls.state(purpose, StoreRequest::Get(key.clone()), ctx.cfg.leader_lease_ms() / 4);
             }
         }
         let now = ctx.now;
         let mut f = PendingWrite::default();
         self.parked.retain(|_, until| *until > now);
-        let most = ctx.cfg.txn_ops.max(2).min(self.changes_most);
-        let mut t = Txn::new((LEADER.to_string(), self.stamp), most);
+        let most = ctx.cfg.transaction_ops.max(2).min(self.changes_most);
+        let mut t = Txn::new((LEADER_KEY.to_string(), self.mod_revision), most);
         let mut paid = |n: f64, class| calls.writes.take(now, n, class);
         for id in &self.complete {
             let Some(j) = self.jobs.get(id).filter(|j| j.ended.is_none()) else { continue };
-            if !ctx.table.active.contains_key(id)
+            if !ctx.job_cache.active.contains_key(id)
                 || self.unknown.contains(id)
                 || self.parked.contains_key(&active_key(*id))
             {
                 continue;
             }
-            if !t.room(2, 128) || !paid(2.0, Class::Completion) {
+            if !t.room(2, 128) || !paid(2.0, CallPriority::Completion) {
                 break;
             }
-            // The end has no stamp of its own to compare: a job that is still active has
+            // The end has no mod revision of its own to compare: a job that is still active has
             // no end yet.
             f.ends.push(*id);
-            t.put_end(*id, j.stamp);
+            t.put_end(*id, j.mod_revision);
         }
-        let stamp = |key: &str| self.stamps.get(key).copied().unwrap_or(0);
+        let mod_revision = |key: &str| self.mod_revisions.get(key).copied().unwrap_or(0);
         let shut = |key: &str| self.refresh.contains_key(key) || self.parked.contains_key(key);
         // In turn: few fit into one transaction, and each has machines that wait for it.
-        let after = self.roster_dirty.range((Excluded(self.roster_last), Unbounded));
+        let after = self.registry_dirty.range((Excluded(self.registry_last), Unbounded));
         let order: Vec<usize> =
-            after.chain(self.roster_dirty.range(..=self.roster_last)).copied().collect();
+            after.chain(self.registry_dirty.range(..=self.registry_last)).copied().collect();
         for part in order {
-            let key = roster_key(part);
+            let key = machine_registry_key(part);
             if shut(&key)
-                || self.roster_waits.get(&part).is_some_and(|w| !w.is_empty())
-                || !t.room(1, self.roster_bytes[part])
-                || !paid(1.0, Class::Request)
+                || self.registry_waits.get(&part).is_some_and(|w| !w.is_empty())
+                || !t.room(1, self.registry_bytes[part])
+                || !paid(1.0, CallPriority::Request)
             {
                 continue;
             }
-            self.roster_dirty.remove(&part);
-            self.roster_last = part;
-            let may_hold = self.roster[part].iter().filter(|e| !e.free);
-            f.roster.push((part, may_hold.map(|e| e.id.clone()).collect()));
+            self.registry_dirty.remove(&part);
+            self.registry_last = part;
+            let may_hold = self.registry[part].iter().filter(|e| !e.free);
+            f.registry.push((part, may_hold.map(|e| e.id.clone()).collect()));
             f.keys.push(key.clone());
-            t.put(stamp(&key), key, encode(&self.roster[part]));
+            t.put(mod_revision(&key), key, encode(&self.registry[part]));
         }
-        if self.ledger_due && !shut(LEDGER) && t.room(1, 4096) && paid(1.0, Class::Completion) {
+        if self.ledger_due
+            && !shut(LEDGER_KEY)
+            && t.room(1, 4096)
+            && paid(1.0, CallPriority::Completion)
+        {
             self.ledger_due = false;
             f.ledger = true;
             let leases_end = ctx.wall + (ctx.cfg.policy.lease_term_s * 1000.0) as WallMs;
-            f.keys.push(LEDGER.into());
+            f.keys.push(LEDGER_KEY.into());
             let sick = self.jobs.values().filter(|j| j.ended.is_none() && j.health.suspect());
             let suspects = sick.map(|j| j.id).take(SUSPECTS_TOLD).collect();
             let record = self.ledger.record(ctx.cfg, leases_end, suspects);
-            t.put(stamp(LEDGER), LEDGER.into(), encode(&record));
+            t.put(mod_revision(LEDGER_KEY), LEDGER_KEY.into(), encode(&record));
         }
-        if self.preferred_zone_due && !shut(HOME) && t.room(1, 256) && paid(1.0, Class::Rest) {
+        if self.preferred_zone_due
+            && !shut(PRIMARY_ZONE_KEY)
+            && t.room(1, 256)
+            && paid(1.0, CallPriority::Rest)
+        {
             self.preferred_zone_due = false;
-            f.home = true;
-            f.keys.push(HOME.into());
-            t.put(stamp(HOME), HOME.into(), encode(&self.home));
+            f.primary_zone = true;
+            f.keys.push(PRIMARY_ZONE_KEY.into());
+            t.put(
+                mod_revision(PRIMARY_ZONE_KEY),
+                PRIMARY_ZONE_KEY.into(),
+                encode(&self.primary_zone),
+            );
         }
         if now >= self.next_parts && !self.unwritten.is_empty() {
             // Were the lowest ids written first each time, the others' completions would
@@ -152,14 +168,14 @@
                         continue;
                     }
                     let text = j.done.part(part);
-                    if !t.room(1, text.len()) || !paid(1.0, Class::Rest) {
+                    if !t.room(1, text.len()) || !paid(1.0, CallPriority::Rest) {
                         left = true;
                         break 'jobs;
                     }
                     j.dirty.remove(&part);
                     j.parts.insert(part);
                     f.keys.push(key.clone());
-                    t.put(stamp(&key), key, encode(&text));
+                    t.put(mod_revision(&key), key, encode(&text));
                     f.parts.push((id, part, text));
                 }
                 self.written_last = id;
@@ -168,30 +184,30 @@
                 }
             }
             if !left {
-                self.next_parts = now + ctx.cfg.report_ms;
+                self.next_parts = now + ctx.cfg.heartbeat_interval_ms;
             }
         }
         while let Some((job, part)) = self.cleanup.first().copied() {
-            if !t.room(1, 0) || !paid(1.0, Class::Rest) {
+            if !t.room(1, 0) || !paid(1.0, CallPriority::Rest) {
                 break;
             }
             self.cleanup.pop_first();
             t.remove(done_key(job, part));
             f.cleaned.push((job, part));
         }
-        let Txn { conds, puts, removes, .. } = t;
-        f.changes = puts.len() + removes.len();
+        let Txn { preconditions, puts, deletes, .. } = t;
+        f.changes = puts.len() + deletes.len();
         if f.changes == 0 {
             return;
         }
-        if !calls.pay(now, Class::Completion) {
+        if !calls.pay(now, CallPriority::Completion) {
             self.undo(ctx, f);
             self.flush_not_before = now + 20;
             return;
         }
         self.flush_in_flight = true;
         let purpose = Purpose::PendingWrite { token: self.token, flush: Box::new(f) };
-        let op = StateOp::Txn { conds, puts, removes };
+        let op = StoreRequest::Transaction { preconditions, puts, deletes };
         calls.state(purpose, op, ctx.cfg.leader_lease_ms() / 4);
     }
 
@@ -202,36 +218,36 @@
                 self.unwritten.insert(job);
             }
         }
-        self.roster_dirty.extend(f.roster.into_iter().map(|(p, _)| p));
+        self.registry_dirty.extend(f.registry.into_iter().map(|(p, _)| p));
         self.cleanup.extend(f.cleaned);
         self.ledger_due |= f.ledger;
-        self.preferred_zone_due |= f.home;
-        self.next_parts = self.next_parts.min(ctx.now + ctx.cfg.report_ms / 4);
+        self.preferred_zone_due |= f.primary_zone;
+        self.next_parts = self.next_parts.min(ctx.now + ctx.cfg.heartbeat_interval_ms / 4);
     }
 
     pub fn flush_answer(
         &mut self,
         ctx: &Context,
         mut f: PendingWrite,
-        reply: StateReply,
+        reply: StoreReply,
     ) -> WriteOutcome {
         self.flush_in_flight = false;
         let mut out = WriteOutcome::default();
         match reply {
-            StateReply::Committed { revision } => {
+            StoreReply::Committed { revision } => {
                 self.changes_most = self.changes_most.saturating_mul(2);
                 for key in f.keys {
-                    self.stamps.insert(key, revision);
+                    self.mod_revisions.insert(key, revision);
                 }
                 for (job, part, text) in f.parts {
                     if let Some(j) = self.jobs.get_mut(&job) {
                         j.durable.add_part(part, &text);
                     }
                 }
-                for (part, ids) in f.roster {
-                    self.roster_written(part);
+                for (part, ids) in f.registry {
+                    self.registry_written(part);
                     let still: HashSet<&MachineId> =
-                        self.roster[part].iter().filter(|e| !e.free).map(|e| &e.id).collect();
+                        self.registry[part].iter().filter(|e| !e.free).map(|e| &e.id).collect();
                     for id in ids.iter().filter(|id| still.contains(id)) {
                         if let Some(m) = self.machines.get_mut(id).filter(|m| m.free_in.is_empty())
                         {
@@ -242,8 +258,8 @@
                 }
                 out.ends = f.ends;
             }
-            StateReply::Conflict { failed } => {
-                out.deposed = failed.iter().any(|k| k == LEADER);
+            StoreReply::Conflict { failed } => {
+                out.deposed = failed.iter().any(|k| k == LEADER_KEY);
                 let ends = std::mem::take(&mut f.ends);
                 out.read = ends.into_iter().filter(|j| failed.contains(&active_key(*j))).collect();
                 for key in failed.into_iter().filter(|k| f.keys.contains(k)) {
@@ -251,7 +267,7 @@
                 }
                 self.undo(ctx, f);
             }
-            StateReply::Rejected => {
+            StoreReply::Rejected => {
                 // Written again as it is, it would be rejected for ever, and nothing after it
                 // would be written: fewer changes at once, and what is rejected alone rests.
                 self.changes_most = (f.changes / 2).max(1);
@@ -264,33 +280,33 @@
                     f.cleaned.clear();
                 }
                 self.undo(ctx, f);
-                self.flush_not_before = ctx.now + ctx.cfg.report_ms / 4;
+                self.flush_not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
             }
-            StateReply::Refused => {
+            StoreReply::Refused => {
                 self.undo(ctx, f);
-                self.flush_not_before = ctx.now + ctx.cfg.report_ms / 4;
+                self.flush_not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
             }
             _ => {
                 // It may yet be carried out. Every key is written again only with the
-                // stamp it has by then, so the late one and ours cannot both win.
+                // mod revision it has by then, so the late one and ours cannot both win.
                 for key in std::mem::take(&mut f.keys) {
                     self.refresh.insert(key, false);
                 }
                 self.undo(ctx, f);
-                self.flush_not_before = ctx.now + ctx.cfg.report_ms / 4;
+                self.flush_not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
             }
         }
         out
     }
 
-    pub fn refresh_answer(&mut self, key: String, reply: StateReply) {
+    pub fn refresh_answer(&mut self, key: String, reply: StoreReply) {
         match reply {
-            StateReply::Found(i) => {
-                self.stamps.insert(key.clone(), i.stamp);
+            StoreReply::KeyValue(i) => {
+                self.mod_revisions.insert(key.clone(), i.mod_revision);
                 self.refresh.remove(&key);
             }
-            StateReply::Missing => {
-                self.stamps.remove(&key);
+            StoreReply::NotFound => {
+                self.mod_revisions.remove(&key);
                 self.refresh.remove(&key);
             }
             _ => {
@@ -301,5 +317,5 @@
 }
 
 #[cfg(test)]
-#[path = "writing_tests.rs"]
+#[path = "flush_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/leadership/roster.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
@@ -1,13 +1,13 @@
-//! The roster: which machines may hold tasks. A name leaves it only when its machine is gone
+//! The machine registry: which machines may hold tasks. A name leaves it only when its machine is gone
 //! for certain, and no part of it says that nothing runs where something may.
 
-use super::*;
+use crate::leader::*;
 
-impl Leadership {
-    /// Puts a machine on the roster, as one where nothing runs yet.
-    pub(super) fn add_to_roster(&mut self, ctx: &Context, machine: &MachineId) {
+impl Leader {
+    /// Puts a machine on the machine registry, as one where nothing runs yet.
+    pub(in crate::leader) fn add_to_registry(&mut self, ctx: &Context, machine: &MachineId) {
         let Some(m) = self.machines.get_mut(machine).filter(|m| m.part.is_none()) else { return };
-        let mut entry = RosterEntry {
+        let mut entry = MachineRecord {
             id: m.id.clone(),
             machine_type: m.machine_type.clone(),
             zone: m.zone.clone(),
@@ -17,43 +17,48 @@
         let most = ctx.cfg.value_bytes * 9 / 10;
         let size = encode(&entry).len() + 1;
         let part = self
-            .roster_bytes
+            .registry_bytes
             .iter()
             .position(|bytes| bytes + size <= most)
-            .unwrap_or(self.roster.len());
-        if part == self.roster.len() {
-            self.roster.push(Vec::new());
-            self.roster_bytes.push(2);
+            .unwrap_or(self.registry.len());
+        if part == self.registry.len() {
+            self.registry.push(Vec::new());
+            self.registry_bytes.push(2);
         }
         entry.free = true;
-        self.roster[part].push(entry);
-        self.roster_bytes[part] += size;
-        self.roster_dirty.insert(part);
+        self.registry[part].push(entry);
+        self.registry_bytes[part] += size;
+        self.registry_dirty.insert(part);
         m.part = Some(part);
     }
 
-    /// Notes on the roster whether anything may run on a machine. As long as it says that
+    /// Notes on the machine registry whether anything may run on a machine. As long as it says that
     /// nothing does, or may come to say so, nothing is started there: the next leader
     /// does not wait for a word of it.
-    pub(super) fn note_free(&mut self, machine: &MachineId, free: bool) {
+    pub(in crate::leader) fn note_free(&mut self, machine: &MachineId, free: bool) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let Some(part) = m.part else { return };
-        let entry = self.roster[part].iter_mut().find(|e| e.id == *machine);
+        let entry = self.registry[part].iter_mut().find(|e| e.id == *machine);
         let Some(entry) = entry.filter(|e| e.free != free) else { return };
         entry.free = free;
         m.durable = false;
-        self.roster_dirty.insert(part);
+        self.registry_dirty.insert(part);
     }
 
     /// The machine is gone for certain: its release was answered.
-    pub(super) fn remove_gone(&mut self, ctx: &Context, calls: &mut Calls, machine: &MachineId) {
+    pub(in crate::leader) fn remove_gone(
+        &mut self,
+        ctx: &Context,
+        calls: &mut Calls,
+        machine: &MachineId,
+    ) {
         let Some(mut m) = self.machines.remove(machine) else { return };
-        let changes = m.lapse();
+        let changes = m.expire_lease();
         self.apply(ctx, calls, machine, changes);
         if let Some(part) = m.part {
-            self.roster[part].retain(|e| e.id != *machine);
-            self.roster_bytes[part] = encode(&self.roster[part]).len();
-            self.roster_dirty.insert(part);
+            self.registry[part].retain(|e| e.id != *machine);
+            self.registry_bytes[part] = encode(&self.registry[part]).len();
+            self.registry_dirty.insert(part);
         }
         self.returned.add(machine);
         self.changed = true;
@@ -64,17 +69,17 @@
     /// anything is added to them. What moves is written in its new place first, and only
     /// then is the old one overwritten, so that each name is somewhere at any moment; a
     /// leader that comes in between finds some twice.
-    pub(super) fn mend_roster(&mut self, ctx: &Context) {
+    pub(in crate::leader) fn repair_registry(&mut self, ctx: &Context) {
         self.join_twice_named();
         let most = ctx.cfg.value_bytes * 9 / 10;
-        for part in 0..self.roster.len() {
-            if self.roster_bytes[part] <= ctx.cfg.value_bytes {
+        for part in 0..self.registry.len() {
+            if self.registry_bytes[part] <= ctx.cfg.value_bytes {
                 continue;
             }
-            let mut chunks: Vec<Vec<RosterEntry>> = vec![Vec::new()];
+            let mut chunks: Vec<Vec<MachineRecord>> = vec![Vec::new()];
             let mut bytes = 2;
-            for e in std::mem::take(&mut self.roster[part]) {
-                let size = encode(&RosterEntry { free: false, ..e.clone() }).len() + 1;
+            for e in std::mem::take(&mut self.registry[part]) {
+                let size = encode(&MachineRecord { free: false, ..e.clone() }).len() + 1;
                 if bytes + size > most {
                     chunks.push(Vec::new());
                     bytes = 2;
@@ -85,20 +90,20 @@
                 }
             }
             for (n, chunk) in chunks.into_iter().enumerate() {
-                let to = if n == 0 { part } else { self.roster.len() };
+                let to = if n == 0 { part } else { self.registry.len() };
                 if n > 0 {
-                    self.roster.push(Vec::new());
-                    self.roster_bytes.push(2);
-                    self.roster_waits.entry(part).or_default().insert(to);
+                    self.registry.push(Vec::new());
+                    self.registry_bytes.push(2);
+                    self.registry_waits.entry(part).or_default().insert(to);
                     for e in &chunk {
                         let Some(m) = self.machines.get_mut(&e.id) else { continue };
                         m.part = Some(to);
                         m.free_in.extend(e.free.then_some(part));
                     }
                 }
-                self.roster_bytes[to] = encode(&chunk).len();
-                self.roster[to] = chunk;
-                self.roster_dirty.insert(to);
+                self.registry_bytes[to] = encode(&chunk).len();
+                self.registry[to] = chunk;
+                self.registry_dirty.insert(to);
             }
         }
     }
@@ -107,8 +112,8 @@
     /// something unless both say that it does not.
     fn join_twice_named(&mut self) {
         let mut first: HashMap<MachineId, usize> = HashMap::new();
-        let mut twice: Vec<(usize, usize, RosterEntry)> = Vec::new();
-        for (part, entries) in self.roster.iter_mut().enumerate() {
+        let mut twice: Vec<(usize, usize, MachineRecord)> = Vec::new();
+        for (part, entries) in self.registry.iter_mut().enumerate() {
             entries.retain(|e| match first.get(&e.id) {
                 Some(at) => {
                     twice.push((*at, part, e.clone()));
@@ -121,7 +126,9 @@
             });
         }
         for (at, part, second) in twice {
-            let Some(e) = self.roster[at].iter_mut().find(|e| e.id == second.id) else { continue };
+            let Some(e) = self.registry[at].iter_mut().find(|e| e.id == second.id) else {
+                continue;
+            };
             let kept_free = e.free;
             e.free &= second.free;
             let free = e.free;
@@ -133,30 +140,30 @@
                 m.free_in.extend(kept_free.then_some(at));
                 m.free_in.extend(second.free.then_some(part));
             }
-            self.roster_dirty.extend([at, part]);
+            self.registry_dirty.extend([at, part]);
             if at != part {
-                self.roster_waits.entry(part).or_default().insert(at);
+                self.registry_waits.entry(part).or_default().insert(at);
             }
-            self.roster_bytes[at] = encode(&self.roster[at]).len();
-            self.roster_bytes[part] = encode(&self.roster[part]).len();
+            self.registry_bytes[at] = encode(&self.registry[at]).len();
+            self.registry_bytes[part] = encode(&self.registry[part]).len();
         }
     }
 
     /// A part was written: those that waited for it may follow, and what it said before
     /// stands no more.
-    pub(super) fn roster_written(&mut self, part: usize) {
-        for waits in self.roster_waits.values_mut() {
+    pub(in crate::leader) fn registry_written(&mut self, part: usize) {
+        for waits in self.registry_waits.values_mut() {
             waits.remove(&part);
         }
-        self.roster_waits.retain(|_, waits| !waits.is_empty());
+        self.registry_waits.retain(|_, waits| !waits.is_empty());
         for m in self.machines.values_mut() {
             if m.free_in.remove(&part) {
-                self.roster_dirty.extend(m.part);
+                self.registry_dirty.extend(m.part);
             }
         }
     }
 }
 
 #[cfg(test)]
-#[path = "roster_tests.rs"]
+#[path = "machine_registry_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/leadership/allotting.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -1,4 +1,4 @@
-//! What the leader lets each node accept: the loads of the teams, and the writes of allotments.
+//! What the leader lets each controller accept: the loads of the teams, and the writes of allotments.
 
 use super::*;
 use crate::settings::Settings;
@@ -54,7 +54,7 @@
         &mut self,
         cfg: &Settings,
         now: Ms,
-        (token, leader_stamp): (Token, u64),
+        (token, leader_stamp): (FencingToken, u64),
         calls: &mut Calls,
     ) {
         let Some(first) = self.due.front().filter(|_| !self.in_flight && now >= self.not_before)
@@ -63,31 +63,34 @@
         };
         let team = first.allotment.team.clone();
         let of_team = self.due.iter().take_while(|grant| grant.allotment.team == team).count();
-        let count = of_team.min(cfg.txn_ops.max(1));
-        if !calls.writes.take(now, count as f64, Class::Completion)
-            || !calls.pay(now, Class::Completion)
+        let count = of_team.min(cfg.transaction_ops.max(1));
+        if !calls.writes.take(now, count as f64, CallPriority::Completion)
+            || !calls.pay(now, CallPriority::Completion)
         {
             return;
         }
         let grants: Vec<Grant> = self.due.drain(..count).collect();
-        let key = |grant: &Grant| allotment_key(&grant.allotment.team, &grant.allotment.node);
-        let mut conds = vec![(LEADER.to_string(), leader_stamp)];
-        conds.extend(grants.iter().map(|grant| (key(grant), grant.replaces)));
-        let put =
-            |grant: &Grant| Put { key: key(grant), value: encode(&grant.allotment), loan: None };
+        let key = |grant: &Grant| allotment_key(&grant.allotment.team, &grant.allotment.controller);
+        let mut preconditions = vec![(LEADER_KEY.to_string(), leader_stamp)];
+        preconditions.extend(grants.iter().map(|grant| (key(grant), grant.replaces)));
+        let put = |grant: &Grant| PutRequest {
+            key: key(grant),
+            value: encode(&grant.allotment),
+            lease_id: None,
+        };
         let puts = grants.iter().map(put).collect();
         self.in_flight = true;
-        let op = StateOp::Txn { conds, puts, removes: Vec::new() };
+        let op = StoreRequest::Transaction { preconditions, puts, deletes: Vec::new() };
         let patience = cfg.leader_lease_ms() / 4;
         calls.state(Purpose::Allot { token, grants }, op, patience);
     }
 
-    /// What became of a write. True if another node leads.
-    pub fn answer(&mut self, grants: &[Grant], reply: &StateReply) -> bool {
+    /// What became of a write. True if another controller leads.
+    pub fn answer(&mut self, grants: &[Grant], reply: &StoreReply) -> bool {
         self.in_flight = false;
         let written = match reply {
-            StateReply::Committed { .. } => Written::Done,
-            StateReply::Conflict { .. } | StateReply::Refused | StateReply::Rejected => {
+            StoreReply::Committed { .. } => Written::Done,
+            StoreReply::Conflict { .. } | StoreReply::Refused | StoreReply::Rejected => {
                 Written::Not
             }
             _ => Written::Perhaps,
@@ -95,12 +98,12 @@
         for grant in grants {
             self.planner.written(grant, written);
         }
-        matches!(reply, StateReply::Conflict { failed } if failed.iter().any(|k| k == LEADER))
+        matches!(reply, StoreReply::Conflict { failed } if failed.iter().any(|k| k == LEADER_KEY))
     }
 }
 
-impl Leadership {
-    /// Once a round: what each node may accept from now on.
+impl Leader {
+    /// Once a round: what each controller may accept from now on.
     pub(super) fn plan_allotments(&mut self, ctx: &Context, calls: &mut Calls) {
         let Some(bounds) = ctx.cfg.admission_bounds() else { return };
         let received = self.ledger.teams.iter().map(|team| team.received).collect();
@@ -109,18 +112,18 @@
         for grant in std::mem::take(&mut self.allotting.due) {
             self.allotting.planner.written(&grant, Written::Not);
         }
-        if !ctx.entitled || !ctx.view_is_fresh || self.allotting.in_flight {
+        if !ctx.holds_valid_lease || !ctx.job_cache_is_fresh || self.allotting.in_flight {
             return;
         }
         let teams = self.team_loads(ctx, bounds.horizon_s);
-        let grants = self.allotting.planner.plan(&ctx.table.admission, &bounds, &teams);
+        let grants = self.allotting.planner.plan(&ctx.job_cache.admission, &bounds, &teams);
         for grant in &grants {
-            let Allotment { team, node, classes, .. } = &grant.allotment;
+            let Allotment { team, controller, classes, .. } = &grant.allotment;
             let rooms: Vec<String> = classes
                 .iter()
                 .map(|class| format!("{}:{}/{:.0}", class.class, class.jobs, class.work))
                 .collect();
-            let detail = format!("team={team} to={node} classes={}", rooms.join(","));
+            let detail = format!("team={team} to={controller} classes={}", rooms.join(","));
             calls.log(Level::Info, "allotted", detail);
         }
         self.allotting.due = grants.into();
@@ -128,7 +131,7 @@
 
     fn team_loads(&self, ctx: &Context, horizon_s: f64) -> Vec<TeamLoad> {
         let mut classes: Vec<BTreeMap<&str, Admitted>> = vec![BTreeMap::new(); ctx.cfg.teams.len()];
-        for (id, active) in &ctx.table.active {
+        for (id, active) in &ctx.job_cache.active {
             let Some(team) = ctx.cfg.team(&active.spec.team) else { continue };
             let mut demand = active.spec.demand();
             if let Some(job) = self.jobs.get(id) {
--- a/crates/basaltrail-core/src/leadership/class_shares.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
@@ -3,7 +3,7 @@
 //! Within a team the ranking goes by priority first: a class of low priority would wait for as
 //! long as more comes of the others than the team can run.
 
-use super::*;
+use crate::leader::*;
 
 /// CPUs in use by team and class.
 struct ClassUse<'a> {
@@ -19,7 +19,7 @@
     }
 }
 
-impl Leadership {
+impl Leader {
     fn class_use(&self, ctx: &Context) -> ClassUse<'_> {
         let mut found = ClassUse { cpus: HashMap::new(), of_team: vec![0.0; ctx.cfg.teams.len()] };
         for machine in self.machines.values() {
@@ -35,7 +35,7 @@
 
     /// Of each class of these waiting jobs that lacks some of its least share: the job that came
     /// first, and how many of its tasks make up for it.
-    pub(super) fn classes_behind(
+    pub(in crate::leader) fn classes_behind(
         &self,
         ctx: &Context,
         waiting: &[Vec<JobId>],
--- a/crates/basaltrail-core/src/leadership/placing.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -1,11 +1,11 @@
 //! Rounds: who goes first, where to, and who makes room.
 
-use super::guarantee::TeamNeed;
-use super::*;
+use super::guarantees::TeamNeed;
+use crate::leader::*;
 
 /// What a pass over all machines found, for those that report before the next one.
 #[derive(Default)]
-pub(super) struct Pass {
+pub(in crate::leader) struct Pass {
     /// By team, as ranked; those that found room since are still among them.
     waiting: Vec<Vec<JobId>>,
     /// What may be in use by team. What has ended since still counts.
@@ -16,25 +16,25 @@
     held: Option<MachineId>,
     /// Services that go before the ranking, and the room that is kept for more.
     pressing: Vec<JobId>,
-    ready: standing::ReservedCapacity,
+    ready: super::services::ReservedCapacity,
 }
 
-impl Leadership {
-    pub(super) fn type_index(types: &[MachineType], name: &str) -> Option<usize> {
+impl Leader {
+    pub(in crate::leader) fn type_index(types: &[MachineType], name: &str) -> Option<usize> {
         types.iter().position(|t| t.name == name)
     }
 
-    pub(super) fn usable(&self, ctx: &Context, m: &Machine) -> bool {
+    pub(in crate::leader) fn usable(&self, ctx: &Context, m: &Machine) -> bool {
         m.reconciled
             && m.hears
             && ctx.now >= m.deaf_until
             && m.durable
-            && !m.lapsed
-            && m.returning == Returning::No
+            && !m.lease_expired
+            && m.decommission == Decommission::No
             && !m.notice(ctx.now)
             && !m.faulty(ctx.now, ctx.cfg.lease_ms)
             && ctx.now >= m.no_room_until
-            && m.last_checkin.is_some_and(|t| ctx.now <= t + ctx.cfg.report_ms * 2)
+            && m.last_heartbeat.is_some_and(|t| ctx.now <= t + ctx.cfg.heartbeat_interval_ms * 2)
     }
 
     /// What a machine has left for new tasks.
@@ -54,7 +54,7 @@
     }
 
     /// (cpus, gpus) per team that may be in use anywhere.
-    pub(super) fn usage(&self, ctx: &Context) -> Vec<(f64, f64)> {
+    pub(in crate::leader) fn usage(&self, ctx: &Context) -> Vec<(f64, f64)> {
         let mut used = vec![(0.0, 0.0); ctx.cfg.teams.len()];
         for m in self.machines.values() {
             let unsure = !m.reconciled || m.entries.values().any(|e| e.holds() && e.need.is_none());
@@ -80,7 +80,7 @@
 
     /// Kinds of the machines on which tasks of earlier leaders may run that no report has
     /// shown to this leader yet.
-    fn unreconciled_kinds(&self) -> BTreeSet<Kind> {
+    fn unreconciled_kinds(&self) -> BTreeSet<MachineKind> {
         self.machines.values().filter(|m| !m.reconciled).map(Machine::kind).collect()
     }
 
@@ -88,8 +88,9 @@
     /// reported to this leader. A job accepted since the takeover cannot have been started,
     /// and no leader of any version starts a task on a kind of machine that its job does
     /// not permit.
-    fn may_run_unseen(&self, job: &RunJob, unreconciled: &BTreeSet<Kind>) -> bool {
-        job.stamp <= self.stamp && unreconciled.iter().any(|kind| kind.permitted_by(&job.spec))
+    fn may_run_unseen(&self, job: &RunJob, unreconciled: &BTreeSet<MachineKind>) -> bool {
+        job.mod_revision <= self.mod_revision
+            && unreconciled.iter().any(|kind| kind.permitted_by(&job.spec))
     }
 
     fn accrue(&mut self, ctx: &Context) -> f64 {
@@ -97,7 +98,7 @@
         let mut running = vec![0.0; teams];
         let mut by_job: HashMap<JobId, f64> = HashMap::new();
         let mut fleet = 0.0;
-        for m in self.machines.values().filter(|m| m.last_checkin.is_some() && !m.lapsed) {
+        for m in self.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired) {
             if let Some(i) = Self::type_index(ctx.types, &m.machine_type) {
                 fleet += ctx.types[i].cpus;
             }
@@ -124,7 +125,11 @@
 
     /// Which jobs can be in time, team by team and the higher priorities first: a team may
     /// begin at once what it lacks of its share, and as much more as its tasks end.
-    pub(super) fn find_reach(&self, ctx: &Context, used: &[(f64, f64)]) -> HashMap<JobId, f64> {
+    pub(in crate::leader) fn find_reach(
+        &self,
+        ctx: &Context,
+        used: &[(f64, f64)],
+    ) -> HashMap<JobId, f64> {
         let mut reach = HashMap::new();
         for (team, (used, _)) in used.iter().enumerate() {
             let mut open: BTreeMap<Reverse<Priority>, Vec<Candidate>> = BTreeMap::new();
@@ -167,12 +172,17 @@
         reach
     }
 
-    pub(super) fn place(&mut self, ctx: &Context, calls: &mut Calls, rng: &mut SmallRng) {
+    pub(in crate::leader) fn place(
+        &mut self,
+        ctx: &Context,
+        calls: &mut Calls,
+        rng: &mut SmallRng,
+    ) {
         if ctx.now < self.next_place || ctx.types.is_empty() {
             return;
         }
         self.changed = false;
-        self.next_place = ctx.now + ctx.cfg.report_ms / 20;
+        self.next_place = ctx.now + ctx.cfg.heartbeat_interval_ms / 20;
         self.fleet_cpus = self.accrue(ctx);
         self.visited += self.machines.values().map(|m| 1 + m.entries.len() as u64).sum::<u64>();
         let unreconciled = self.unreconciled_kinds();
@@ -337,9 +347,16 @@
     /// Places on the machine that reports now, by the ranking of the last pass, so that the
     /// answer carries the starts. Were they left to the next pass, they would go out with
     /// the answer to the next report, and its room would be idle until then.
-    pub(super) fn fill(&mut self, ctx: &Context, machine: &MachineId, rng: &mut SmallRng) {
+    pub(in crate::leader) fn fill(
+        &mut self,
+        ctx: &Context,
+        machine: &MachineId,
+        rng: &mut SmallRng,
+    ) {
         let room = self.machines.get(machine).and_then(|m| self.room(ctx, m));
-        let Some(room) = room.filter(|_| ctx.entitled && ctx.view_is_fresh) else { return };
+        let Some(room) = room.filter(|_| ctx.holds_valid_lease && ctx.job_cache_is_fresh) else {
+            return;
+        };
         let Some(mut pass) = self.pass.take() else { return };
         self.visited += 1;
         let mut rooms = vec![room];
@@ -399,7 +416,12 @@
     }
 
     /// Tasks of a job that its team's limit still allows.
-    pub(super) fn limit_room(&self, ctx: &Context, id: JobId, used: &[(f64, f64)]) -> u32 {
+    pub(in crate::leader) fn limit_room(
+        &self,
+        ctx: &Context,
+        id: JobId,
+        used: &[(f64, f64)],
+    ) -> u32 {
         let Some(j) = self.jobs.get(&id) else { return 0 };
         ctx.cfg.teams[j.team].room(used[j.team], &j.spec).min(j.pending())
     }
@@ -498,15 +520,16 @@
     }
 
     /// Where the tasks of a job may be, if its zones are restricted.
-    pub(super) fn spread_of(&self, id: JobId) -> Spread {
+    pub(in crate::leader) fn spread_of(&self, id: JobId) -> Spread {
         let mut spread = Spread::default();
         let restricted = self.jobs.get(&id).is_some_and(|job| job.spec.one_zone || job.spec.spread);
         if !restricted {
             return spread;
         }
         for machine in self.machines.values() {
-            let of_job =
-                |((task, _), entry): &(&(TaskId, Attempt), &Entry)| task.job == id && entry.holds();
+            let of_job = |((task, _), entry): &(&(TaskId, Attempt), &TaskSlot)| {
+                task.job == id && entry.holds()
+            };
             let tasks = machine.entries.iter().filter(of_job).count();
             if tasks > 0 {
                 spread.add(&machine.zone, tasks as u32);
@@ -559,8 +582,8 @@
             j.placed.insert(index, (machine.clone(), attempt));
             m.entries.insert(
                 (task, attempt),
-                Entry {
-                    place: Place::Assigned { at: ctx.now },
+                TaskSlot {
+                    place: TaskPhase::Assigned { at: ctx.now },
                     need,
                     stop: None,
                     stop_sent: None,
@@ -588,5 +611,5 @@
 }
 
 #[cfg(test)]
-#[path = "placing_tests.rs"]
+#[path = "cycle_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/leadership/placing_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle_tests.rs
@@ -19,20 +19,20 @@
         objectives: vec![Objective::Finished { class: "c".into(), within_s: 400.0 }],
         ..settings()
     };
-    let mut table = Table::new(10);
-    table.put_active(JobId(1), 1, JobRecord::new(0, a_job(100, true)));
+    let mut job_cache = JobCache::new(10);
+    job_cache.put_active(JobId(1), 1, JobRecord::new(0, a_job(100, true)));
     let ctx = Context {
         cfg: &cfg,
         types: &[],
-        table: &table,
+        job_cache: &job_cache,
         now: 0,
         wall: 0,
-        entitled: true,
-        view_is_fresh: true,
+        holds_valid_lease: true,
+        job_cache_is_fresh: true,
     };
-    let mut leadership = Leadership::new(&ctx, Token(2), 1);
-    leadership.fleet_cpus = 1_000.0;
-    assert!(leadership.find_reach(&ctx, &[(0.0, 0.0); 2]).contains_key(&JobId(1)));
-    leadership.fleet_cpus = 50.0;
-    assert!(!leadership.find_reach(&ctx, &[(0.0, 0.0); 2]).contains_key(&JobId(1)));
+    let mut leader = Leader::new(&ctx, FencingToken(2), 1);
+    leader.fleet_cpus = 1_000.0;
+    assert!(leader.find_reach(&ctx, &[(0.0, 0.0); 2]).contains_key(&JobId(1)));
+    leader.fleet_cpus = 50.0;
+    assert!(!leader.find_reach(&ctx, &[(0.0, 0.0); 2]).contains_key(&JobId(1)));
 }
--- a/crates/basaltrail-core/src/reach.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
@@ -62,5 +62,5 @@
 }
 
 #[cfg(test)]
-#[path = "reach_tests.rs"]
+#[path = "deadline_feasibility_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/leadership/guarantee.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/guarantees.rs
@@ -49,5 +49,5 @@
 }
 
 #[cfg(test)]
-#[path = "guarantee_tests.rs"]
+#[path = "guarantees_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/leadership/preempting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -1,20 +1,20 @@
 //! Who makes room for work that must not wait.
 
-use super::*;
+use crate::leader::*;
 
 /// CPUs that can soon be used, by kind of machine.
 #[derive(Default)]
 struct ComingRoom {
-    cpus: BTreeMap<Kind, f64>,
+    cpus: BTreeMap<MachineKind, f64>,
 }
 
 impl ComingRoom {
-    fn add(&mut self, kind: Kind, cpus: f64) {
+    fn add(&mut self, kind: MachineKind, cpus: f64) {
         *self.cpus.entry(kind).or_default() += cpus;
     }
 
     /// Takes up to `want` CPUs of the kinds that are useful; returns how many it took.
-    fn take(&mut self, want: f64, useful: impl Fn(&Kind) -> bool) -> f64 {
+    fn take(&mut self, want: f64, useful: impl Fn(&MachineKind) -> bool) -> f64 {
         let mut taken = 0.0;
         for (_, cpus) in self.cpus.iter_mut().filter(|(kind, _)| useful(kind)) {
             let part = cpus.min(want - taken);
@@ -27,7 +27,7 @@
 
 /// A task that may be stopped for others.
 #[derive(Clone, Debug)]
-pub(super) struct Victim {
+pub(in crate::leader) struct Victim {
     machine: MachineId,
     key: (TaskId, Attempt),
     need: Need,
@@ -37,10 +37,10 @@
 /// the youngest.
 type VictimRank = (Priority, i64, Ms);
 
-impl Leadership {
+impl Leader {
     /// Tasks that may be stopped for others, in the order in which they go. Checkpointing work
     /// only: what cannot save would lose all it has done.
-    pub(super) fn victims(&self, ctx: &Context) -> Vec<Victim> {
+    pub(in crate::leader) fn victims(&self, ctx: &Context) -> Vec<Victim> {
         let mut ranked: Vec<(VictimRank, Victim)> = Vec::new();
         for m in self.machines.values().filter(|m| self.usable(ctx, m)) {
             for (key, e) in &m.entries {
@@ -86,7 +86,7 @@
         let mut coming = ComingRoom::default();
         for room in rooms {
             let machine_type = ctx.types[room.type_index].name.clone();
-            let kind = Kind { machine_type, zone: room.zone.clone(), spot: room.spot };
+            let kind = MachineKind { machine_type, zone: room.zone.clone(), spot: room.spot };
             coming.add(kind, room.cpus);
         }
         for machine in self.machines.values() {
@@ -100,7 +100,7 @@
     }
 
     /// Makes room for work that must not wait, at the cost of work that can save.
-    pub(super) fn preempt(
+    pub(in crate::leader) fn preempt(
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
@@ -188,5 +188,5 @@
 }
 
 #[cfg(test)]
-#[path = "preempting_tests.rs"]
+#[path = "preemption_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/leadership/preempting_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
@@ -6,17 +6,17 @@
 /// none of it ran for minutes.
 #[test]
 fn first_tasks_are_not_stopped_as_they_begin() {
-    let (cfg, types, table) = (settings(), [a_type()], Table::new(10));
+    let (cfg, types, job_cache) = (settings(), [a_type()], JobCache::new(10));
     let at = |now| Context {
         cfg: &cfg,
         types: &types,
-        table: &table,
+        job_cache: &job_cache,
         now,
         wall: 0,
-        entitled: true,
-        view_is_fresh: true,
+        holds_valid_lease: true,
+        job_cache_is_fresh: true,
     };
-    let mut leadership = Leadership::new(&at(0), Token(2), 1);
+    let mut leader = Leader::new(&at(0), FencingToken(2), 1);
     let spec = a_job(9, true);
     let id = MachineId("m-1".into());
     let mut m = Machine::new(id.clone(), "x", "a", true, 0);
@@ -30,8 +30,8 @@
             priority: Priority::Low,
             save_s: Some(2.0),
         };
-        let e = Entry {
-            place: Place::Told(TaskState::Running),
+        let e = TaskSlot {
+            place: TaskPhase::Told(TaskState::Running),
             need: Some(need),
             stop: None,
             stop_sent: None,
@@ -42,10 +42,10 @@
         };
         m.entries.insert((TaskId { job: JobId(1), index }, Attempt(index as u64)), e);
     }
-    leadership.machines.insert(id.clone(), m);
+    leader.machines.insert(id.clone(), m);
     let mut victims = |now| {
-        leadership.machines.get_mut(&id).unwrap().last_checkin = Some(now);
-        leadership.victims(&at(now)).len()
+        leader.machines.get_mut(&id).unwrap().last_heartbeat = Some(now);
+        leader.victims(&at(now)).len()
     };
     assert_eq!((victims(5_000), victims(30_500), victims(36_000)), (0, 1, 2));
 }
@@ -69,25 +69,25 @@
         gpus_max: f64::INFINITY,
     };
     let (cfg, types) = (Settings { teams: vec![team], ..settings() }, [a_type()]);
-    let mut table = Table::new(10);
-    table.put_active(JobId(1), 1, JobRecord::new(0, a_job(99, true)));
-    table.put_active(JobId(2), 2, JobRecord::new(0, service.clone()));
+    let mut job_cache = JobCache::new(10);
+    job_cache.put_active(JobId(1), 1, JobRecord::new(0, a_job(99, true)));
+    job_cache.put_active(JobId(2), 2, JobRecord::new(0, service.clone()));
     let now = 60_000;
     let ctx = Context {
         cfg: &cfg,
         types: &types,
-        table: &table,
+        job_cache: &job_cache,
         now,
         wall: now as WallMs,
-        entitled: true,
-        view_is_fresh: true,
+        holds_valid_lease: true,
+        job_cache_is_fresh: true,
     };
-    let mut leadership = Leadership::new(&ctx, Token(2), 1);
+    let mut leader = Leader::new(&ctx, FencingToken(2), 1);
     // One replica runs in zone a, where no other may go.
     let kinds = [("m-1", "a", false), ("m-2", "b", true), ("m-3", "b", false), ("m-4", "a", false)];
     for (index, (name, zone, spot)) in kinds.into_iter().enumerate() {
         let mut machine = Machine::new(MachineId(name.into()), "x", zone, spot, 0);
-        (machine.hears, machine.durable, machine.last_checkin) = (true, true, Some(now));
+        (machine.hears, machine.durable, machine.last_heartbeat) = (true, true, Some(now));
         let (job, spec) = match name {
             "m-4" => (JobId(2), &service),
             _ => (JobId(1), &a_job(99, true)),
@@ -100,8 +100,8 @@
             priority: spec.priority,
             save_s: (job == JobId(1)).then_some(2.0),
         };
-        let entry = Entry {
-            place: Place::Told(TaskState::Running),
+        let entry = TaskSlot {
+            place: TaskPhase::Told(TaskState::Running),
             need: Some(need),
             stop: None,
             stop_sent: None,
@@ -112,9 +112,9 @@
         };
         let task = TaskId { job, index: index as u32 };
         machine.entries.insert((task, Attempt(index as u64)), entry);
-        leadership.machines.insert(machine.id.clone(), machine);
+        leader.machines.insert(machine.id.clone(), machine);
     }
-    leadership.reach.insert(JobId(2), 0.0);
+    leader.reach.insert(JobId(2), 0.0);
     let free_spot = Room {
         machine: MachineId("m-2".into()),
         type_index: 0,
@@ -124,8 +124,8 @@
         gpus: 0.0,
         memory_gb: 60.0,
     };
-    leadership.preempt(&ctx, &mut Calls::default(), &[JobId(2)], &[(16.0, 0.0)], &[free_spot]);
-    let stopped: Vec<String> = leadership
+    leader.preempt(&ctx, &mut Calls::default(), &[JobId(2)], &[(16.0, 0.0)], &[free_spot]);
+    let stopped: Vec<String> = leader
         .machines
         .values()
         .filter(|machine| machine.entries.values().any(|entry| entry.stop.is_some()))
--- a/crates/basaltrail-core/src/leadership/standing.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services.rs
@@ -1,7 +1,7 @@
 //! Services: replicas that run until their job is cancelled, and the room that is held ready
 //! for them.
 
-use super::*;
+use crate::leader::*;
 use std::sync::Arc;
 
 /// Services of each class for which room is held ready: one that comes, and one that lost
@@ -17,7 +17,7 @@
 const MISSED_HALVES: Ms = 7;
 
 /// The largest service of a class of late.
-pub(super) struct Shape {
+pub(in crate::leader) struct Shape {
     spec: Arc<JobSpec>,
     until: Ms,
 }
@@ -34,7 +34,7 @@
 
 /// Room held ready in a pass.
 #[derive(Default)]
-pub(super) struct ReservedCapacity {
+pub(in crate::leader) struct ReservedCapacity {
     /// What is held of each machine.
     held: BTreeMap<MachineId, Room>,
     /// What found no room, by zone.
@@ -52,7 +52,7 @@
     }
 
     /// Gives all of it back.
-    pub(super) fn release_all(self, rooms: &mut Vec<Room>) {
+    pub(in crate::leader) fn release_all(self, rooms: &mut Vec<Room>) {
         for held in self.held.into_values() {
             match rooms.iter_mut().find(|r| r.machine == held.machine) {
                 Some(r) => {
@@ -66,7 +66,7 @@
     }
 
     /// Leaves of a machine's room what is not held ready, and holds what was short.
-    pub(super) fn keep(&mut self, types: &[MachineType], room: &mut Room) {
+    pub(in crate::leader) fn keep(&mut self, types: &[MachineType], room: &mut Room) {
         if let Some(held) = self.held.get(&room.machine) {
             room.cpus -= held.cpus;
             room.gpus -= held.gpus;
@@ -95,8 +95,8 @@
         && types[room.type_index].allowed(spec)
 }
 
-impl Leadership {
-    pub(super) fn note_shape(&mut self, ctx: &Context, spec: &Arc<JobSpec>) {
+impl Leader {
+    pub(in crate::leader) fn note_shape(&mut self, ctx: &Context, spec: &Arc<JobSpec>) {
         if !presses(spec) {
             return;
         }
@@ -115,7 +115,7 @@
 
     /// Whether another replica of this service has run for a while: its failure here is then
     /// not the service's.
-    pub(super) fn service_stands(&self, ctx: &Context, task: TaskId) -> bool {
+    pub(in crate::leader) fn service_stands(&self, ctx: &Context, task: TaskId) -> bool {
         let Some(j) = self.jobs.get(&task.job).filter(|j| j.spec.is_service()) else {
             return false;
         };
@@ -128,12 +128,12 @@
     }
 
     /// Services whose replicas go before the ranking: they are missed from the first second.
-    pub(super) fn pressing(&self, id: &JobId) -> bool {
+    pub(in crate::leader) fn pressing(&self, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|j| presses(&j.spec))
     }
 
     /// Holds room ready on the machines that have some, within the guarantees.
-    pub(super) fn reserve_capacity(
+    pub(in crate::leader) fn reserve_capacity(
         &self,
         ctx: &Context,
         rooms: &mut Vec<Room>,
@@ -171,7 +171,7 @@
 
     /// Jobs of which nothing has run for long: room held ready is no reason to leave them
     /// waiting beside it.
-    pub(super) fn starving(&mut self, ctx: &Context) -> Vec<JobId> {
+    pub(in crate::leader) fn starving(&mut self, ctx: &Context) -> Vec<JobId> {
         let mut out = Vec::new();
         for j in self.jobs.values_mut() {
             let bare = j.ended.is_none() && j.pending() > 0 && j.placed.is_empty();
@@ -186,7 +186,7 @@
     }
 
     /// Machines of a kind that the services need, with what is held ready for more of them.
-    pub(super) fn standing(&self, ctx: &Context, kind: &Kind) -> usize {
+    pub(in crate::leader) fn standing(&self, ctx: &Context, kind: &MachineKind) -> usize {
         let Some(t) = ctx.types.iter().find(|t| t.name == kind.machine_type) else { return 0 };
         // Where ordinary ones may serve they do: a spot machine taken back takes a replica.
         if kind.spot {
@@ -218,7 +218,7 @@
         self.jobs.values().any(|j| j.spec.is_service())
     }
 
-    pub(super) fn with_replicas(&self) -> BTreeSet<MachineId> {
+    pub(in crate::leader) fn with_replicas(&self) -> BTreeSet<MachineId> {
         if !self.any_service() {
             return BTreeSet::new();
         }
@@ -234,29 +234,30 @@
     /// Machines with replicas that have missed some reports, by zone only where nearly all
     /// others are heard: more is a cut, of theirs or of ours. The answer to their release
     /// proves that they are gone, long before their lease would.
-    pub(super) fn silent_with_replicas(&self, ctx: &Context) -> BTreeSet<MachineId> {
+    pub(in crate::leader) fn silent_with_replicas(&self, ctx: &Context) -> BTreeSet<MachineId> {
         if !self.any_service() {
             return BTreeSet::new();
         }
         let silent = |m: &Machine, after: Ms| {
-            m.last_checkin.is_some_and(|t| ctx.now > t.max(self.woke) + after)
+            m.last_heartbeat.is_some_and(|t| ctx.now > t.max(self.woke) + after)
         };
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.last_checkin.is_some() && !m.lapsed) {
+        for m in self.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired) {
             let zone = zones.entry(&m.zone).or_default();
             zone.0 += 1;
-            zone.1 += silent(m, ctx.cfg.report_ms * 2) as usize;
+            zone.1 += silent(m, ctx.cfg.heartbeat_interval_ms * 2) as usize;
         }
         let few = |zone: &str| {
             zones.get(zone).is_some_and(|(n, s)| s < n && s * UNHEARD_FEW <= *n.max(&UNHEARD_FEW))
         };
-        let after = ctx.cfg.report_ms * MISSED_HALVES / 2;
-        let lost =
-            |m: &&Machine| !m.lapsed && silent(m, after) && few(&m.zone) && self.has_replicas(m);
+        let after = ctx.cfg.heartbeat_interval_ms * MISSED_HALVES / 2;
+        let lost = |m: &&Machine| {
+            !m.lease_expired && silent(m, after) && few(&m.zone) && self.has_replicas(m)
+        };
         self.machines.values().filter(lost).map(|m| m.id.clone()).collect()
     }
 }
 
 #[cfg(test)]
-#[path = "standing_tests.rs"]
+#[path = "services_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/lease_renewal.rs
+++ b/crates/basaltrail-core/src/lease_renewal.rs
@@ -9,7 +9,7 @@
 //! `C + cancel_s`. That holds for each answer alone, whatever leaders came before.
 
 use crate::io::Answer;
-use crate::jobs::Table;
+use crate::jobs::JobCache;
 use crate::model::*;
 use crate::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,11 +21,11 @@
 /// Seconds after which a refused worker may ask again.
 const RETRY_S: u32 = 1;
 
-/// What a node knows about the job of a task that a worker reports.
+/// What a controller knows about the job of a task that a worker reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobKnowledge {
     /// Its record was there when the jobs were last read.
-    Active,
+    ActiveJob,
     /// It is done or cancelled: no task of it may go on.
     Ended,
     /// Neither is known: it may have ended long ago.
@@ -35,7 +35,7 @@
 /// Why a report is not answered with a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refusal {
-    /// This node does not hold the right to act for the controllers.
+    /// This controller does not hold the right to act for the controllers.
     NotEntitled,
     /// The worker has seen a higher token and would drop the answer.
     HigherToken,
@@ -71,43 +71,43 @@
         }
     }
 
-    /// The answer that a worker gets: 421 where another node may act, 503 otherwise.
-    /// `leader` is the node that is believed to lead.
+    /// The answer that a worker gets: 421 where another controller may act, 503 otherwise.
+    /// `leader` is the controller that is believed to lead.
     pub fn answer(self, leader: Option<String>) -> Answer {
         match self {
-            Refusal::NotEntitled => Answer::Elsewhere { leader },
-            Refusal::HigherToken => Answer::Elsewhere { leader: None },
-            _ => Answer::Busy { retry_s: RETRY_S, why: self.name() },
+            Refusal::NotEntitled => Answer::NotLeader { leader },
+            Refusal::HigherToken => Answer::NotLeader { leader: None },
+            _ => Answer::Unavailable { retry_after_s: RETRY_S, why: self.name() },
         }
     }
 }
 
-/// What a node may rely on at the moment at which it answers a report.
+/// What a controller may rely on at the moment at which it answers a report.
 #[derive(Clone, Copy)]
 pub struct Knowledge<'a> {
     /// Limits and times.
     pub cfg: &'a Settings,
     /// What is known about jobs.
-    pub table: &'a Table,
+    pub job_cache: &'a JobCache,
     /// The present moment on the steady clock, in milliseconds.
     pub now: Ms,
-    /// Since when this node has held its right without a break; `None` without the right.
-    pub entitled_since: Option<Ms>,
+    /// Since when this controller has held its right without a break; `None` without the right.
+    pub lease_held_since: Option<Ms>,
     /// When the call was sent whose answer told of jobs last.
     pub jobs_as_of: Option<Ms>,
 }
 
 impl Knowledge<'_> {
-    /// Whether this node may renew any lease at all.
+    /// Whether this controller may renew any lease at all.
     ///
     /// # Errors
     ///
     /// [`Refusal::NotEntitled`] and [`Refusal::JobsNotRead`].
     pub fn may_renew(&self) -> Result<(), Refusal> {
-        if self.entitled_since.is_none() {
+        if self.lease_held_since.is_none() {
             return Err(Refusal::NotEntitled);
         }
-        let most = self.cfg.view_age_most_ms();
+        let most = self.cfg.max_job_cache_age_ms();
         match self.jobs_as_of {
             Some(as_of) if self.now <= as_of + most => Ok(()),
             _ => Err(Refusal::JobsNotRead),
@@ -119,13 +119,13 @@
     /// A job without a record has ended once the jobs were read within our right: whoever
     /// started the task held the record then, and a record only ever gives way to an end.
     pub fn of(&self, job: JobId) -> JobKnowledge {
-        if self.table.ended(job).is_some() {
+        if self.job_cache.ended(job).is_some() {
             return JobKnowledge::Ended;
         }
-        if self.table.active.contains_key(&job) {
-            return JobKnowledge::Active;
+        if self.job_cache.active.contains_key(&job) {
+            return JobKnowledge::ActiveJob;
         }
-        match (self.jobs_as_of, self.entitled_since) {
+        match (self.jobs_as_of, self.lease_held_since) {
             (Some(as_of), Some(since)) if as_of >= since => JobKnowledge::Ended,
             _ => JobKnowledge::Unknown,
         }
@@ -137,12 +137,12 @@
     ///
     /// Any refusal of [`Knowledge::may_renew`], [`Refusal::JobUnknown`] and
     /// [`Refusal::TooManyStops`].
-    pub fn permit(&self, report: &Report) -> Result<Permit, Refusal> {
+    pub fn permit(&self, heartbeat: &Heartbeat) -> Result<Permit, Refusal> {
         self.may_renew()?;
         let mut stops = Vec::new();
-        for task in live_tasks(report) {
+        for task in live_tasks(heartbeat) {
             match self.of(task.task.job) {
-                JobKnowledge::Active => {}
+                JobKnowledge::ActiveJob => {}
                 JobKnowledge::Ended => stops.push((task.task, task.attempt)),
                 JobKnowledge::Unknown => return Err(Refusal::JobUnknown),
             }
@@ -154,26 +154,26 @@
     }
 
     /// Jobs of the report's live tasks of which nothing is known: they have to be read.
-    pub fn unknown_jobs(&self, report: &Report) -> BTreeSet<JobId> {
+    pub fn unknown_jobs(&self, heartbeat: &Heartbeat) -> BTreeSet<JobId> {
         let unknown = |job: &JobId| self.of(*job) == JobKnowledge::Unknown;
-        live_tasks(report).map(|task| task.task.job).filter(unknown).collect()
+        live_tasks(heartbeat).map(|task| task.task.job).filter(unknown).collect()
     }
 
     /// The live tasks that an answer keeps on their machine without the knowledge that it
     /// takes. Empty for every answer that was made with a permit: this is judged anew, by
     /// the answer alone, so that any other way to an answer is found.
-    pub fn kept_without_knowledge(&self, report: &Report, answer: &Answer) -> Vec<TaskId> {
-        let Answer::Orders { orders, .. } = answer else { return Vec::new() };
-        let stopped = |task: &TaskReport| {
-            orders.iter().any(|order| {
-                matches!(order, Order::Stop { task: t, attempt, grace_s }
+    pub fn kept_without_knowledge(&self, heartbeat: &Heartbeat, answer: &Answer) -> Vec<TaskId> {
+        let Answer::Commands { commands, .. } = answer else { return Vec::new() };
+        let stopped = |task: &TaskStatus| {
+            commands.iter().any(|order| {
+                matches!(order, TaskCommand::Stop { task: t, attempt, grace_s }
                     if (*t, *attempt) == (task.task, task.attempt) && *grace_s <= 0.0)
             })
         };
         let allowed = self.may_renew().is_ok();
-        live_tasks(report)
+        live_tasks(heartbeat)
             .filter(|task| {
-                let active = allowed && self.table.active.contains_key(&task.task.job);
+                let active = allowed && self.job_cache.active.contains_key(&task.task.job);
                 !active && !stopped(task)
             })
             .map(|task| task.task)
@@ -196,22 +196,22 @@
 
     /// The answer: the leader's own orders, [`Permit::room`] at most, and before them the stops
     /// that are not among these.
-    pub fn answer(self, token: Token, orders: Vec<Order>) -> Answer {
-        let stop = |&(task, attempt)| Order::Stop { task, attempt, grace_s: 0.0 };
+    pub fn answer(self, token: FencingToken, commands: Vec<TaskCommand>) -> Answer {
+        let stop = |&(task, attempt)| TaskCommand::Stop { task, attempt, grace_s: 0.0 };
         // With some grace it would let a task of an ended job save first.
-        let mild = |order: &&Order| {
-            matches!(order, Order::Stop { task, attempt, grace_s }
+        let mild = |order: &&TaskCommand| {
+            matches!(order, TaskCommand::Stop { task, attempt, grace_s }
                 if *grace_s > 0.0 && self.stops.contains(&(*task, *attempt)))
         };
-        let unsaid = self.stops.iter().map(stop).filter(|stop| !orders.contains(stop));
-        let own = orders.iter().filter(|order| !mild(order)).copied();
-        Answer::Orders { token, orders: unsaid.chain(own).collect() }
+        let unsaid = self.stops.iter().map(stop).filter(|stop| !commands.contains(stop));
+        let own = commands.iter().filter(|order| !mild(order)).copied();
+        Answer::Commands { token, commands: unsaid.chain(own).collect() }
     }
 }
 
 /// The tasks of a report that have not exited.
-fn live_tasks(report: &Report) -> impl Iterator<Item = &TaskReport> {
-    report.tasks.iter().filter(|task| !matches!(task.state, TaskState::Exited(_)))
+fn live_tasks(heartbeat: &Heartbeat) -> impl Iterator<Item = &TaskStatus> {
+    heartbeat.tasks.iter().filter(|task| !matches!(task.state, TaskState::Exited(_)))
 }
 
 /// How reports were answered, for logs.
@@ -231,13 +231,13 @@
 
 impl AnswerCounters {
     /// Counts an answer that renewed a lease.
-    pub fn count_orders(&mut self, orders: &[Order]) {
+    pub fn count_orders(&mut self, commands: &[TaskCommand]) {
         self.renewed += 1;
-        for order in orders {
+        for order in commands {
             match order {
-                Order::Start { .. } => self.starts += 1,
-                Order::Stop { .. } => self.stops += 1,
-                Order::Forget { .. } => self.forgets += 1,
+                TaskCommand::Start { .. } => self.starts += 1,
+                TaskCommand::Stop { .. } => self.stops += 1,
+                TaskCommand::Forget { .. } => self.forgets += 1,
             }
         }
     }
--- a/crates/basaltrail-core/src/fleet.rs
+++ b/crates/basaltrail-core/src/machines/mod.rs
@@ -1,15 +1,17 @@
-//! Machines, their sessions, and what may be running on them.
+//! Machines, their agent epochs, and what may be running on them.
 //!
 //! Everything here errs to one side: a task counts as on a machine until that
-//! machine's own newer report, the end of its session or its certain return says no.
+//! machine's own newer report, the end of its agent epoch or its certain return says no.
+
+pub mod types;
 
 use crate::health::MachineHealth;
+use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::model::*;
-use crate::rental::Kind;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Place {
+pub enum TaskPhase {
     /// Chosen; no response has carried the start yet.
     Assigned { at: Ms },
     /// The start went out in the response to the last report.
@@ -19,8 +21,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
-    pub place: Place,
+pub struct TaskSlot {
+    pub place: TaskPhase,
     /// What it takes; None while the job is not known.
     pub need: Option<Need>,
     /// Ordered to stop, with this grace.
@@ -45,20 +47,20 @@
     pub save_s: Option<f64>,
 }
 
-impl Entry {
+impl TaskSlot {
     /// Whether it may hold resources of the machine.
     pub fn holds(&self) -> bool {
-        !matches!(self.place, Place::Told(TaskState::Exited(_)))
+        !matches!(self.place, TaskPhase::Told(TaskState::Exited(_)))
     }
 
     pub fn runs(&self) -> bool {
-        matches!(self.place, Place::Told(TaskState::Running))
+        matches!(self.place, TaskPhase::Told(TaskState::Running))
     }
 }
 
 /// What a report changed, for the jobs' accounts.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum TaskChange {
     /// The task is surely not there (any more).
     Gone {
         task: TaskId,
@@ -72,13 +74,13 @@
     Exited {
         task: TaskId,
         attempt: Attempt,
-        why: Why,
+        why: ExitReason,
         ran_ms: Option<Ms>,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Returning {
+pub enum Decommission {
     No,
     /// No new work; returned once empty.
     Draining,
@@ -87,7 +89,7 @@
 }
 
 /// How long a worker waits for an answer (PROTOCOL, Workers); only then does it ask
-/// another node, so one that is back sooner took our answer.
+/// another controller, so one that is back sooner took our answer.
 const UNANSWERED_MS: Ms = 4000;
 /// Answers to a machine that does not show our token, before it is let go.
 pub const ANSWERS_WITHOUT_TOKEN: u32 = 3;
@@ -98,14 +100,14 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
+    pub agent_epoch: u64,
     /// Sessions below this one are surely over.
-    pub min_session: u64,
-    pub seq: u64,
+    pub min_agent_epoch: u64,
+    pub sequence: u64,
     /// The last moment at which an answer may have renewed its lease.
     pub renewed: Ms,
     /// The last report that was taken; only those that carry our token are.
-    pub last_checkin: Option<Ms>,
+    pub last_heartbeat: Option<Ms>,
     /// It came back as one that took our answer does, so it would see a start.
     pub hears: bool,
     /// When it last showed that it hears.
@@ -119,18 +121,18 @@
     pub answers_without_token: u32,
     /// In this leadership it has reported with our token, or surely holds nothing of earlier leaders.
     pub reconciled: bool,
-    /// The roster that an earlier leader left says that it was in use.
+    /// The machine registry that an earlier leader left says that it was in use.
     pub expected: bool,
     /// Its lease has surely ended since it last reported.
-    pub lapsed: bool,
-    pub entries: BTreeMap<(TaskId, Attempt), Entry>,
+    pub lease_expired: bool,
+    pub entries: BTreeMap<(TaskId, Attempt), TaskSlot>,
     /// Roster part that holds it durably.
     pub durable: bool,
     pub part: Option<usize>,
-    /// Other parts of the roster, not rewritten yet, that say that nothing runs here.
+    /// Other parts of the machine registry, not rewritten yet, that say that nothing runs here.
     pub free_in: BTreeSet<usize>,
     pub gone_at: Option<Ms>,
-    pub returning: Returning,
+    pub decommission: Decommission,
     pub release_in_flight: bool,
     pub idle_since: Option<Ms>,
     pub known_since: Ms,
@@ -157,11 +159,11 @@
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
-            session: 0,
-            min_session: 0,
-            seq: 0,
+            agent_epoch: 0,
+            min_agent_epoch: 0,
+            sequence: 0,
             renewed: now,
-            last_checkin: None,
+            last_heartbeat: None,
             hears: false,
             heard_at: None,
             unseen: 0,
@@ -170,13 +172,13 @@
             answers_without_token: 0,
             reconciled: true,
             expected: false,
-            lapsed: false,
+            lease_expired: false,
             entries: BTreeMap::new(),
             durable: false,
             part: None,
             free_in: BTreeSet::new(),
             gone_at: None,
-            returning: Returning::No,
+            decommission: Decommission::No,
             release_in_flight: false,
             idle_since: None,
             known_since: now,
@@ -209,8 +211,12 @@
     }
 
     /// Its type, zone and whether it is a spot machine.
-    pub fn kind(&self) -> Kind {
-        Kind { machine_type: self.machine_type.clone(), zone: self.zone.clone(), spot: self.spot }
+    pub fn kind(&self) -> MachineKind {
+        MachineKind {
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+        }
     }
 
     pub fn has_image(&self, image: &str) -> bool {
@@ -238,35 +244,36 @@
         self.entries.values().all(|e| !e.holds())
     }
 
-    /// Drops what the end of a session took with it.
-    fn drop_all(&mut self) -> Vec<Change> {
+    /// Drops what the end of a agent epoch took with it.
+    fn drop_all(&mut self) -> Vec<TaskChange> {
         let gone = std::mem::take(&mut self.entries);
         gone.into_iter()
             .filter(|(_, e)| !e.settled)
-            .map(|((task, attempt), _)| Change::Gone { task, attempt })
+            .map(|((task, attempt), _)| TaskChange::Gone { task, attempt })
             .collect()
     }
 
     /// The lease has surely ended: whatever ran is killed and forgotten, and
-    /// reports of that session can only be late ones.
-    pub fn lapse(&mut self) -> Vec<Change> {
-        self.lapsed = true;
+    /// reports of that agent epoch can only be late ones.
+    pub fn expire_lease(&mut self) -> Vec<TaskChange> {
+        self.lease_expired = true;
         self.reconciled = true;
-        if self.session > 0 {
-            self.min_session = self.session + 1;
+        if self.agent_epoch > 0 {
+            self.min_agent_epoch = self.agent_epoch + 1;
         }
         self.images.clear();
         self.drop_all()
     }
 
-    pub fn is_newer(&self, r: &Report) -> bool {
-        r.session >= self.min_session && (r.session, r.seq) > (self.session, self.seq)
+    pub fn is_newer(&self, r: &Heartbeat) -> bool {
+        r.agent_epoch >= self.min_agent_epoch
+            && (r.agent_epoch, r.sequence) > (self.agent_epoch, self.sequence)
     }
 
     /// Answers a report that does not carry our token yet; false if it must not be
     /// answered as one of ours. Such a report, or a late copy of one, may be of any age:
     /// it proves nothing, and only the lease that our answer may renew is noted. A machine
-    /// of the roster that never takes our token is let go after a few answers, so that
+    /// of the machine registry that never takes our token is let go after a few answers, so that
     /// its lease surely ends and what earlier leaders started there is over.
     pub fn answer_without_token(&mut self, now: Ms) -> bool {
         if !self.reconciled {
@@ -283,42 +290,42 @@
     /// direct commands may be made while a start is still on its way, and settle nothing.
     /// It carries our token, so it was made after the worker took an answer of this leadership:
     /// nothing of earlier leaders was on its way by then.
-    pub fn report(&mut self, now: Ms, r: &Report, lease_ms: Ms) -> Vec<Change> {
+    pub fn heartbeat(&mut self, now: Ms, r: &Heartbeat, lease_ms: Ms) -> Vec<TaskChange> {
         let mut changes = Vec::new();
-        // A worker without an answer waits for it and then asks another node first.
-        let back = self.last_checkin.is_some_and(|t| now < t + UNANSWERED_MS);
-        self.hears = back || !self.reconciled || self.session == 0;
+        // A worker without an answer waits for it and then asks another controller first.
+        let back = self.last_heartbeat.is_some_and(|t| now < t + UNANSWERED_MS);
+        self.hears = back || !self.reconciled || self.agent_epoch == 0;
         self.reconciled = true;
-        if r.session > self.session && self.session > 0 {
+        if r.agent_epoch > self.agent_epoch && self.agent_epoch > 0 {
             changes = self.drop_all();
         }
-        self.session = r.session;
-        self.seq = r.seq;
+        self.agent_epoch = r.agent_epoch;
+        self.sequence = r.sequence;
         self.endpoint.clone_from(&r.endpoint);
-        self.last_checkin = Some(now);
+        self.last_heartbeat = Some(now);
         self.renewed = now;
-        self.lapsed = false;
-        self.gone_at = r.notice_s.map(|s| now + (s.clamp(0.0, 1e6) * 1000.0) as Ms);
+        self.lease_expired = false;
+        self.gone_at = r.reclaim_notice_s.map(|s| now + (s.clamp(0.0, 1e6) * 1000.0) as Ms);
         let listed: BTreeMap<(TaskId, Attempt), TaskState> =
             r.tasks.iter().map(|t| ((t.task, t.attempt), t.state)).collect();
         let (mut seen, mut unseen) = (false, false);
         self.entries.retain(|&(task, attempt), e| {
             if listed.contains_key(&(task, attempt)) {
-                seen |= e.place == Place::Sent;
+                seen |= e.place == TaskPhase::Sent;
                 return true;
             }
             let gone = match e.place {
-                Place::Assigned { .. } => false,
+                TaskPhase::Assigned { .. } => false,
                 // This report is newer than the one that was answered with the start, so
                 // it was made after that response was taken or dropped: the start is lost.
-                Place::Sent => {
+                TaskPhase::Sent => {
                     unseen = true;
                     true
                 }
-                Place::Told(_) => true,
+                TaskPhase::Told(_) => true,
             };
             if gone && !e.settled {
-                changes.push(Change::Gone { task, attempt });
+                changes.push(TaskChange::Gone { task, attempt });
             }
             !gone
         });
@@ -337,8 +344,8 @@
         }
         for ((task, attempt), state) in listed {
             let known = self.entries.contains_key(&(task, attempt));
-            let e = self.entries.entry((task, attempt)).or_insert_with(|| Entry {
-                place: Place::Told(state),
+            let e = self.entries.entry((task, attempt)).or_insert_with(|| TaskSlot {
+                place: TaskPhase::Told(state),
                 need: None,
                 stop: None,
                 stop_sent: None,
@@ -347,7 +354,7 @@
                 settled: false,
                 first: false,
             });
-            e.place = Place::Told(state);
+            e.place = TaskPhase::Told(state);
             if state == TaskState::Running && e.running_since.is_none() {
                 e.running_since = Some(now);
             }
@@ -355,10 +362,10 @@
                 if !e.settled {
                     e.settled = true;
                     let ran_ms = e.running_since.map(|t| now - t);
-                    changes.push(Change::Exited { task, attempt, why, ran_ms });
+                    changes.push(TaskChange::Exited { task, attempt, why, ran_ms });
                 }
             } else if !known || e.need.is_none() {
-                changes.push(Change::Here { task, attempt });
+                changes.push(TaskChange::Here { task, attempt });
             }
         }
         changes
--- a/crates/basaltrail-core/src/machine_types.rs
+++ b/crates/basaltrail-core/src/machines/types.rs
@@ -1,23 +1,23 @@
-//! The machine types that a node knows, and which call brings them up to date.
+//! The machine types that a controller knows, and which call brings them up to date.
 //!
 //! The cloud tells of them; the leader keeps what it was told in the state service, so that the
-//! other nodes, and processes that start while the cloud is out, can judge submissions.
+//! other controllers, and processes that start while the cloud is out, can judge submissions.
 
-use crate::io::{CloudReply, StateReply};
+use crate::io::{CloudReply, StoreReply};
 use crate::model::{MachineType, Ms};
-use crate::records::{decode, encode};
+use crate::store::records::{decode, encode};
 
 /// The call that is due.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TypesCall {
     /// Read what is kept in the state service.
     ReadKept,
-    /// Keep this value there, if the present one still has this stamp.
+    /// Keep this value there, if the present one still has this mod revision.
     Keep {
         /// The value.
         value: String,
-        /// The stamp.
-        stamp: u64,
+        /// The mod revision.
+        mod_revision: u64,
     },
     /// Ask the cloud.
     AskCloud,
@@ -31,7 +31,7 @@
     kept_read: bool,
     in_flight: bool,
     not_before: Ms,
-    stamp: u64,
+    mod_revision: u64,
     /// What is known differs from what is kept.
     changed: bool,
 }
@@ -48,7 +48,7 @@
         MachineTypes { known, ..MachineTypes::default() }
     }
 
-    /// The call to make now. Values longer than `value_bytes` are not kept: every node then asks
+    /// The call to make now. Values longer than `value_bytes` are not kept: every controller then asks
     /// the cloud; otherwise only a leader does, and whoever knows no types.
     pub fn call_due(&mut self, now: Ms, value_bytes: usize, leads: bool) -> Option<TypesCall> {
         if self.in_flight || now < self.not_before {
@@ -60,7 +60,7 @@
         if self.changed {
             let value = encode(&self.known);
             if value.len() <= value_bytes {
-                return Some(TypesCall::Keep { value, stamp: self.stamp });
+                return Some(TypesCall::Keep { value, mod_revision: self.mod_revision });
             }
             self.changed = false;
             return None;
@@ -74,29 +74,29 @@
     }
 
     /// What is kept was read, or was not; then it is read again, no sooner than `next`.
-    pub fn read(&mut self, reply: StateReply, next: Ms) {
+    pub fn read(&mut self, reply: StoreReply, next: Ms) {
         self.in_flight = false;
         match reply {
-            StateReply::Found(item) => {
+            StoreReply::KeyValue(item) => {
                 self.kept_read = true;
-                self.stamp = item.stamp;
+                self.mod_revision = item.mod_revision;
                 if let (true, Some(types)) = (self.known.is_empty(), decode(&item.value)) {
                     self.known = types;
                 }
             }
-            StateReply::Missing => {
+            StoreReply::NotFound => {
                 self.kept_read = true;
-                self.stamp = 0;
+                self.mod_revision = 0;
             }
             _ => self.not_before = next,
         }
     }
 
     /// What is known was kept, or was not; then what is there is read.
-    pub fn written(&mut self, reply: &StateReply) {
+    pub fn written(&mut self, reply: &StoreReply) {
         self.in_flight = false;
         self.changed = false;
-        if !matches!(reply, StateReply::Committed { .. }) {
+        if !matches!(reply, StoreReply::Committed { .. }) {
             self.kept_read = false;
         }
     }
@@ -114,11 +114,11 @@
         let shape =
             |t: &MachineType| (t.name.clone(), t.cpus, t.gpus, t.memory_gb, t.zones.clone());
         let same = types.iter().map(shape).eq(self.known.iter().map(shape));
-        self.changed |= !same || self.stamp == 0;
+        self.changed |= !same || self.mod_revision == 0;
         self.known = types;
     }
 }
 
 #[cfg(test)]
-#[path = "machine_types_tests.rs"]
+#[path = "types_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/model.rs
+++ b/crates/basaltrail-core/src/model.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Milliseconds of this node's steady clock.
+/// Milliseconds of this controller's steady clock.
 pub type Ms = u64;
 /// Milliseconds of the time of day.
 pub type WallMs = i64;
@@ -35,7 +35,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct Token(pub u64);
+pub struct FencingToken(pub u64);
 
 /// A machine's name as the cloud gave it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -49,11 +49,11 @@
 
 /// A request somebody waits on; chosen by the shell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ReqId(pub u64);
+pub struct RequestId(pub u64);
 
 /// An outgoing call; chosen by the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct OpId(pub u64);
+pub struct CallId(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
@@ -146,7 +146,7 @@
 
 /// How a job ended; never changes once durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Final {
+pub enum JobOutcome {
     #[serde(rename = "d")]
     Done,
     #[serde(rename = "c")]
@@ -154,7 +154,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum ExitReason {
     Done,
     Stopped,
     Error,
@@ -168,11 +168,11 @@
     Fetching,
     Running,
     Saving,
-    Exited(Why),
+    Exited(ExitReason),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct TaskReport {
+pub struct TaskStatus {
     pub task: TaskId,
     pub attempt: Attempt,
     pub state: TaskState,
@@ -180,21 +180,21 @@
 
 /// A worker's report, whichever way it came.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct Heartbeat {
     pub machine: MachineId,
     pub endpoint: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
-    pub seq: u64,
-    pub token: Token,
-    pub notice_s: Option<f64>,
-    pub tasks: Vec<TaskReport>,
+    pub agent_epoch: u64,
+    pub sequence: u64,
+    pub token: FencingToken,
+    pub reclaim_notice_s: Option<f64>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Order {
+pub enum TaskCommand {
     Start { task: TaskId, attempt: Attempt },
     Stop { task: TaskId, attempt: Attempt, grace_s: f64 },
     Forget { task: TaskId, attempt: Attempt },
@@ -260,7 +260,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum JobView {
+pub enum JobStatus {
     Queued,
     Running,
     Done,
--- a/crates/basaltrail-core/src/settings.rs
+++ b/crates/basaltrail-core/src/settings.rs
@@ -45,26 +45,26 @@
 
 #[derive(Clone, Debug)]
 pub struct Settings {
-    pub node: String,
+    pub controller: String,
     pub zone: String,
-    pub nodes: usize,
+    pub controller_count: usize,
     pub zones: Vec<String>,
     /// Zones of the other controllers.
     pub peer_zones: Vec<String>,
     pub teams: Vec<Team>,
     pub objectives: Vec<Objective>,
-    pub report_ms: Ms,
+    pub heartbeat_interval_ms: Ms,
     pub lease_ms: Ms,
     pub cancel_ms: Ms,
-    pub state_rps: f64,
+    pub store_rps: f64,
     pub write_rps: f64,
     pub value_bytes: usize,
-    pub txn_ops: usize,
+    pub transaction_ops: usize,
     pub cloud_rps: f64,
     pub list_lag_ms: Ms,
     pub memory_mb: f64,
     /// Machines that may report to one controller beside its users.
-    pub machines_most: usize,
+    pub max_machines: usize,
     /// Differs at every start of the process.
     pub incarnation: u64,
     pub policy: Policy,
@@ -146,29 +146,29 @@
     }
 
     /// A span of the wall that is surely over when ours is: clocks drift apart by 0.05%.
-    pub fn surely(&self, ms: Ms) -> Ms {
+    pub fn with_drift_margin(&self, ms: Ms) -> Ms {
         ms + ms / 500 + 50
     }
 
     /// A span that is over before a span of the same length elsewhere.
-    pub fn at_most(&self, ms: Ms) -> Ms {
+    pub fn less_drift_margin(&self, ms: Ms) -> Ms {
         ms - ms / 500
     }
 
     /// How old the leader's knowledge of jobs may be while it still answers workers: what it
     /// answers last keeps a task for a worker's lease, and a task of a cancelled job must be
     /// gone `cancel_s` after its user was told.
-    pub fn view_age_most_ms(&self) -> Ms {
-        self.cancel_ms.saturating_sub(self.surely(self.lease_ms)).max(self.cancel_ms / 4)
+    pub fn max_job_cache_age_ms(&self) -> Ms {
+        self.cancel_ms.saturating_sub(self.with_drift_margin(self.lease_ms)).max(self.cancel_ms / 4)
     }
 
     /// How long one watch of the jobs waits for news.
-    pub fn watch_ms(&self) -> Ms {
-        (self.cancel_ms / 6).min(self.view_age_most_ms() / 3)
+    pub fn watch_timeout_ms(&self) -> Ms {
+        (self.cancel_ms / 6).min(self.max_job_cache_age_ms() / 3)
     }
 
-    /// Active jobs that a node's memory bears.
-    pub fn most_active_jobs(&self) -> usize {
+    /// Active jobs that a controller's memory bears.
+    pub fn max_active_jobs(&self) -> usize {
         (self.memory_mb * ACTIVE_PER_MB).max(100.0) as usize
     }
 
@@ -178,7 +178,7 @@
         let ends = policy.backlog_s * self.write_rps * CHANGES_FOR_JOBS / CHANGES_PER_JOB;
         Some(Bounds {
             horizon_s: policy.backlog_s,
-            jobs: ends.min(self.most_active_jobs() as f64) as u32,
+            jobs: ends.min(self.max_active_jobs() as f64) as u32,
             round_s: self.policy.round_s,
         })
     }
@@ -200,7 +200,10 @@
     }
 
     /// The times, in seconds from submission, by which the objectives want a job done.
-    pub fn wanted_s<'a>(&'a self, job: &'a JobSpec) -> impl Iterator<Item = f64> + 'a {
+    pub fn completion_objectives_s<'a>(
+        &'a self,
+        job: &'a JobSpec,
+    ) -> impl Iterator<Item = f64> + 'a {
         self.objectives.iter().filter_map(|o| match o {
             Objective::Deadline { class, times } if *class == job.class => {
                 job.deadline_s.map(|d| d * times)
@@ -211,7 +214,7 @@
     }
 
     /// The times, in seconds from submission, by which its tasks are to have begun.
-    pub fn begun_s<'a>(&'a self, job: &'a JobSpec) -> impl Iterator<Item = f64> + 'a {
+    pub fn start_objectives_s<'a>(&'a self, job: &'a JobSpec) -> impl Iterator<Item = f64> + 'a {
         self.objectives.iter().filter_map(|o| match o {
             Objective::Begun { class, within_s } if *class == job.class => Some(*within_s),
             _ => None,
@@ -231,24 +234,24 @@
 
     pub(crate) fn settings() -> Settings {
         Settings {
-            node: "n0".into(),
+            controller: "n0".into(),
             zone: "a".into(),
-            nodes: 3,
+            controller_count: 3,
             zones: vec!["a".into(), "b".into()],
             peer_zones: vec!["a".into(), "b".into()],
             teams: Vec::new(),
             objectives: Vec::new(),
-            report_ms: 1_000,
+            heartbeat_interval_ms: 1_000,
             lease_ms: 10_000,
             cancel_ms: 30_000,
-            state_rps: 100.0,
+            store_rps: 100.0,
             write_rps: 100.0,
             value_bytes: 4_096,
-            txn_ops: 12,
+            transaction_ops: 12,
             cloud_rps: 5.0,
             list_lag_ms: 3_000,
             memory_mb: 56.0,
-            machines_most: 300,
+            max_machines: 300,
             incarnation: 1,
             policy: Policy::default(),
         }
--- a/crates/basaltrail-core/src/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -1,13 +1,13 @@
 //! Calls in flight, and the budgets they were paid from.
 
-use crate::budget::{Bucket, Class};
+use crate::controller::request_queue::{ClientRequest, Confirming, NewJob};
 use crate::election::Call;
 use crate::io::*;
-use crate::jobs_view::WatchKind;
-use crate::leadership::PendingWrite;
+use crate::jobs::watch::WatchKind;
+use crate::leader::PendingWrite;
 use crate::model::*;
-use crate::records::{ACTIVE, ADMISSION};
-use crate::requests::{Ask, Confirming, NewJob};
+use crate::store::rate_limiter::{CallPriority, TokenBucket};
+use crate::store::records::{ACTIVE_JOBS_PREFIX, ADMISSION_PREFIX};
 use basaltrail_admission::Grant;
 use std::collections::HashMap;
 
@@ -22,8 +22,8 @@
     /// The keys of the part.
     pub fn prefix(self) -> &'static str {
         match self {
-            ListPart::Jobs => ACTIVE,
-            ListPart::Admission => ADMISSION,
+            ListPart::Jobs => ACTIVE_JOBS_PREFIX,
+            ListPart::Admission => ADMISSION_PREFIX,
         }
     }
 }
@@ -31,12 +31,12 @@
 /// What an answer is for.
 pub enum Purpose {
     Election(Call),
-    JobsList {
+    ListJobs {
         part: ListPart,
         after: Option<String>,
         sent: Ms,
     },
-    JobsWatch {
+    WatchJobs {
         sent: Ms,
         kind: WatchKind,
     },
@@ -44,87 +44,87 @@
     Check(Vec<Confirming>),
     ReadActive {
         job: JobId,
-        asks: Vec<Ask>,
+        asks: Vec<ClientRequest>,
     },
     ReadFinal {
         job: JobId,
-        asks: Vec<Ask>,
+        asks: Vec<ClientRequest>,
     },
     Cancel {
         job: JobId,
-        asks: Vec<Ask>,
+        asks: Vec<ClientRequest>,
     },
     TypesKept,
     TypesPut,
     Types,
     Load {
-        token: Token,
+        token: FencingToken,
     },
     PendingWrite {
-        token: Token,
+        token: FencingToken,
         flush: Box<PendingWrite>,
     },
     Refresh {
-        token: Token,
+        token: FencingToken,
         key: String,
     },
     /// This process tells that it is there.
     Announce,
     Allot {
-        token: Token,
+        token: FencingToken,
         grants: Vec<Grant>,
     },
     Rent {
-        token: Token,
+        token: FencingToken,
         requisition: String,
     },
     Release {
-        token: Token,
+        token: FencingToken,
         machines: Vec<MachineId>,
     },
     List {
-        token: Token,
+        token: FencingToken,
     },
 }
 
 #[derive(Default)]
 pub struct Calls {
-    ops: HashMap<OpId, Purpose>,
+    ops: HashMap<CallId, Purpose>,
     next: u64,
-    pub state: Bucket,
-    pub writes: Bucket,
-    pub cloud: Bucket,
+    pub state: TokenBucket,
+    pub writes: TokenBucket,
+    pub cloud: TokenBucket,
     pub out: Vec<Effect>,
 }
 
 impl Calls {
-    pub fn take(&mut self, op: OpId) -> Option<Purpose> {
+    pub fn take(&mut self, op: CallId) -> Option<Purpose> {
         self.ops.remove(&op)
     }
 
-    fn note(&mut self, purpose: Purpose) -> OpId {
+    fn note(&mut self, purpose: Purpose) -> CallId {
         self.next += 1;
-        let op = OpId(self.next);
+        let op = CallId(self.next);
         self.ops.insert(op, purpose);
         op
     }
 
     /// Sends a call that was paid for already.
-    pub fn state(&mut self, purpose: Purpose, call: StateOp, timeout_ms: Ms) {
+    pub fn state(&mut self, purpose: Purpose, call: StoreRequest, timeout_ms: Ms) {
         let op = self.note(purpose);
-        self.out.push(Effect::State { op, call, timeout_ms });
+        self.out.push(Effect::Store { op, call, timeout_ms });
     }
 
-    pub fn cloud(&mut self, purpose: Purpose, call: CloudOp, timeout_ms: Ms) {
+    pub fn cloud(&mut self, purpose: Purpose, call: CloudRequest, timeout_ms: Ms) {
         let op = self.note(purpose);
         self.out.push(Effect::Cloud { op, call, timeout_ms });
     }
 
-    pub fn pay(&mut self, now: Ms, class: Class) -> bool {
+    pub fn pay(&mut self, now: Ms, class: CallPriority) -> bool {
         self.state.take(now, 1.0, class)
     }
 
-    pub fn answer(&mut self, req: ReqId, answer: Answer) {
+    pub fn answer(&mut self, req: RequestId, answer: Answer) {
         self.out.push(Effect::Answer { req, answer });
     }
 
--- /dev/null
+++ b/crates/basaltrail-core/src/store/mod.rs
@@ -0,0 +1,5 @@
+//! The consensus-backed key-value store as this crate uses it: records, calls in flight, rates.
+
+pub mod calls;
+pub mod rate_limiter;
+pub mod records;
--- a/crates/basaltrail-core/src/records.rs
+++ b/crates/basaltrail-core/src/store/records.rs
@@ -3,31 +3,32 @@
 use crate::model::*;
 use serde::{Deserialize, Serialize};
 
-pub const CONTROL: &str = "c/";
-pub const LEADER: &str = "c/leader";
-pub const TERM: &str = "c/term";
+pub const CONTROL_PREFIX: &str = "c/";
+pub const LEADER_KEY: &str = "c/leader";
+pub const TERM_KEY: &str = "c/term";
 /// The zone with the most machines; the next leader had better be there.
-pub const HOME: &str = "c/home";
-pub const JOBS: &str = "j/";
-pub const ACTIVE: &str = "j/a/";
-pub const FINAL: &str = "j/t/";
+pub const PRIMARY_ZONE_KEY: &str = "c/home";
+pub const JOBS_PREFIX: &str = "j/";
+pub const ACTIVE_JOBS_PREFIX: &str = "j/a/";
+pub const OUTCOMES_PREFIX: &str = "j/t/";
 /// Allotments and the processes that they are for: under the jobs' prefix, so that one watch tells
 /// of them and of the jobs in the order of their revisions.
-pub const ADMISSION: &str = "j/q/";
-pub const DONE: &str = "d/";
-pub const ROSTER: &str = "r/";
-pub const LEDGER: &str = "l/ledger";
-pub const TYPES: &str = "m/types";
+pub const ADMISSION_PREFIX: &str = "j/q/";
+pub const COMPLETIONS_PREFIX: &str = "d/";
+pub const MACHINE_REGISTRY_PREFIX: &str = "r/";
+pub const LEDGER_KEY: &str = "l/ledger";
+pub const MACHINE_TYPES_KEY: &str = "m/types";
 
 /// Tasks of one job whose completion is kept under one key.
-pub const PART: u32 = 4096;
+pub const TASKS_PER_SEGMENT: u32 = 4096;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    pub node: String,
+    #[serde(rename = "node")]
+    pub controller: String,
     pub incarnation: u64,
-    pub token: Token,
-    /// Whether it hands out allotments: nodes then accept nothing without one.
+    pub token: FencingToken,
+    /// Whether it hands out allotments: controllers then accept nothing without one.
     #[serde(rename = "allots", default, skip_serializing_if = "is_false")]
     pub allots: bool,
 }
@@ -36,11 +37,11 @@
     !value
 }
 
-/// The process that runs as a node now.
+/// The process that runs as a controller now.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeRecord {
+pub struct ControllerRecord {
     #[serde(rename = "n")]
-    pub node: String,
+    pub controller: String,
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
@@ -50,7 +51,7 @@
     /// Time of day of the first acceptance.
     pub at: WallMs,
     pub spec: JobSpec,
-    /// The node that accepted it out of its allotment.
+    /// The controller that accepted it out of its allotment.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub by: Option<String>,
 }
@@ -63,7 +64,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RosterEntry {
+pub struct MachineRecord {
     pub id: MachineId,
     #[serde(rename = "ty")]
     pub machine_type: String,
@@ -89,21 +90,21 @@
 }
 
 pub fn active_key(job: JobId) -> String {
-    format!("{ACTIVE}{job}")
+    format!("{ACTIVE_JOBS_PREFIX}{job}")
 }
 
 pub fn final_key(job: JobId) -> String {
-    format!("{FINAL}{job}")
+    format!("{OUTCOMES_PREFIX}{job}")
 }
 
 /// Where a process tells that it is there.
-pub fn node_key(node: &str) -> String {
-    format!("{ADMISSION}n/{}", key_part(node))
+pub fn controller_key(controller: &str) -> String {
+    format!("{ADMISSION_PREFIX}n/{}", key_part(controller))
 }
 
-/// Where a team's allotment at a node is kept.
-pub fn allotment_key(team: &str, node: &str) -> String {
-    format!("{ADMISSION}a/{}/{}", key_part(team), key_part(node))
+/// Where a team's allotment at a controller is kept.
+pub fn allotment_key(team: &str, controller: &str) -> String {
+    format!("{ADMISSION_PREFIX}a/{}/{}", key_part(team), key_part(controller))
 }
 
 /// A name as a part of a key, which takes neither spaces nor more than 200 bytes in all: the
@@ -119,11 +120,11 @@
 }
 
 pub fn done_key(job: JobId, part: u32) -> String {
-    format!("{DONE}{job}/{part}")
+    format!("{COMPLETIONS_PREFIX}{job}/{part}")
 }
 
-pub fn roster_key(part: usize) -> String {
-    format!("{ROSTER}{part}")
+pub fn machine_registry_key(part: usize) -> String {
+    format!("{MACHINE_REGISTRY_PREFIX}{part}")
 }
 
 /// Our own keys hold exactly `{:06}`; anything else is not ours.
@@ -133,7 +134,7 @@
 }
 
 pub fn parse_done_key(key: &str) -> Option<(JobId, u32)> {
-    let (job, part) = key.strip_prefix(DONE)?.split_once('/')?;
+    let (job, part) = key.strip_prefix(COMPLETIONS_PREFIX)?.split_once('/')?;
     Some((parse_job(job)?, part.parse().ok()?))
 }
 
@@ -148,12 +149,12 @@
 
 /// A set of task numbers that grows as it is filled.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Bits {
+pub struct TaskSet {
     words: Vec<u64>,
     count: u32,
 }
 
-impl Bits {
+impl TaskSet {
     pub fn get(&self, i: u32) -> bool {
         self.words.get(i as usize / 64).is_some_and(|w| w >> (i % 64) & 1 == 1)
     }
@@ -175,7 +176,7 @@
     }
 
     fn part_words(part: u32) -> std::ops::Range<usize> {
-        let per = PART as usize / 64;
+        let per = TASKS_PER_SEGMENT as usize / 64;
         part as usize * per..(part as usize + 1) * per
     }
 
@@ -192,7 +193,10 @@
 
     /// Adds a part written by [`Bits::part`]; false if it cannot be one.
     pub fn add_part(&mut self, part: u32, text: &str) -> bool {
-        if !text.len().is_multiple_of(16) || text.len() > PART as usize / 4 || !text.is_ascii() {
+        if !text.len().is_multiple_of(16)
+            || text.len() > TASKS_PER_SEGMENT as usize / 4
+            || !text.is_ascii()
+        {
             return false;
         }
         for (i, chunk) in text.as_bytes().chunks(16).enumerate() {
@@ -202,7 +206,7 @@
                 return false;
             };
             for b in (0..64).filter(|b| word >> b & 1 == 1) {
-                self.set(part * PART + i as u32 * 64 + b);
+                self.set(part * TASKS_PER_SEGMENT + i as u32 * 64 + b);
             }
         }
         true
--- a/crates/basaltrail-core/tests/records.rs
+++ b/crates/basaltrail-core/tests/records.rs
@@ -31,16 +31,16 @@
     same::<JobRecord>(PLAIN_JOB);
     let service: JobRecord = same(SERVICE);
     assert!(service.spec.is_service() && service.spec.spread && !service.spec.spot);
-    assert!(same::<Vec<RosterEntry>>(ROSTER_PART)[0].free);
+    assert!(same::<Vec<MachineRecord>>(ROSTER_PART)[0].free);
     assert_eq!(same::<LedgerRecord>(LEDGER_VALUE).suspects, [JobId(412)]);
     assert!(same::<LedgerRecord>(PLAIN_LEDGER).suspects.is_empty());
     same::<LeaderRecord>(LEADER_VALUE);
     same::<Vec<MachineType>>(TYPES_VALUE);
-    assert_eq!(same::<Token>("41"), Token(41));
+    assert_eq!(same::<FencingToken>("41"), FencingToken(41));
     assert_eq!(same::<Option<String>>(r#""valley-room""#).as_deref(), Some("valley-room"));
-    assert_eq!(same::<Final>(r#""c""#), Final::Cancelled);
-    assert_eq!(same::<Final>(r#""d""#), Final::Done);
-    let mut bits = Bits::default();
+    assert_eq!(same::<JobOutcome>(r#""c""#), JobOutcome::Cancelled);
+    assert_eq!(same::<JobOutcome>(r#""d""#), JobOutcome::Done);
+    let mut bits = TaskSet::default();
     assert!(bits.add_part(0, &decode::<String>(r#""00000000000000010000000000000040""#).unwrap()));
     assert!(bits.get(0) && bits.get(70) && bits.count() == 2);
 }
@@ -51,14 +51,21 @@
     let (job, large) = (JobId(412), JobId(1_234_567));
     assert_eq!([active_key(job), active_key(large)], ["j/a/000412", "j/a/1234567"]);
     assert_eq!([final_key(job), done_key(job, 3)], ["j/t/000412", "d/000412/3"]);
-    assert_eq!([roster_key(0), roster_key(17)], ["r/0", "r/17"]);
-    assert_eq!([LEADER, TERM, HOME], ["c/leader", "c/term", "c/home"]);
-    assert_eq!([LEDGER, TYPES], ["l/ledger", "m/types"]);
+    assert_eq!([machine_registry_key(0), machine_registry_key(17)], ["r/0", "r/17"]);
+    assert_eq!([LEADER_KEY, TERM_KEY, PRIMARY_ZONE_KEY], ["c/leader", "c/term", "c/home"]);
+    assert_eq!([LEDGER_KEY, MACHINE_TYPES_KEY], ["l/ledger", "m/types"]);
     assert_eq!(
-        [CONTROL, JOBS, ACTIVE, FINAL, DONE, ROSTER],
+        [
+            CONTROL_PREFIX,
+            JOBS_PREFIX,
+            ACTIVE_JOBS_PREFIX,
+            OUTCOMES_PREFIX,
+            COMPLETIONS_PREFIX,
+            MACHINE_REGISTRY_PREFIX
+        ],
         ["c/", "j/", "j/a/", "j/t/", "d/", "r/"]
     );
-    assert_eq!(PART, 4096, "tasks whose completion is kept under one key");
+    assert_eq!(TASKS_PER_SEGMENT, 4096, "tasks whose completion is kept under one key");
 }
 
 /// The shapes of e26460f, the version in production, kept as they were. 9b39f4b has the same
@@ -118,7 +125,7 @@
 
     #[derive(Deserialize)]
     #[allow(dead_code)]
-    pub struct RosterEntry {
+    pub struct MachineRecord {
         pub id: String,
         #[serde(rename = "ty")]
         pub machine_type: String,
@@ -168,7 +175,7 @@
     }
 }
 
-/// An old node that takes over reads all that a new one wrote, services included.
+/// An old controller that takes over reads all that a new one wrote, services included.
 #[test]
 fn what_we_write_is_read_by_earlier_versions() {
     let mut job: JobRecord = decode(JOB).unwrap();
@@ -186,14 +193,14 @@
     assert_eq!(array.spec.kind, landed::JobKind::Array);
     // And a service stays one when it is read again.
     assert!(decode::<JobRecord>(&text).unwrap().spec.is_service());
-    let entry = RosterEntry {
+    let entry = MachineRecord {
         id: MachineId("m-000001".into()),
         machine_type: "x".into(),
         zone: "a".into(),
         spot: false,
         free: false,
     };
-    let old: Vec<production::RosterEntry> = serde_json::from_str(&encode(&vec![entry])).unwrap();
+    let old: Vec<production::MachineRecord> = serde_json::from_str(&encode(&vec![entry])).unwrap();
     assert!(!old[0].free && old[0].id == "m-000001");
     let ledger: LedgerRecord = decode(LEDGER_VALUE).unwrap();
     let old: production::LedgerRecord = serde_json::from_str(&encode(&ledger)).unwrap();
--- a/crates/basaltrail-core/tests/scale.rs
+++ b/crates/basaltrail-core/tests/scale.rs
@@ -17,10 +17,10 @@
 #[derive(Clone, Copy)]
 struct Scale {
     machines: usize,
-    report_ms: u64,
+    heartbeat_interval_ms: u64,
     lease_ms: u64,
     cancel_ms: u64,
-    state_rps: f64,
+    store_rps: f64,
     write_rps: f64,
     cloud_rps: f64,
     memory_mb: f64,
@@ -31,10 +31,10 @@
 const SCALES: [Scale; 2] = [
     Scale {
         machines: 1_600,
-        report_ms: 4_000,
+        heartbeat_interval_ms: 4_000,
         lease_ms: 22_000,
         cancel_ms: 42_000,
-        state_rps: 500.0,
+        store_rps: 500.0,
         write_rps: 80.0,
         cloud_rps: 8.0,
         memory_mb: 188.0,
@@ -42,10 +42,10 @@
     },
     Scale {
         machines: 4_000,
-        report_ms: 8_000,
+        heartbeat_interval_ms: 8_000,
         lease_ms: 40_000,
         cancel_ms: 60_000,
-        state_rps: 2_000.0,
+        store_rps: 2_000.0,
         write_rps: 320.0,
         cloud_rps: 32.0,
         memory_mb: 700.0,
@@ -65,24 +65,24 @@
         gpus_max: 0.0,
     };
     Settings {
-        node: "n0".into(),
+        controller: "n0".into(),
         zone: "a".into(),
-        nodes: 5,
+        controller_count: 5,
         zones: vec!["a".into(), "b".into()],
         peer_zones: vec!["a".into(); 4],
         teams: (0..4).map(team).collect(),
         objectives: vec![Objective::Finished { class: "c".into(), within_s: 120.0 }],
-        report_ms: scale.report_ms,
+        heartbeat_interval_ms: scale.heartbeat_interval_ms,
         lease_ms: scale.lease_ms,
         cancel_ms: scale.cancel_ms,
-        state_rps: scale.state_rps,
+        store_rps: scale.store_rps,
         write_rps: scale.write_rps,
         value_bytes: 4_096,
-        txn_ops: 12,
+        transaction_ops: 12,
         cloud_rps: scale.cloud_rps,
         list_lag_ms: 5_000,
         memory_mb: scale.memory_mb,
-        machines_most: 5_000,
+        max_machines: 5_000,
         incarnation,
         policy: Policy::default(),
     }
@@ -91,8 +91,8 @@
 #[derive(Default)]
 struct Worker {
     up_at: u64,
-    seq: u64,
-    token: Token,
+    sequence: u64,
+    token: FencingToken,
     tasks: BTreeMap<(TaskId, Attempt), (TaskState, u64)>,
     reported: u64,
     next: u64,
@@ -113,18 +113,18 @@
 struct World {
     scale: Scale,
     t: u64,
-    node: Node,
+    controller: Controller,
     rng: SmallRng,
     workers: Vec<Worker>,
     keys: BTreeMap<String, (String, u64)>,
     revision: u64,
     log: Vec<(String, u64)>,
-    loan: u64,
+    lease_id: u64,
     /// Answers on their way, and when they arrive.
     due: BTreeMap<(u64, u64), Input>,
-    watches: Vec<(OpId, String, u64, u64)>,
+    watches: Vec<(CallId, String, u64, u64)>,
     req: u64,
-    reporting: BTreeMap<ReqId, usize>,
+    reporting: BTreeMap<RequestId, usize>,
     count: Count,
 }
 
@@ -136,10 +136,10 @@
 
     fn feed(&mut self, input: Input) {
         self.count.inputs += 1;
-        for e in self.node.step(self.t, self.t as i64, input) {
+        for e in self.controller.step(self.t, self.t as i64, input) {
             match e {
-                Effect::Answer { req, answer } => self.orders(req, answer),
-                Effect::State { op, call, .. } => self.state(op, call),
+                Effect::Answer { req, answer } => self.commands(req, answer),
+                Effect::Store { op, call, .. } => self.state(op, call),
                 Effect::Cloud { op, call, .. } => self.cloud(op, call),
                 Effect::Log { event: "renewal_violation", detail, .. } => panic!("{detail}"),
                 _ => {}
@@ -147,79 +147,86 @@
         }
     }
 
-    fn orders(&mut self, req: ReqId, answer: Answer) {
+    fn commands(&mut self, req: RequestId, answer: Answer) {
         let Some(m) = self.reporting.remove(&req) else { return };
         let t = self.t;
-        let report = self.scale.report_ms;
+        let heartbeat = self.scale.heartbeat_interval_ms;
         let w = &mut self.workers[m];
-        let Answer::Orders { token, orders } = answer else {
+        let Answer::Commands { token, commands } = answer else {
             w.next = t + 1_000;
             return;
         };
-        w.next = t + self.rng.random_range(report * 3 / 4..report * 5 / 4);
-        if token > w.token || !orders.is_empty() {
+        w.next = t + self.rng.random_range(heartbeat * 3 / 4..heartbeat * 5 / 4);
+        if token > w.token || !commands.is_empty() {
             w.next = t + 500;
         }
         w.token = token;
-        for o in orders {
+        for o in commands {
             match o {
-                Order::Start { task, attempt } => {
+                TaskCommand::Start { task, attempt } => {
                     self.count.starts += 1;
                     let until = t + self.rng.random_range(20_000..60_000);
                     w.tasks.insert((task, attempt), (TaskState::Running, until));
                 }
-                Order::Forget { task, attempt } => {
+                TaskCommand::Forget { task, attempt } => {
                     w.tasks.remove(&(task, attempt));
                 }
-                Order::Stop { task, attempt, .. } => {
+                TaskCommand::Stop { task, attempt, .. } => {
                     if let Some(x) = w.tasks.get_mut(&(task, attempt)) {
-                        *x = (TaskState::Exited(Why::Stopped), u64::MAX);
+                        *x = (TaskState::Exited(ExitReason::Stopped), u64::MAX);
                     }
                 }
             }
         }
     }
 
-    fn item(&self, key: &str) -> Option<Item> {
-        let (value, stamp) = self.keys.get(key)?;
-        let loan = (key == records::LEADER).then_some(self.loan);
-        Some(Item { key: key.into(), value: value.clone(), stamp: *stamp, loan })
+    fn item(&self, key: &str) -> Option<KeyValue> {
+        let (value, mod_revision) = self.keys.get(key)?;
+        let lease_id = (key == records::LEADER_KEY).then_some(self.lease_id);
+        Some(KeyValue {
+            key: key.into(),
+            value: value.clone(),
+            mod_revision: *mod_revision,
+            lease_id,
+        })
     }
 
-    fn news(&self, prefix: &str, after: u64) -> Vec<Event> {
+    fn news(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
         let new = self.log.iter().rev().take_while(|(_, r)| *r > after);
-        let mut events: Vec<Event> = new
+        let mut events: Vec<WatchEvent> = new
             .filter(|(k, _)| k.starts_with(prefix))
             .map(|(k, r)| match self.item(k) {
-                Some(i) => Event::Put(i),
-                None => Event::Remove { key: k.clone(), stamp: *r },
+                Some(i) => WatchEvent::Put(i),
+                None => WatchEvent::Delete { key: k.clone(), mod_revision: *r },
             })
             .collect();
         events.reverse();
         events
     }
 
-    fn state(&mut self, op: OpId, call: StateOp) {
+    fn state(&mut self, op: CallId, call: StoreRequest) {
         self.count.state += 1;
         let reply = match call {
-            StateOp::Get(key) => self.item(&key).map_or(StateReply::Missing, StateReply::Found),
-            StateOp::List { prefix, after, limit } => {
+            StoreRequest::Get(key) => {
+                self.item(&key).map_or(StoreReply::NotFound, StoreReply::KeyValue)
+            }
+            StoreRequest::List { prefix, after, limit } => {
                 let from = after.unwrap_or_default();
                 let keys = self.keys.keys().filter(|k| k.starts_with(&prefix) && **k > from);
                 let some: Vec<String> = keys.take(limit as usize + 1).cloned().collect();
                 let more = some.len() > limit as usize;
                 let items = some.iter().take(limit as usize).filter_map(|k| self.item(k)).collect();
-                StateReply::Rows { items, more, revision: self.revision }
+                StoreReply::Page { items, more, revision: self.revision }
             }
-            StateOp::Txn { conds, puts, removes } => {
-                assert!(puts.len() + removes.len() <= 12 && conds.len() <= 48);
+            StoreRequest::Transaction { preconditions, puts, deletes } => {
+                assert!(puts.len() + deletes.len() <= 12 && preconditions.len() <= 48);
                 assert!(puts.iter().all(|p| p.value.len() <= 4_096), "a value is too long");
-                let keys = conds.iter().map(|(k, _)| k.len() + 40).sum::<usize>();
+                let keys = preconditions.iter().map(|(k, _)| k.len() + 40).sum::<usize>();
                 let values = puts.iter().map(|p| p.key.len() + p.value.len() + 40).sum::<usize>();
-                self.count.largest = self.count.largest.max(keys + values + 60 * removes.len());
-                self.count.writes += (puts.len() + removes.len()) as u64;
-                let stamp = |k: &String| self.keys.get(k).map_or(0, |(_, s)| *s);
-                let bad = conds.iter().filter(|(k, s)| stamp(k) != *s);
+                self.count.largest = self.count.largest.max(keys + values + 60 * deletes.len());
+                self.count.writes += (puts.len() + deletes.len()) as u64;
+                let mod_revision = |k: &String| self.keys.get(k).map_or(0, |(_, s)| *s);
+                let bad = preconditions.iter().filter(|(k, s)| mod_revision(k) != *s);
                 let failed: Vec<String> = bad.map(|(k, _)| k.clone()).collect();
                 if failed.is_empty() {
                     self.revision += 1;
@@ -227,33 +234,33 @@
                         self.log.push((p.key.clone(), self.revision));
                         self.keys.insert(p.key, (p.value, self.revision));
                     }
-                    for key in removes {
+                    for key in deletes {
                         self.keys.remove(&key);
                         self.log.push((key, self.revision));
                     }
-                    StateReply::Committed { revision: self.revision }
+                    StoreReply::Committed { revision: self.revision }
                 } else {
-                    StateReply::Conflict { failed }
+                    StoreReply::Conflict { failed }
                 }
             }
-            StateOp::Grant { .. } => {
-                self.loan += 1;
-                StateReply::Granted { loan: self.loan }
+            StoreRequest::GrantLease { .. } => {
+                self.lease_id += 1;
+                StoreReply::LeaseGranted { lease_id: self.lease_id }
             }
-            StateOp::Revoke { loan } => {
-                if loan == self.loan {
+            StoreRequest::RevokeLease { lease_id } => {
+                if lease_id == self.lease_id {
                     self.revision += 1;
-                    self.keys.remove(records::LEADER);
-                    self.log.push((records::LEADER.into(), self.revision));
+                    self.keys.remove(records::LEADER_KEY);
+                    self.log.push((records::LEADER_KEY.into(), self.revision));
                 }
-                StateReply::Ok
+                StoreReply::Ok
             }
-            StateOp::Extend { .. } => StateReply::Ok,
-            StateOp::Watch { prefix, after, wait_ms } => {
+            StoreRequest::KeepAlive { .. } => StoreReply::Ok,
+            StoreRequest::Watch { prefix, after, wait_ms } => {
                 return self.watches.push((op, prefix, after, self.t + wait_ms));
             }
         };
-        self.answer(10, Input::State { op, reply });
+        self.answer(10, Input::Store { op, reply });
     }
 
     fn watch(&mut self) {
@@ -262,17 +269,17 @@
             if events.is_empty() && self.t < until {
                 self.watches.push((op, prefix, after, until));
             } else {
-                let reply = StateReply::Events { revision: self.revision, events };
-                self.answer(5, Input::State { op, reply });
+                let reply = StoreReply::Events { revision: self.revision, events };
+                self.answer(5, Input::Store { op, reply });
             }
         }
     }
 
-    fn cloud(&mut self, op: OpId, call: CloudOp) {
+    fn cloud(&mut self, op: CallId, call: CloudRequest) {
         self.count.cloud += 1;
         let name = |m: usize| MachineId(format!("m-{m:06}").into());
         let reply = match call {
-            CloudOp::Types => CloudReply::Types(vec![MachineType {
+            CloudRequest::Types => CloudReply::Types(vec![MachineType {
                 name: "x".into(),
                 cpus: 8.0,
                 gpus: 0.0,
@@ -284,7 +291,7 @@
                 boot_s: 20.0,
                 zones: vec!["a".into(), "b".into()],
             }]),
-            CloudOp::Rent { count, .. } => {
+            CloudRequest::Provision { count, .. } => {
                 let from = self.workers.len();
                 for _ in 0..(count as usize).min(self.scale.machines - from) {
                     let up_at = self.t + BOOT * self.rng.random_range(6..15) / 10;
@@ -292,11 +299,11 @@
                 }
                 match self.workers.len() - from {
                     0 => CloudReply::NoCapacity,
-                    n => CloudReply::Rented((from..from + n).map(name).collect()),
+                    n => CloudReply::Provisioned((from..from + n).map(name).collect()),
                 }
             }
-            CloudOp::Release(_) => CloudReply::Released,
-            CloudOp::List { after } => {
+            CloudRequest::Terminate(_) => CloudReply::Terminated,
+            CloudRequest::List { after } => {
                 let from = after.map_or(0, |a| a[2..].parse::<usize>().unwrap() + 1);
                 let to = self.workers.len().min(from + 500);
                 let machines = (from..to).map(|m| ListedMachine {
@@ -314,34 +321,34 @@
         self.answer(150, Input::Cloud { op, reply });
     }
 
-    fn report(&mut self, m: usize) {
+    fn heartbeat(&mut self, m: usize) {
         let t = self.t;
         let w = &mut self.workers[m];
-        w.seq += 1;
+        w.sequence += 1;
         w.next = u64::MAX;
         w.reported = t;
-        let tasks = w.tasks.iter().map(|((task, attempt), (s, _))| TaskReport {
+        let tasks = w.tasks.iter().map(|((task, attempt), (s, _))| TaskStatus {
             task: *task,
             attempt: *attempt,
             state: *s,
         });
-        let report = Report {
+        let heartbeat = Heartbeat {
             machine: MachineId(format!("m-{m:06}").into()),
             endpoint: "e".into(),
             machine_type: "x".into(),
             zone: ["a", "b"][m % 2].into(),
             spot: false,
-            session: 1,
-            seq: w.seq,
+            agent_epoch: 1,
+            sequence: w.sequence,
             token: w.token,
-            notice_s: None,
+            reclaim_notice_s: None,
             tasks: tasks.collect(),
         };
         self.req += 1;
-        let req = ReqId(self.req);
+        let req = RequestId(self.req);
         self.reporting.insert(req, m);
         self.count.reports += 1;
-        self.feed(Input::Checkin { req, report: Box::new(report) });
+        self.feed(Input::Heartbeat { req, heartbeat: Box::new(heartbeat) });
     }
 
     fn submit(&mut self, job: u64) {
@@ -368,7 +375,7 @@
             deadline_s: None,
         };
         self.req += 1;
-        let req = ReqId(self.req);
+        let req = RequestId(self.req);
         self.feed(Input::Submit { req, job: JobId(job), spec: Box::new(spec) });
     }
 
@@ -396,7 +403,7 @@
                 }
                 for (s, _) in w.tasks.values_mut().filter(|(_, until)| *until <= t) {
                     if *s == TaskState::Running {
-                        *s = TaskState::Exited(Why::Done);
+                        *s = TaskState::Exited(ExitReason::Done);
                         self.count.done += 1;
                         if w.next != u64::MAX {
                             w.next = w.next.min((w.reported + 500).max(t));
@@ -404,7 +411,7 @@
                     }
                 }
                 if w.next <= t {
-                    self.report(m);
+                    self.heartbeat(m);
                 }
             }
         }
@@ -422,13 +429,13 @@
     let mut w = World {
         scale,
         t: 0,
-        node: Node::new(Arc::new(settings(&scale, 1)), 1),
+        controller: Controller::new(Arc::new(settings(&scale, 1)), 1),
         rng: SmallRng::seed_from_u64(1),
         workers: Vec::new(),
         keys: BTreeMap::new(),
         revision: 0,
         log: Vec::new(),
-        loan: 0,
+        lease_id: 0,
         due: BTreeMap::new(),
         watches: Vec::new(),
         req: 0,
@@ -438,26 +445,26 @@
     w.run(RESTART - 20_000);
     assert_eq!(w.workers.len(), scale.machines, "not all were rented");
     w.count = Count::default();
-    let before = w.node.visited();
+    let before = w.controller.visited();
     let region = Region::new(COUNTED);
     w.run(RESTART);
     let made = region.change().allocations as u64;
-    let visited = w.node.visited() - before;
+    let visited = w.controller.visited() - before;
     let count = std::mem::take(&mut w.count);
     println!("20 s: {count:?}, {visited} visited, {made} allocations, the stand-in's included");
     assert!(count.reports > 5_000 && count.starts > 1_500, "too little to do: {count:?}");
     // A pass over all machines and tasks at set times, and one machine a report.
     let all: u64 = w.workers.iter().map(|w| 2 + w.tasks.len() as u64).sum();
-    let passes = 20_000 / (scale.report_ms / 20) + 2;
+    let passes = 20_000 / (scale.heartbeat_interval_ms / 20) + 2;
     assert!(visited <= all * passes * 3 / 2 + count.reports, "{visited} of {all} in {passes}");
     assert!(made / count.reports < 150, "{} allocations a report", made / count.reports);
-    assert!(count.state as f64 <= 20.0 * scale.state_rps, "{count:?}");
+    assert!(count.state as f64 <= 20.0 * scale.store_rps, "{count:?}");
     assert!(count.writes as f64 <= 20.0 * scale.write_rps, "{count:?}");
     assert!(count.cloud as f64 <= 20.0 * scale.cloud_rps, "{count:?}");
     assert!(count.largest <= 64 * 1024, "{count:?}");
 
     // The process ends; the next one finds all machines up, and they all come at once.
-    w.node = Node::new(Arc::new(settings(&scale, 2)), 2);
+    w.controller = Controller::new(Arc::new(settings(&scale, 2)), 2);
     w.due.clear();
     w.watches.clear();
     w.reporting.clear();
@@ -468,7 +475,7 @@
     w.run(RESTART + 12_000);
     let starts = w.count.starts;
     println!("12 s after a restart: {:?}", w.count);
-    assert!(w.node.leading() && starts > 500, "{starts} starts after a restart");
+    assert!(w.controller.leading() && starts > 500, "{starts} starts after a restart");
     assert!(w.count.largest <= 64 * 1024);
     w.run(DAY);
     assert!(w.count.done > 4_000, "{:?}", w.count);
--- a/crates/basaltrail-core/tests/simulation/simulated/allotments.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/allotments.rs
@@ -27,14 +27,14 @@
         classes: Vec::new(),
     };
     // One class is named beside the entry for all others.
-    Planner::bound(&bounds, &load, 0.0, 2 * NODES).jobs as usize
+    Planner::bound(&bounds, &load, 0.0, 2 * CONTROLLERS).jobs as usize
 }
 
 impl World {
     fn allot(&mut self) {
-        for node in 0..NODES {
-            self.nodes[node].next_configuration.policy = policy();
-            self.boot(node);
+        for controller in 0..CONTROLLERS {
+            self.controllers[controller].next_configuration.policy = policy();
+            self.boot(controller);
         }
     }
 
@@ -42,7 +42,7 @@
     fn active_jobs(&self) -> [usize; CPUS_MAX.len()] {
         let mut count = [0; CPUS_MAX.len()];
         for (key, kept) in &self.store.keys {
-            if key.starts_with(records::ACTIVE) {
+            if key.starts_with(records::ACTIVE_JOBS_PREFIX) {
                 let record: records::JobRecord = records::decode(&kept.value).unwrap();
                 count[record.spec.team[1..].parse::<usize>().unwrap()] += 1;
             }
@@ -154,7 +154,7 @@
     }
 }
 
-/// A node stands still with acceptances that it has built and not sent, and goes on after the
+/// A controller stands still with acceptances that it has built and not sent, and goes on after the
 /// leader has moved its allotment; transactions come late, twice or without an answer.
 #[test]
 fn the_bound_holds_with_nodes_that_stand_still_and_writes_that_come_late() {
@@ -163,8 +163,8 @@
         w.play_within_bounds(30_200);
         w.late_writes = Partly { until: w.t + 60_000, share: 0.3, other: seed % 2 == 0 };
         for n in 0..6 {
-            let node = (n + seed as usize) % NODES;
-            w.nodes[node].freezes_until = w.t + 14_000;
+            let controller = (n + seed as usize) % CONTROLLERS;
+            w.controllers[controller].freezes_until = w.t + 14_000;
             w.play_within_bounds(w.t + 6_000);
         }
         w.quiet(30_000);
@@ -175,7 +175,7 @@
     }
 }
 
-/// A node ends with a part of its allotment used, and is back at once: as another process, which
+/// A controller ends with a part of its allotment used, and is back at once: as another process, which
 /// accepts nothing before it has an allotment of its own.
 #[test]
 fn the_bound_holds_as_nodes_end_and_are_back_at_once() {
@@ -183,7 +183,7 @@
         let mut w = flooded(seed);
         w.play_within_bounds(30_300);
         for n in 0..12 {
-            w.end(n % NODES, 20);
+            w.end(n % CONTROLLERS, 20);
             w.play_within_bounds(w.t + 1_500);
         }
         w.play_within_bounds(w.t + 330_000);
@@ -223,7 +223,7 @@
 fn controllers_with_and_without_allotments_serve_side_by_side() {
     for seed in 0..4 {
         let mut w = World::with(SmallRng::seed_from_u64(seed), flood(30_000));
-        w.nodes[0].next_configuration.policy = policy();
+        w.controllers[0].next_configuration.policy = policy();
         w.boot(0);
         w.play(30_500);
         for n in 0..8 {
@@ -245,10 +245,10 @@
         (0..400).map(|i| User::new(1000 + i, job("urgent", Priority::High), 5_000 + i * 700, None));
     let low = (0..12).map(|i| User::new(5000 + i, job("idle", Priority::Low), 5_000, None));
     let mut w = World::with(SmallRng::seed_from_u64(1), high.chain(low).collect());
-    for node in 0..NODES {
+    for controller in 0..CONTROLLERS {
         let admission = AdmissionPolicy { backlog_s: 600.0, class_least };
-        w.nodes[node].next_configuration.policy.admission = Some(admission);
-        w.boot(node);
+        w.controllers[controller].next_configuration.policy.admission = Some(admission);
+        w.boot(controller);
     }
     w.play(240_000);
     assert!(w.broken.is_empty(), "{:#?}", w.broken);
--- a/crates/basaltrail-core/tests/simulation/simulated/checks.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/checks.rs
@@ -55,10 +55,10 @@
     /// The highest limit of a team that some controller goes by, or went by so lately that what
     /// it ordered may still begin.
     fn limit_in_force(&self, team: usize) -> f64 {
-        let limits = self.nodes.iter().flat_map(|node| {
+        let limits = self.controllers.iter().flat_map(|controller| {
             let late = |(ended, _): &&(u64, Configuration)| self.t <= *ended + BEGINS;
-            let earlier = node.earlier.iter().filter(late).map(|(_, earlier)| earlier);
-            earlier.chain([&node.configuration])
+            let earlier = controller.earlier.iter().filter(late).map(|(_, earlier)| earlier);
+            earlier.chain([&controller.configuration])
         });
         limits.map(|configuration| configuration.cpus_max[team]).fold(0.0, f64::max)
     }
--- a/crates/basaltrail-core/tests/simulation/simulated/nodes.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 /// Whether a call keeps limits on the bytes of a value and the changes of a transaction.
-fn within(call: &StateOp, (value, ops): (usize, usize)) -> bool {
-    let StateOp::Txn { conds, puts, removes } = call else { return true };
+fn within(call: &StoreRequest, (value, ops): (usize, usize)) -> bool {
+    let StoreRequest::Transaction { preconditions, puts, deletes } = call else { return true };
     let small = puts.iter().all(|p| p.value.len() <= value);
-    small && puts.len() + removes.len() <= ops && conds.len() <= ops * 4
+    small && puts.len() + deletes.len() <= ops && preconditions.len() <= ops * 4
 }
 
 impl World {
     pub(super) fn step(&mut self, i: usize, input: Input) {
-        let c = &mut self.nodes[i];
+        let c = &mut self.controllers[i];
         let now = ((self.t - c.born) as f64 * c.drift) as u64;
-        let Some(node) = c.node.as_mut() else { return };
-        let effects = node.step(now, self.t as i64, input);
+        let Some(controller) = c.process.as_mut() else { return };
+        let effects = controller.step(now, self.t as i64, input);
         let epoch = c.epoch;
         if c.freezes_until > self.t {
             c.frozen_until = std::mem::take(&mut c.freezes_until);
@@ -29,11 +29,11 @@
                     let at = goes + self.delay();
                     match asker {
                         Asker::Worker(who, n) => {
-                            if self.nodes[i].version.acts_on_old_word() {
+                            if self.controllers[i].version.acts_on_old_word() {
                                 self.old_word_at = Some(goes);
                             }
                             let at = self.between(i, who, at);
-                            let sent = self.workers[who].session;
+                            let sent = self.workers[who].agent_epoch;
                             self.send(at, usize::MAX, 0, Msg::Orders(who, sent, n, answer));
                         }
                         Asker::User(_, q) if at > q.until => {}
@@ -41,19 +41,19 @@
                         _ => self.send(at, usize::MAX, 0, Msg::Answer(asker, answer)),
                     }
                 }
-                Effect::State { op, call, timeout_ms } => {
-                    let unknown = Input::State { op, reply: StateReply::Unknown };
+                Effect::Store { op, call, timeout_ms } => {
+                    let unknown = Input::Store { op, reply: StoreReply::Unknown };
                     self.send(self.t + timeout_ms, i, epoch, Msg::Input(unknown));
                     let mut at = goes + self.delay();
-                    if !within(&call, self.nodes[i].configuration.limits) {
+                    if !within(&call, self.controllers[i].configuration.limits) {
                         self.rule(format!("node {i} wrote beyond its limits: {call:?}"));
                     }
                     // A transaction is carried out twice; nobody hears of the second.
-                    if matches!(call, StateOp::Txn { .. }) && self.copied() {
+                    if matches!(call, StoreRequest::Transaction { .. }) && self.copied() {
                         let at = self.t + self.rng.random_range(5..30_000);
-                        self.send(at, i, epoch, Msg::State(OpId(u64::MAX), call.clone()));
+                        self.send(at, i, epoch, Msg::State(CallId(u64::MAX), call.clone()));
                     }
-                    if let Some((until, held)) = self.nodes[i].state_cut {
+                    if let Some((until, held)) = self.controllers[i].state_cut {
                         if !held {
                             continue;
                         }
@@ -73,7 +73,7 @@
                         if self.t < FAULTS_END && self.rng.random_bool(0.05) { 30_000 } else { 0 };
                     if self.copied() {
                         let at = self.t + self.rng.random_range(5..30_000);
-                        self.send(at, i, epoch, Msg::Cloud(OpId(u64::MAX), call.clone()));
+                        self.send(at, i, epoch, Msg::Cloud(CallId(u64::MAX), call.clone()));
                     }
                     let at = goes.max(island) + 20 + self.delay() + late;
                     self.send(at, i, epoch, Msg::Cloud(op, call));
@@ -91,73 +91,72 @@
 
     /// What a leader tells its peers reaches those that no cut keeps from it.
     fn tell_peers(&mut self, from: usize, at: u64, progress: &[Progress]) {
-        let apart = |c: &Controller| c.island_until > at || c.state_cut.is_some();
-        for to in (0..NODES).filter(|to| *to != from) {
+        let apart = |c: &SimulatedController| c.island_until > at || c.state_cut.is_some();
+        for to in (0..CONTROLLERS).filter(|to| *to != from) {
             let zones = self.zone_cut.is_some() && to % 2 != from % 2;
-            if zones || apart(&self.nodes[from]) || apart(&self.nodes[to]) {
+            if zones || apart(&self.controllers[from]) || apart(&self.controllers[to]) {
                 continue;
             }
-            let epoch = self.nodes[to].epoch;
+            let epoch = self.controllers[to].epoch;
             let input = Input::Peer { progress: progress.to_vec() };
             self.send(at + 5, to, epoch, Msg::Input(input));
         }
     }
 
-    /// When a message between a node and a worker arrives.
-    pub(super) fn between(&mut self, node: usize, worker: usize, at: u64) -> u64 {
-        let zones = self.zone_cut.filter(|_| node % 2 != self.workers[worker].zone);
-        match zones.or(self.nodes[node].workers_cut) {
+    /// When a message between a controller and a worker arrives.
+    pub(super) fn between(&mut self, controller: usize, worker: usize, at: u64) -> u64 {
+        let zones = self.zone_cut.filter(|_| controller % 2 != self.workers[worker].zone);
+        match zones.or(self.controllers[controller].workers_cut) {
             Some((until, true)) => until + self.delay(),
             Some((_, false)) => u64::MAX,
             None => at,
         }
     }
 
-    pub(super) fn state(&mut self, i: usize, epoch: u64, op: OpId, call: StateOp) {
-        let down = self.t < self.store.down_until || self.t < self.nodes[i].refused_until;
-        let shut = down || (self.nodes[i].state_cut.is_some() && op != OpId(u64::MAX));
-        if let StateOp::Watch { prefix, after, wait_ms } = call {
+    pub(super) fn state(&mut self, i: usize, epoch: u64, op: CallId, call: StoreRequest) {
+        let down = self.t < self.store.down_until || self.t < self.controllers[i].refused_until;
+        let shut = down || (self.controllers[i].state_cut.is_some() && op != CallId(u64::MAX));
+        if let StoreRequest::Watch { prefix, after, wait_ms } = call {
             // Watches that are open wait; a new one is refused.
             if down {
-                let input = Input::State { op, reply: StateReply::Refused };
+                let input = Input::Store { op, reply: StoreReply::Refused };
                 return self.send(self.t + 2, i, epoch, Msg::Input(input));
             }
-            if prefix == records::JOBS && self.t < self.nodes[i].watch_lost_until {
+            if prefix == records::JOBS_PREFIX && self.t < self.controllers[i].watch_lost_until {
                 return self.meet("watch lost");
             }
             self.store.watches.push((i, epoch, op, prefix, after, self.t + wait_ms));
             return self.watch();
         }
-        let changes =
-            matches!(&call, StateOp::Txn { puts, removes, .. } if puts.len() + removes.len() > 0);
+        let changes = matches!(&call, StoreRequest::Transaction { puts, deletes, .. } if puts.len() + deletes.len() > 0);
         let late = self.late_writes;
-        if changes && !shut && op != OpId(u64::MAX) && self.t < late.until {
+        if changes && !shut && op != CallId(u64::MAX) && self.t < late.until {
             let hit = self.rng.random_bool(late.share);
             if hit && late.other {
-                if matches!(self.store.carry_out(self.t, &call), StateReply::Committed { .. }) {
+                if matches!(self.store.carry_out(self.t, &call), StoreReply::Committed { .. }) {
                     self.meet("answer lost");
                 }
                 return self.watch();
             } else if hit {
                 let at = self.t + self.rng.random_range(2_000..12_000);
-                return self.send(at, i, epoch, Msg::State(OpId(u64::MAX), call));
+                return self.send(at, i, epoch, Msg::State(CallId(u64::MAX), call));
             }
         }
-        let reply = if down { StateReply::Refused } else { self.store.carry_out(self.t, &call) };
+        let reply = if down { StoreReply::Refused } else { self.store.carry_out(self.t, &call) };
         // A copy may come after the limits fell of what an earlier version wrote before.
-        let late = op == OpId(u64::MAX) && within(&call, LIMITS);
-        if reply == StateReply::Rejected && !late {
+        let late = op == CallId(u64::MAX) && within(&call, LIMITS);
+        if reply == StoreReply::Rejected && !late {
             self.rule(format!("wrote more than the service takes: {call:?}"));
         }
-        if op == OpId(u64::MAX) && matches!(reply, StateReply::Committed { .. }) {
+        if op == CallId(u64::MAX) && matches!(reply, StoreReply::Committed { .. }) {
             self.meet("late write won");
-        } else if op == OpId(u64::MAX) && matches!(reply, StateReply::Conflict { .. }) {
+        } else if op == CallId(u64::MAX) && matches!(reply, StoreReply::Conflict { .. }) {
             self.meet("late write lost");
         }
         let at = self.t + self.delay() + self.slow_state;
         let lost = self.t < FAULTS_END && self.rng.random_bool(0.01);
-        if !lost && self.nodes[i].state_cut.is_none() {
-            self.send(at, i, epoch, Msg::Input(Input::State { op, reply }));
+        if !lost && self.controllers[i].state_cut.is_none() {
+            self.send(at, i, epoch, Msg::Input(Input::Store { op, reply }));
         }
         self.watch();
     }
@@ -170,22 +169,23 @@
         let watches = std::mem::take(&mut self.store.watches);
         for (i, epoch, op, prefix, after, until) in watches {
             let events = self.store.news(&prefix, after);
-            let shut = self.nodes[i].state_cut.is_some() || t < self.nodes[i].refused_until;
+            let shut =
+                self.controllers[i].state_cut.is_some() || t < self.controllers[i].refused_until;
             if shut || (events.is_empty() && t < until) {
                 if t < until + 60_000 {
                     self.store.watches.push((i, epoch, op, prefix, after, until));
                 }
                 continue;
             }
-            let reply = StateReply::Events { revision: self.store.revision, events };
+            let reply = StoreReply::Events { revision: self.store.revision, events };
             let at = t + self.delay();
-            self.send(at, i, epoch, Msg::Input(Input::State { op, reply }));
+            self.send(at, i, epoch, Msg::Input(Input::Store { op, reply }));
         }
     }
 
-    pub(super) fn cloud(&mut self, i: usize, epoch: u64, op: OpId, call: CloudOp) {
+    pub(super) fn cloud(&mut self, i: usize, epoch: u64, op: CallId, call: CloudRequest) {
         let reply = match call {
-            CloudOp::Types => CloudReply::Types(vec![MachineType {
+            CloudRequest::Types => CloudReply::Types(vec![MachineType {
                 name: "x".into(),
                 cpus: CPUS,
                 gpus: 0.0,
@@ -197,9 +197,9 @@
                 boot_s: 8.0,
                 zones: ZONES.map(String::from).to_vec(),
             }]),
-            CloudOp::Rent { requisition, zone, spot, count, .. } => {
+            CloudRequest::Provision { requisition, zone, spot, count, .. } => {
                 if let Some(done) = self.requisitions.get(&requisition) {
-                    CloudReply::Rented(done.clone())
+                    CloudReply::Provisioned(done.clone())
                 } else {
                     let z = ZONES.iter().position(|x| *x == zone).unwrap();
                     let have = self
@@ -229,12 +229,12 @@
                             spot,
                             up_at,
                             alive: true,
-                            session: 1,
-                            seq: 0,
-                            token: Token(0),
+                            agent_epoch: 1,
+                            sequence: 0,
+                            token: FencingToken(0),
                             renewed: up_at,
                             tasks: BTreeMap::new(),
-                            to: self.rng.random_range(0..NODES),
+                            to: self.rng.random_range(0..CONTROLLERS),
                             waiting: None,
                             next_report: up_at,
                             hangs_until: 0,
@@ -252,19 +252,19 @@
                         CloudReply::NoCapacity
                     } else {
                         self.requisitions.insert(requisition, ids.clone());
-                        CloudReply::Rented(ids)
+                        CloudReply::Provisioned(ids)
                     }
                 }
             }
-            CloudOp::Release(ids) => {
+            CloudRequest::Terminate(ids) => {
                 for (m, w) in self.workers.iter_mut().enumerate() {
                     if ids.contains(&machine(m)) {
                         w.end(self.t);
                     }
                 }
-                CloudReply::Released
+                CloudReply::Terminated
             }
-            CloudOp::List { .. } => {
+            CloudRequest::List { .. } => {
                 // It tells of any time within two lags, so it may be older than the last one.
                 let t = self.t.saturating_sub(self.rng.random_range(0..=2 * LIST_LAG));
                 let there = |w: &Worker| w.rented <= t && w.gone.is_none_or(|g| g > t);
--- a/crates/basaltrail-core/tests/simulation/simulated/limits.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/limits.rs
@@ -51,9 +51,9 @@
         let before = used_by(&w, "t1");
         assert!(before > 30.0, "seed {seed}: {before} CPUs in use");
         let lowered = 12.0;
-        for node in 0..NODES {
-            w.nodes[node].next_configuration.cpus_max[1] = lowered;
-            w.end(node, 400);
+        for controller in 0..CONTROLLERS {
+            w.controllers[controller].next_configuration.cpus_max[1] = lowered;
+            w.end(controller, 400);
             w.play(w.t + 6_000);
         }
         w.stopped = 0;
@@ -81,10 +81,10 @@
         w.services_only_where_known();
         w.play(20_000);
         for (round, limits) in [[12.0, 30.0], [24.0, 16.0], [8.0, 40.0]].into_iter().enumerate() {
-            for node in 0..NODES {
-                let next = &mut w.nodes[node].next_configuration;
+            for controller in 0..CONTROLLERS {
+                let next = &mut w.controllers[controller].next_configuration;
                 (next.cpus_max[0], next.cpus_max[1]) = (limits[0], limits[1]);
-                w.end(node, [20, 400, 3_000][(node + round) % 3]);
+                w.end(controller, [20, 400, 3_000][(controller + round) % 3]);
                 w.fault();
                 w.play(w.t + 9_000);
                 let leader = w.leader();
@@ -113,9 +113,10 @@
         let guests = (0..4).map(|i| User::new(1000 + i, unsaved(2, 40), 2_000, None));
         let guaranteed = User::new(2000, unsaved(0, 6), ASKED, None);
         let mut w = world(seed, guests.chain([guaranteed]).collect());
-        for node in 0..NODES {
-            w.nodes[node].next_configuration.policy.guarantee_leases = Some(GUARANTEE_LEASES);
-            w.boot(node);
+        for controller in 0..CONTROLLERS {
+            w.controllers[controller].next_configuration.policy.guarantee_leases =
+                Some(GUARANTEE_LEASES);
+            w.boot(controller);
         }
         w.play(ASKED);
         let taken = used_by(&w, "t2");
--- a/crates/basaltrail-core/tests/simulation/simulated/meetings.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/meetings.rs
@@ -58,13 +58,13 @@
         panic!("nobody leads at {}", self.t);
     }
 
-    fn refuse(&mut self, node: usize, spell: u64) {
-        self.nodes[node].refused_until = self.t + spell;
+    fn refuse(&mut self, controller: usize, spell: u64) {
+        self.controllers[controller].refused_until = self.t + spell;
         self.quiet(spell);
     }
 
-    fn cut_from_state(&mut self, node: usize, spell: u64, held: bool) {
-        self.nodes[node].state_cut = Some((self.t + spell, held));
+    fn cut_from_state(&mut self, controller: usize, spell: u64, held: bool) {
+        self.controllers[controller].state_cut = Some((self.t + spell, held));
         self.quiet(spell);
     }
 
@@ -94,7 +94,7 @@
 const RAN: &str = "cancelled as it ran";
 const FAR: &str = "cancelled out of reach";
 
-/// The gap: the service refuses the leader, another node confirms cancellations, and then it is
+/// The gap: the service refuses the leader, another controller confirms cancellations, and then it is
 /// out for all, for longer than `cancel_s`.
 fn gap(shut: impl Fn(&mut World, usize), before: u64, outage: u64, meanwhile: impl Fn(&mut World)) {
     days(&[RAN], |w| {
@@ -112,7 +112,7 @@
         }
         // Who leads after it hears of what was cancelled late, by its watch alone.
         let until = w.t + 6_000;
-        w.nodes.iter_mut().for_each(|c| c.watch_lost_until = until);
+        w.controllers.iter_mut().for_each(|c| c.watch_lost_until = until);
         w.quiet(6_200);
     });
 }
@@ -138,7 +138,7 @@
 fn refused_leader_stands_still_or_is_restarted_in_the_outage() {
     let still = |w: &mut World| {
         let l = w.leaders.last().unwrap().1;
-        w.nodes[l].freezes_until = w.t + CANCEL + 11_900;
+        w.controllers[l].freezes_until = w.t + CANCEL + 11_900;
     };
     gap(|w, l| w.refuse(l, 14_000), 1_000, CANCEL + 12_000, still);
     // It goes on while its workers still have their leases.
@@ -148,7 +148,7 @@
         CANCEL + 12_000,
         |w| {
             let l = w.leaders.last().unwrap().1;
-            w.nodes[l].freezes_until = w.t + 3_500;
+            w.controllers[l].freezes_until = w.t + 3_500;
         },
     );
     gap(
@@ -160,7 +160,7 @@
             let l = w.leaders.last().unwrap().1;
             w.end(l, 20);
             w.wait(CANCEL);
-            (0..NODES).for_each(|i| w.end(i, 100));
+            (0..CONTROLLERS).for_each(|i| w.end(i, 100));
         },
     );
 }
@@ -207,7 +207,7 @@
         w.late_reports = Partly { until: 100_000, share: 0.8, other: false };
         w.wait(50_000);
         w.hand_over(20);
-        // A session ends and the next begins, with copies of the last on their way.
+        // A agent epoch ends and the next begins, with copies of the last on their way.
         w.hang(0.6, LEASE..LEASE + 4_000);
         w.wait(20_000);
         w.cancel_now(5, 0);
@@ -305,7 +305,7 @@
         w.cancel_now(5, 0);
         w.hand_over(3_000);
         w.wait(10_000);
-        (0..NODES).for_each(|i| w.end(i, 100));
+        (0..CONTROLLERS).for_each(|i| w.end(i, 100));
         w.quiet(30_000);
     });
 }
@@ -354,7 +354,7 @@
         w.storm_until = 150_000;
         for _ in 0..6 {
             w.wait(12_000);
-            (0..NODES).for_each(|i| w.end(i, 20 + 50 * i as u64));
+            (0..CONTROLLERS).for_each(|i| w.end(i, 20 + 50 * i as u64));
         }
     });
 }
@@ -405,7 +405,7 @@
         w.hand_over(50);
         w.cancel_now(4, 0);
         w.wait(100);
-        (0..NODES).for_each(|i| w.end(i, if i == 1 { 20 } else { 25_000 }));
+        (0..CONTROLLERS).for_each(|i| w.end(i, if i == 1 { 20 } else { 25_000 }));
         w.wait(2_000);
         w.led();
         w.cancel_now(3, 0);
@@ -419,9 +419,9 @@
     days(&[], |w| {
         w.long = true;
         w.wait(60_000);
-        (0..NODES).for_each(|i| w.end(i, LEASE + 3_000 + 500 * i as u64));
+        (0..CONTROLLERS).for_each(|i| w.end(i, LEASE + 3_000 + 500 * i as u64));
         w.wait(LEASE + 1_000);
-        assert!(w.nodes.iter().all(|c| c.node.is_none()));
+        assert!(w.controllers.iter().all(|c| c.process.is_none()));
         w.led();
         w.cancel_now(5, 0);
     });
@@ -469,8 +469,8 @@
             let old = w.led();
             // The successor's watches are lost as users cancel.
             let until = w.t + 8_000;
-            w.nodes.iter_mut().for_each(|c| c.watch_lost_until = until);
-            w.store.watches.retain(|(.., prefix, _, _)| prefix != records::JOBS);
+            w.controllers.iter_mut().for_each(|c| c.watch_lost_until = until);
+            w.store.watches.retain(|(.., prefix, _, _)| prefix != records::JOBS_PREFIX);
             w.cancel_now(3, 0);
             w.wait(50);
             w.end(old, back);
@@ -549,7 +549,7 @@
             let over = w.t + CANCEL + 5_000;
             while w.t < over {
                 let leader = w.led();
-                for i in 0..NODES {
+                for i in 0..CONTROLLERS {
                     let others_too = w.rng.random_bool(0.3);
                     if i == leader || others_too {
                         w.end(i, back);
@@ -572,7 +572,7 @@
             w.hang(0.5, 1_000..PATIENCE + 2_000);
             let l = w.led();
             let spell = w.rng.random_range(1_000..3_800);
-            w.nodes[l].freezes_until = w.t + spell;
+            w.controllers[l].freezes_until = w.t + spell;
             w.wait(spell / 2);
             w.cancel_now(2, 0);
             w.wait(9_000);
--- a/crates/basaltrail-core/tests/simulation/simulated/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/mod.rs
@@ -4,10 +4,10 @@
 
 mod allotments;
 mod checks;
+mod controllers;
 mod days;
 mod limits;
 mod meetings;
-mod nodes;
 mod rolls;
 mod store;
 mod troubles;
@@ -28,7 +28,7 @@
 /// What a worker waits for a response.
 const PATIENCE: u64 = 4_000;
 const CPUS: f64 = 8.0;
-const NODES: usize = 3;
+const CONTROLLERS: usize = 3;
 const ZONES: [&str; 2] = ["a", "b"];
 /// The last team is a guest: no guarantee and no limit.
 const CPUS_MAX: [f64; 3] = [24.0, 40.0, f64::INFINITY];
@@ -61,7 +61,7 @@
     }
 }
 
-fn settings(node: usize, incarnation: u64, configuration: &Configuration) -> Settings {
+fn settings(controller: usize, incarnation: u64, configuration: &Configuration) -> Settings {
     let limits = configuration.limits;
     let team = |i: usize| Team {
         name: format!("t{i}"),
@@ -71,24 +71,27 @@
         gpus_max: 0.0,
     };
     Settings {
-        node: format!("n{node}"),
-        zone: ZONES[node % 2].into(),
-        nodes: NODES,
+        controller: format!("n{controller}"),
+        zone: ZONES[controller % 2].into(),
+        controller_count: CONTROLLERS,
         zones: ZONES.map(String::from).to_vec(),
-        peer_zones: (0..NODES).filter(|n| *n != node).map(|n| ZONES[n % 2].into()).collect(),
+        peer_zones: (0..CONTROLLERS)
+            .filter(|n| *n != controller)
+            .map(|n| ZONES[n % 2].into())
+            .collect(),
         teams: (0..CPUS_MAX.len()).map(team).collect(),
         objectives: vec![Objective::Finished { class: "c".into(), within_s: 60.0 }],
-        report_ms: REPORT,
+        heartbeat_interval_ms: REPORT,
         lease_ms: LEASE,
         cancel_ms: CANCEL,
-        state_rps: 120.0,
+        store_rps: 120.0,
         write_rps: 40.0,
         value_bytes: limits.0,
-        txn_ops: limits.1,
+        transaction_ops: limits.1,
         cloud_rps: 5.0,
         list_lag_ms: LIST_LAG,
         memory_mb: 56.0,
-        machines_most: 5_000,
+        max_machines: 5_000,
         incarnation,
         policy: configuration.policy.clone(),
     }
@@ -97,8 +100,8 @@
 #[derive(Clone)]
 struct Kept {
     value: String,
-    stamp: u64,
-    loan: Option<u64>,
+    mod_revision: u64,
+    lease_id: Option<u64>,
 }
 
 /// The state service.
@@ -106,11 +109,11 @@
 struct Store {
     keys: BTreeMap<String, Kept>,
     revision: u64,
-    log: Vec<(u64, Event)>,
-    loans: BTreeMap<u64, (u64, u64)>, // life, end
-    next_loan: u64,
+    log: Vec<(u64, WatchEvent)>,
+    leases: BTreeMap<u64, (u64, u64)>, // life, end
+    next_lease_id: u64,
     down_until: u64,
-    watches: Vec<(usize, u64, OpId, String, u64, u64)>,
+    watches: Vec<(usize, u64, CallId, String, u64, u64)>,
     limits: (usize, usize),
 }
 
@@ -128,9 +131,9 @@
     spot: bool,
     up_at: u64,
     alive: bool,
-    session: u64,
-    seq: u64,
-    token: Token,
+    agent_epoch: u64,
+    sequence: u64,
+    token: FencingToken,
     renewed: u64,
     tasks: BTreeMap<(TaskId, Attempt), Running>,
     to: usize,
@@ -184,9 +187,9 @@
 enum Msg {
     Tick,
     Input(Input),
-    State(OpId, StateOp),
-    Cloud(OpId, CloudOp),
-    Report(MachineIdx, ReqId, Report),
+    State(CallId, StoreRequest),
+    Cloud(CallId, CloudRequest),
+    Heartbeat(MachineIdx, RequestId, Heartbeat),
     Orders(MachineIdx, u64, u64, Answer),
     User(usize),
     Answer(Asker, Answer),
@@ -225,8 +228,8 @@
 
 type MachineIdx = usize;
 
-struct Controller {
-    node: Option<Process>,
+struct SimulatedController {
+    process: Option<Process>,
     /// What its process runs, if any, and what it will when it starts again.
     version: Version,
     next_version: Version,
@@ -258,12 +261,12 @@
     n: u64,
     rng: SmallRng,
     queue: BTreeMap<(u64, u64), (usize, u64, Msg)>,
-    nodes: Vec<Controller>,
+    controllers: Vec<SimulatedController>,
     store: Store,
     workers: Vec<Worker>,
     requisitions: BTreeMap<String, Vec<MachineId>>,
     users: Vec<User>,
-    reqs: BTreeMap<ReqId, Asker>,
+    reqs: BTreeMap<RequestId, Asker>,
     next_req: u64,
     zone_cut: Option<(u64, bool)>,
     /// Machines rented in a zone come late or never until then.
@@ -276,10 +279,10 @@
     late_writes: Partly,
     /// Copies of reports come late, or when the next leader begins.
     late_reports: Partly,
-    kept_reports: Vec<Report>,
+    kept_reports: Vec<Heartbeat>,
     /// Jobs are cancelled as their last task ends.
     cancel_at_end: Partly,
-    /// Users ask at all nodes, within milliseconds, what they have just been told.
+    /// Users ask at all controllers, within milliseconds, what they have just been told.
     looks_until: u64,
     odd_until: u64,
     /// What a process that starts may run.
@@ -293,7 +296,7 @@
     slow_state: u64,
     /// Tasks run for a minute and more.
     long: bool,
-    /// When each change of leader was seen: the node that leads since, and its process.
+    /// When each change of leader was seen: the controller that leads since, and its process.
     leaders: Vec<(u64, usize, u64)>,
     /// How often a moment came that a day is to bring about.
     met: BTreeMap<&'static str, u64>,
--- a/crates/basaltrail-core/tests/simulation/simulated/rolls.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/rolls.rs
@@ -4,12 +4,12 @@
 use super::*;
 
 impl World {
-    /// Ends nodes, so many at a time, that come back with the new version.
+    /// Ends controllers, so many at a time, that come back with the new version.
     fn roll(&mut self, at_once: usize, every: u64, between: impl Fn(&mut World, usize)) {
-        for first in (0..NODES).step_by(at_once) {
-            for i in first..(first + at_once).min(NODES) {
-                self.nodes[i].next_configuration.limits = NEXT_LIMITS;
-                self.nodes[i].next_version = Version::default();
+        for first in (0..CONTROLLERS).step_by(at_once) {
+            for i in first..(first + at_once).min(CONTROLLERS) {
+                self.controllers[i].next_configuration.limits = NEXT_LIMITS;
+                self.controllers[i].next_version = Version::default();
                 self.end(i, 400 + 100 * i as u64);
             }
             between(self, first);
@@ -67,7 +67,7 @@
             w.cancel_now(2, 1_000);
             // One whose turn has not come ends, and comes back old.
             if first == 0 {
-                w.end(NODES - 1, 20);
+                w.end(CONTROLLERS - 1, 20);
             }
         });
         w.wait_and_lower(100);
--- a/crates/basaltrail-core/tests/simulation/simulated/store.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store.rs
@@ -5,24 +5,25 @@
 impl Store {
     pub(super) fn remove(&mut self, key: &str, revision: u64) {
         if self.keys.remove(key).is_some() {
-            self.log.push((revision, Event::Remove { key: key.into(), stamp: revision }));
+            self.log
+                .push((revision, WatchEvent::Delete { key: key.into(), mod_revision: revision }));
         }
     }
 
     pub(super) fn expire(&mut self, t: u64) {
         let over: Vec<u64> =
-            self.loans.iter().filter(|(_, (_, e))| *e <= t).map(|(l, _)| *l).collect();
-        for loan in over {
-            self.end(loan);
+            self.leases.iter().filter(|(_, (_, e))| *e <= t).map(|(l, _)| *l).collect();
+        for lease_id in over {
+            self.end(lease_id);
         }
     }
 
-    pub(super) fn end(&mut self, loan: u64) {
-        self.loans.remove(&loan);
+    pub(super) fn end(&mut self, lease_id: u64) {
+        self.leases.remove(&lease_id);
         let keys: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, k)| k.loan == Some(loan))
+            .filter(|(_, k)| k.lease_id == Some(lease_id))
             .map(|(k, _)| k.clone())
             .collect();
         for key in keys {
@@ -31,85 +32,99 @@
         }
     }
 
-    pub(super) fn item(&self, key: &str) -> Option<Item> {
+    pub(super) fn item(&self, key: &str) -> Option<KeyValue> {
         let k = self.keys.get(key)?;
-        Some(Item { key: key.into(), value: k.value.clone(), stamp: k.stamp, loan: k.loan })
+        Some(KeyValue {
+            key: key.into(),
+            value: k.value.clone(),
+            mod_revision: k.mod_revision,
+            lease_id: k.lease_id,
+        })
     }
 
-    pub(super) fn news(&self, prefix: &str, after: u64) -> Vec<Event> {
-        let key = |e: &Event| match e {
-            Event::Put(i) => i.key.clone(),
-            Event::Remove { key, .. } => key.clone(),
+    pub(super) fn news(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
+        let key = |e: &WatchEvent| match e {
+            WatchEvent::Put(i) => i.key.clone(),
+            WatchEvent::Delete { key, .. } => key.clone(),
         };
         let new = self.log.iter().filter(|(r, e)| *r > after && key(e).starts_with(prefix));
         new.map(|(_, e)| e.clone()).collect()
     }
 
-    pub(super) fn carry_out(&mut self, t: u64, op: &StateOp) -> StateReply {
+    pub(super) fn carry_out(&mut self, t: u64, op: &StoreRequest) -> StoreReply {
         self.expire(t);
         match op {
-            StateOp::Get(key) => self.item(key).map_or(StateReply::Missing, StateReply::Found),
-            StateOp::List { prefix, after, limit } => {
+            StoreRequest::Get(key) => {
+                self.item(key).map_or(StoreReply::NotFound, StoreReply::KeyValue)
+            }
+            StoreRequest::List { prefix, after, limit } => {
                 let from = after.as_deref().unwrap_or("");
                 let mut keys =
                     self.keys.keys().filter(|k| k.starts_with(prefix) && k.as_str() > from);
                 let some: Vec<&String> = keys.by_ref().take((*limit).min(20) as usize).collect();
                 let more = keys.next().is_some();
                 let items = some.iter().filter_map(|k| self.item(k)).collect();
-                StateReply::Rows { items, more, revision: self.revision }
+                StoreReply::Page { items, more, revision: self.revision }
             }
-            StateOp::Txn { conds, puts, removes } => {
+            StoreRequest::Transaction { preconditions, puts, deletes } => {
                 let (value, ops) = self.limits;
                 let large = puts.iter().any(|p| p.value.len() > value);
-                if large || puts.len() + removes.len() > ops || conds.len() > ops * 4 {
-                    return StateReply::Rejected;
+                if large || puts.len() + deletes.len() > ops || preconditions.len() > ops * 4 {
+                    return StoreReply::Rejected;
                 }
-                if puts.iter().any(|p| p.loan.is_some_and(|l| !self.loans.contains_key(&l))) {
-                    return StateReply::Refused;
+                if puts.iter().any(|p| p.lease_id.is_some_and(|l| !self.leases.contains_key(&l))) {
+                    return StoreReply::Refused;
                 }
-                let stamp = |k: &String| self.keys.get(k).map_or(0, |k| k.stamp);
-                let failed: Vec<String> =
-                    conds.iter().filter(|(k, s)| stamp(k) != *s).map(|(k, _)| k.clone()).collect();
+                let mod_revision = |k: &String| self.keys.get(k).map_or(0, |k| k.mod_revision);
+                let failed: Vec<String> = preconditions
+                    .iter()
+                    .filter(|(k, s)| mod_revision(k) != *s)
+                    .map(|(k, _)| k.clone())
+                    .collect();
                 if !failed.is_empty() {
-                    return StateReply::Conflict { failed };
+                    return StoreReply::Conflict { failed };
                 }
-                if !puts.is_empty() || !removes.is_empty() {
+                if !puts.is_empty() || !deletes.is_empty() {
                     self.revision += 1;
                 }
                 for p in puts {
-                    let k = Kept { value: p.value.clone(), stamp: self.revision, loan: p.loan };
+                    let k = Kept {
+                        value: p.value.clone(),
+                        mod_revision: self.revision,
+                        lease_id: p.lease_id,
+                    };
                     self.keys.insert(p.key.clone(), k);
-                    // Watches do not tell under which loan a key stands.
-                    let item = Item { loan: None, ..self.item(&p.key).unwrap() };
-                    self.log.push((self.revision, Event::Put(item)));
+                    // Watches do not tell under which lease a key stands.
+                    let item = KeyValue { lease_id: None, ..self.item(&p.key).unwrap() };
+                    self.log.push((self.revision, WatchEvent::Put(item)));
                 }
-                for key in removes {
+                for key in deletes {
                     self.remove(key, self.revision);
                 }
-                StateReply::Committed { revision: self.revision }
+                StoreReply::Committed { revision: self.revision }
             }
-            StateOp::Grant { ttl_ms } => {
-                self.next_loan += 1;
-                self.loans.insert(self.next_loan, (*ttl_ms, t + ttl_ms));
-                StateReply::Granted { loan: self.next_loan }
+            StoreRequest::GrantLease { ttl_ms } => {
+                self.next_lease_id += 1;
+                self.leases.insert(self.next_lease_id, (*ttl_ms, t + ttl_ms));
+                StoreReply::LeaseGranted { lease_id: self.next_lease_id }
             }
-            StateOp::Extend { loan } => match self.loans.get_mut(loan) {
+            StoreRequest::KeepAlive { lease_id } => match self.leases.get_mut(lease_id) {
                 Some((life, end)) => {
                     *end = t + *life;
-                    StateReply::Ok
+                    StoreReply::Ok
                 }
-                None => StateReply::Missing,
+                None => StoreReply::NotFound,
             },
-            StateOp::Revoke { loan } => {
-                let known = self.loans.contains_key(loan);
-                self.end(*loan);
+            StoreRequest::RevokeLease { lease_id } => {
+                let known = self.leases.contains_key(lease_id);
+                self.end(*lease_id);
                 if known {
-                    StateReply::Ok
+                    StoreReply::Ok
                 } else {
-                    StateReply::Missing
+                    StoreReply::NotFound
                 }
             }
-            StateOp::Watch { .. } => unreachable!(),
+            StoreRequest::Watch { .. } => unreachable!(),
         }
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/troubles.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/troubles.rs
@@ -7,19 +7,19 @@
         let t = self.t;
         // Half of what hits a controller hits the one that leads.
         let leader = self.leader().filter(|_| self.rng.random_bool(0.5));
-        let node = leader.unwrap_or_else(|| self.rng.random_range(0..NODES));
+        let controller = leader.unwrap_or_else(|| self.rng.random_range(0..CONTROLLERS));
         let held = self.rng.random_bool(0.6);
         let spell = self.rng.random_range(2_000..25_000);
         let long = t + spell;
         match self.rng.random_range(0..26) {
-            0 | 1 => self.crash(node),
-            2 => (0..NODES).for_each(|i| self.crash(i)),
+            0 | 1 => self.crash(controller),
+            2 => (0..CONTROLLERS).for_each(|i| self.crash(i)),
             3 => {
                 let spell = self.rng.random_range(1_000..16_000);
                 self.outage(spell);
             }
-            4 => self.nodes[node].state_cut = Some((long, held)),
-            5 => self.nodes[node].refused_until = long,
+            4 => self.controllers[controller].state_cut = Some((long, held)),
+            5 => self.controllers[controller].refused_until = long,
             6 => self.zone_cut = Some((long, held)),
             // Many at once: hangs shorter and longer than a lease.
             7 => self.hang(0.4, 1_000..14_000),
@@ -38,22 +38,22 @@
                     }
                 }
             }
-            11 => self.nodes[node].freezes_until = long,
+            11 => self.controllers[controller].freezes_until = long,
             12 => {
                 let zone = self.rng.random_range(0..2);
                 self.cut_zone(zone, spell, held);
             }
-            13 => self.nodes[node].workers_cut = Some((long, held)),
+            13 => self.controllers[controller].workers_cut = Some((long, held)),
             14 => {
                 // Silent for a minute or more, and back.
                 let wait = self.rng.random_range(60_000..90_000);
-                self.end(node, wait);
+                self.end(controller, wait);
             }
             15 => self.boot_trouble = (self.rng.random_range(0..2), long + 30_000),
             16 => self.storm_until = long + 10_000,
             17 => {
                 // The leader stands still, and so does its successor.
-                self.nodes[node].freezes_until = long;
+                self.controllers[controller].freezes_until = long;
                 self.next_freeze = t + self.rng.random_range(4_000..9_000);
             }
             18 => self.late_writes = Partly { until: long, share: 0.4, other: held },
@@ -68,7 +68,7 @@
             24 => self.looks_until = long,
             25 => {
                 // The state service refuses the leader, and a moment later everybody.
-                self.nodes[node].refused_until = long;
+                self.controllers[controller].refused_until = long;
                 self.cancel_now(6, 0);
                 let spell = self.rng.random_range(1_000..CANCEL + 10_000);
                 self.outage(spell);
@@ -81,7 +81,7 @@
     /// The state service is out for all. After it all leases have their full time again.
     pub(super) fn outage(&mut self, spell: u64) {
         self.store.down_until = self.t + spell;
-        for (life, end) in self.store.loans.values_mut() {
+        for (life, end) in self.store.leases.values_mut() {
             *end = self.t + spell + *life;
         }
         self.quiet(spell);
@@ -121,7 +121,7 @@
     pub(super) fn cut_zone(&mut self, zone: usize, spell: u64, held: bool) {
         let until = self.t + spell;
         self.zone_cut = Some((until, held));
-        for (_, c) in self.nodes.iter_mut().enumerate().filter(|(i, _)| i % 2 == zone) {
+        for (_, c) in self.controllers.iter_mut().enumerate().filter(|(i, _)| i % 2 == zone) {
             c.state_cut = Some((until, held));
             c.island_until = until;
         }
@@ -155,26 +155,31 @@
         self.quiet(hang + 150);
     }
 
-    /// Notes a change of leader; what was kept of old reports then reaches every node.
+    /// Notes a change of leader; what was kept of old reports then reaches every controller.
     pub(super) fn note_leader(&mut self) {
         let Some(leader) = self.leader() else { return };
-        let epoch = self.nodes[leader].epoch;
+        let epoch = self.controllers[leader].epoch;
         if self.leaders.last().is_some_and(|(_, l, e)| (*l, *e) == (leader, epoch)) {
             return;
         }
         self.leaders.push((self.t, leader, epoch));
-        for report in std::mem::take(&mut self.kept_reports) {
+        for heartbeat in std::mem::take(&mut self.kept_reports) {
             self.meet("old report at a new leader");
-            for node in 0..NODES {
+            for controller in 0..CONTROLLERS {
                 let at = self.t + self.rng.random_range(0..40);
-                let report = Box::new(report.clone());
-                self.send(at, node, 0, Msg::Input(Input::Checkin { req: ReqId(0), report }));
+                let heartbeat = Box::new(heartbeat.clone());
+                self.send(
+                    at,
+                    controller,
+                    0,
+                    Msg::Input(Input::Heartbeat { req: RequestId(0), heartbeat }),
+                );
             }
         }
     }
 
     pub(super) fn leader(&self) -> Option<usize> {
-        self.nodes.iter().position(|c| c.node.as_ref().is_some_and(Process::leading))
+        self.controllers.iter().position(|c| c.process.as_ref().is_some_and(Process::leading))
     }
 
     pub(super) fn crash(&mut self, i: usize) {
@@ -184,18 +189,18 @@
 
     /// Ends a process; it is started again after `wait`.
     pub(super) fn end(&mut self, i: usize, wait: u64) {
-        self.nodes[i].node = None;
-        self.nodes[i].epoch += 1;
-        self.nodes[i].freezes_until = 0;
-        self.nodes[i].frozen_until = 0;
+        self.controllers[i].process = None;
+        self.controllers[i].epoch += 1;
+        self.controllers[i].freezes_until = 0;
+        self.controllers[i].frozen_until = 0;
         self.quiet_at = self.quiet_at.max(self.t + wait);
-        let epoch = self.nodes[i].epoch;
+        let epoch = self.controllers[i].epoch;
         self.send(self.t + wait, i, epoch, Msg::Tick);
     }
 
     pub(super) fn heal(&mut self) {
         let t = self.t;
-        for c in &mut self.nodes {
+        for c in &mut self.controllers {
             c.state_cut = c.state_cut.filter(|(until, _)| t < *until);
             c.workers_cut = c.workers_cut.filter(|(until, _)| t < *until);
         }
--- a/crates/basaltrail-core/tests/simulation/simulated/users.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/users.rs
@@ -5,7 +5,7 @@
 impl World {
     pub(super) fn user(&mut self, i: usize) {
         let t = self.t;
-        let node = self.rng.random_range(0..NODES);
+        let controller = self.rng.random_range(0..CONTROLLERS);
         let u = &mut self.users[i];
         if t < u.waits_until {
             let until = u.waits_until;
@@ -25,27 +25,29 @@
         };
         u.waits_until = t + what.patience();
         self.send(again, usize::MAX, 0, Msg::User(i));
-        self.ask(i, node, what, 0, true);
+        self.ask(i, controller, what, 0, true);
         // Somebody asks for a job that nobody submitted.
         if self.rng.random_bool(0.05) {
             let req = self.request(Asker::Stranger);
-            self.send(t + 1, node, 0, Msg::Input(Input::Poll { req, job: JobId(77) }));
+            self.send(t + 1, controller, 0, Msg::Input(Input::Poll { req, job: JobId(77) }));
         }
         if t < self.odd_until {
-            self.odd(i, node);
+            self.odd(i, controller);
         }
     }
 
-    fn request(&mut self, asker: Asker) -> ReqId {
+    fn request(&mut self, asker: Asker) -> RequestId {
         self.next_req += 1;
-        self.reqs.insert(ReqId(self.next_req), asker);
-        ReqId(self.next_req)
+        self.reqs.insert(RequestId(self.next_req), asker);
+        RequestId(self.next_req)
     }
 
-    /// A user asks a node, `wait` from now.
-    fn ask(&mut self, i: usize, node: usize, what: What, wait: u64, alone: bool) {
+    /// A user asks a controller, `wait` from now.
+    fn ask(&mut self, i: usize, controller: usize, what: What, wait: u64, alone: bool) {
         let t = self.t;
-        if self.nodes[node].node.is_none() || t < self.nodes[node].island_until {
+        if self.controllers[controller].process.is_none()
+            || t < self.controllers[controller].island_until
+        {
             return;
         }
         let (before, until) = (self.users[i].told, t + wait + what.patience());
@@ -55,26 +57,26 @@
         let input = what.input(req, u);
         if self.copied() && what != What::Poll {
             let at = t + self.rng.random_range(50..30_000);
-            let copy = what.input(ReqId(0), &self.users[i]);
-            self.send(at, node, 0, Msg::Input(copy));
+            let copy = what.input(RequestId(0), &self.users[i]);
+            self.send(at, controller, 0, Msg::Input(copy));
         }
         let at = t + wait + self.delay();
-        self.send(at, node, 0, Msg::Input(input));
+        self.send(at, controller, 0, Msg::Input(input));
     }
 
     /// Its user calls a job off, now.
     pub(super) fn cancel(&mut self, i: usize) {
         self.users[i].cancel_at.get_or_insert(self.t);
-        let node = self.rng.random_range(0..NODES);
-        self.ask(i, node, What::Cancel, 0, false);
+        let controller = self.rng.random_range(0..CONTROLLERS);
+        self.ask(i, controller, What::Cancel, 0, false);
     }
 
-    /// Right after a user was told something: at all nodes, again and again.
+    /// Right after a user was told something: at all controllers, again and again.
     fn look(&mut self, i: usize) {
-        for node in 0..NODES {
+        for controller in 0..CONTROLLERS {
             for what in [What::Poll, What::Submit, What::Poll] {
                 let wait = self.rng.random_range(0..12);
-                self.ask(i, node, what, wait, false);
+                self.ask(i, controller, what, wait, false);
             }
         }
         if self.users[i].told == Told::Accepted && self.rng.random_bool(0.1) {
@@ -84,12 +86,12 @@
     }
 
     /// Requests that a careful user would not send.
-    fn odd(&mut self, i: usize, node: usize) {
+    fn odd(&mut self, i: usize, controller: usize) {
         match self.users[i].told {
             Told::Nothing => {}
-            Told::Accepted => self.ask(i, node, What::Submit, 0, false),
-            Told::Done => self.ask(i, node, What::Cancel, 0, false),
-            Told::Cancelled(_) => self.ask(i, node, What::Submit, 0, false),
+            Told::Accepted => self.ask(i, controller, What::Submit, 0, false),
+            Told::Done => self.ask(i, controller, What::Cancel, 0, false),
+            Told::Cancelled(_) => self.ask(i, controller, What::Submit, 0, false),
         }
         let mut spec = self.users[i].spec.clone();
         match self.rng.random_range(0..5) {
@@ -102,16 +104,16 @@
         let req = self.request(Asker::Odd);
         let job = JobId(500_000 + req.0);
         let input = Input::Submit { req, job, spec: Box::new(spec) };
-        self.send(self.t + 1, node, 0, Msg::Input(input));
+        self.send(self.t + 1, controller, 0, Msg::Input(input));
     }
 
     pub(super) fn answer(&mut self, asker: Asker, answer: Answer) {
-        let known = matches!(answer, Answer::State { .. } | Answer::Created { .. });
+        let known = matches!(answer, Answer::Job { .. } | Answer::Created { .. });
         let (i, q) = match asker {
             Asker::User(i, q) => (i, q),
             Asker::Stranger if known => return self.rule("invented".into()),
             Asker::Odd if known => return self.rule("accepted what can never run".into()),
-            Asker::Odd if matches!(answer, Answer::Impossible(_)) => return self.meet("422"),
+            Asker::Odd if matches!(answer, Answer::Unschedulable(_)) => return self.meet("422"),
             _ => return,
         };
         let t = self.t;
@@ -131,19 +133,19 @@
                 }
                 u.told = if now == Told::Nothing { Told::Accepted } else { now };
             }
-            Answer::State { view, .. } => match (view, now) {
-                (JobView::Done, Told::Cancelled(_)) => {
+            Answer::Job { view, .. } => match (view, now) {
+                (JobStatus::Done, Told::Cancelled(_)) => {
                     bad = Some("went_back: cancelled, then done")
                 }
-                (JobView::Done, _) => {
+                (JobStatus::Done, _) => {
                     if u.done.len() < u.spec.tasks as usize {
                         bad = Some("not_done");
                     }
                     u.told = Told::Done;
                 }
-                (JobView::Cancelled, Told::Done) => bad = Some("went_back: done, then cancelled"),
-                (JobView::Cancelled, Told::Cancelled(_)) => {}
-                (JobView::Cancelled, _) => {
+                (JobStatus::Cancelled, Told::Done) => bad = Some("went_back: done, then cancelled"),
+                (JobStatus::Cancelled, Told::Cancelled(_)) => {}
+                (JobStatus::Cancelled, _) => {
                     if !u.asked_to_cancel {
                         bad = Some("went_back: cancelled by nobody");
                     }
@@ -156,7 +158,7 @@
                 _ => {}
             },
             Answer::NotFound if q.before != Told::Nothing => bad = Some("forgotten: 404"),
-            Answer::Invalid(_) | Answer::Impossible(_) => bad = Some("forgotten: refused"),
+            Answer::Invalid(_) | Answer::Unschedulable(_) => bad = Some("forgotten: refused"),
             _ => {}
         }
         let told = u.told;
@@ -195,9 +197,12 @@
         if far {
             self.meet("cancelled out of reach");
         }
-        let apart = |c: &Controller| t < c.refused_until || c.state_cut.is_some();
+        let apart = |c: &SimulatedController| t < c.refused_until || c.state_cut.is_some();
         if runs
-            && self.nodes.iter().any(|c| apart(c) && c.node.as_ref().is_some_and(Process::leading))
+            && self
+                .controllers
+                .iter()
+                .any(|c| apart(c) && c.process.as_ref().is_some_and(Process::leading))
         {
             self.meet("cancelled beside a leader that is refused");
         }
@@ -223,7 +228,7 @@
         }
     }
 
-    fn input(self, req: ReqId, u: &User) -> Input {
+    fn input(self, req: RequestId, u: &User) -> Input {
         match self {
             What::Submit => Input::Submit { req, job: u.job, spec: Box::new(u.spec.clone()) },
             What::Poll => Input::Poll { req, job: u.job },
--- a/crates/basaltrail-core/tests/simulation/simulated/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/workers.rs
@@ -28,7 +28,7 @@
             if t > w.renewed + LEASE {
                 // The lease binds a hanging machine too: what it ran is over.
                 w.tasks.clear();
-                w.session += 1;
+                w.agent_epoch += 1;
                 w.renewed = t;
                 w.waiting = None;
                 w.next_report = t;
@@ -38,7 +38,7 @@
             }
             if w.waiting.is_some_and(|(_, sent)| t > sent + PATIENCE) {
                 w.waiting = None;
-                w.to = (w.to + 1) % NODES;
+                w.to = (w.to + 1) % CONTROLLERS;
                 w.next_report = t + 1_000;
             }
             let due: Vec<(TaskId, Attempt)> =
@@ -48,26 +48,26 @@
             }
             let w = &mut self.workers[m];
             if w.waiting.is_none() && t >= w.next_report {
-                w.seq += 1;
-                w.waiting = Some((w.seq, t));
+                w.sequence += 1;
+                w.waiting = Some((w.sequence, t));
                 w.next_report = t + REPORT * 3 / 4 + (m as u64 * 37) % 500;
-                let report = Report {
+                let heartbeat = Heartbeat {
                     machine: machine(m),
                     endpoint: format!("e{m}"),
                     machine_type: "x".into(),
                     zone: ZONES[w.zone].into(),
                     spot: w.spot,
-                    session: w.session,
-                    seq: w.seq,
+                    agent_epoch: w.agent_epoch,
+                    sequence: w.sequence,
                     token: w.token,
-                    notice_s: w
+                    reclaim_notice_s: w
                         .taken_at
                         .filter(|_| w.noticed)
                         .map(|at| at.saturating_sub(t) as f64 / 1000.0),
                     tasks: w
                         .tasks
                         .iter()
-                        .map(|((task, attempt), r)| TaskReport {
+                        .map(|((task, attempt), r)| TaskStatus {
                             task: *task,
                             attempt: *attempt,
                             state: r.state,
@@ -77,28 +77,33 @@
                 let to = w.to;
                 let mute = t < w.mute_until;
                 self.next_req += 1;
-                let req = ReqId(self.next_req);
+                let req = RequestId(self.next_req);
                 let at = t + self.delay();
                 let at = self.between(to, m, at);
                 if self.copied() {
                     // From seconds to well over a lease late, and answered to nobody.
                     let at = t + self.rng.random_range(50..3 * LEASE);
-                    let input = Input::Checkin { req: ReqId(0), report: Box::new(report.clone()) };
+                    let input = Input::Heartbeat {
+                        req: RequestId(0),
+                        heartbeat: Box::new(heartbeat.clone()),
+                    };
                     self.send(at, to, 0, Msg::Input(input));
                 }
                 let late = self.late_reports;
                 if t < late.until && self.rng.random_bool(late.share) {
                     if !late.other {
                         let at = t + self.rng.random_range(2_000..3 * LEASE);
-                        let input =
-                            Input::Checkin { req: ReqId(0), report: Box::new(report.clone()) };
+                        let input = Input::Heartbeat {
+                            req: RequestId(0),
+                            heartbeat: Box::new(heartbeat.clone()),
+                        };
                         self.send(at, to, 0, Msg::Input(input));
                     } else if self.kept_reports.len() < 4_000 {
-                        self.kept_reports.push(report.clone());
+                        self.kept_reports.push(heartbeat.clone());
                     }
                 }
                 if !mute {
-                    self.send(at, to, 0, Msg::Report(m, req, report));
+                    self.send(at, to, 0, Msg::Heartbeat(m, req, heartbeat));
                 }
             }
         }
@@ -124,7 +129,7 @@
                 let bad = self.users[user].broken || self.workers[m].faulty;
                 let fails = (bad || self.rng.random_bool(0.02))
                     && !self.users[user].done.contains(&task.index);
-                let why = if fails { Why::Error } else { Why::Done };
+                let why = if fails { ExitReason::Error } else { ExitReason::Done };
                 if !fails && !service {
                     self.users[user].done.insert(task.index);
                     let u = &self.users[user];
@@ -139,36 +144,36 @@
                 self.workers[m].next_report = t;
             }
             TaskState::Saving => {
-                r.state = TaskState::Exited(Why::Stopped);
+                r.state = TaskState::Exited(ExitReason::Stopped);
                 self.workers[m].next_report = t;
             }
             TaskState::Exited(_) => {}
         }
     }
 
-    pub(super) fn orders(&mut self, m: usize, session: u64, seq: u64, answer: Answer) {
+    pub(super) fn commands(&mut self, m: usize, agent_epoch: u64, sequence: u64, answer: Answer) {
         let t = self.t;
         let w = &mut self.workers[m];
         if !w.alive {
             return;
         }
         let Some((waiting, sent)) = w.waiting else { return };
-        // Late responses and those of an earlier session are dropped.
+        // Late responses and those of an earlier agent epoch are dropped.
         let lost = t > sent + PATIENCE || t < w.hangs_until || t < w.deaf_until;
-        if waiting != seq || session != w.session || lost {
+        if waiting != sequence || agent_epoch != w.agent_epoch || lost {
             return;
         }
         w.waiting = None;
-        let (token, orders) = match answer {
-            Answer::Orders { token, orders } => (token, orders),
-            Answer::Elsewhere { leader } => {
+        let (token, commands) = match answer {
+            Answer::Commands { token, commands } => (token, commands),
+            Answer::NotLeader { leader } => {
                 let named = leader.and_then(|l| l[1..].parse().ok()).filter(|n| *n != w.to);
                 w.next_report = t + if named.is_some() { 100 } else { 1_000 };
-                w.to = named.unwrap_or((w.to + 1) % NODES);
+                w.to = named.unwrap_or((w.to + 1) % CONTROLLERS);
                 return;
             }
             _ => {
-                w.to = (w.to + 1) % NODES;
+                w.to = (w.to + 1) % CONTROLLERS;
                 w.next_report = t + 1_000;
                 return;
             }
@@ -181,10 +186,10 @@
         }
         w.token = token;
         w.renewed = w.renewed.max(sent);
-        for o in orders {
+        for o in commands {
             let w = &mut self.workers[m];
             match o {
-                Order::Start { task, attempt } => {
+                TaskCommand::Start { task, attempt } => {
                     if w.tasks.contains_key(&(task, attempt)) {
                         continue;
                     }
@@ -219,9 +224,9 @@
                         .iter()
                         .any(|(k, r)| k.0 == task && !matches!(r.state, TaskState::Exited(_)));
                     let state = if here {
-                        TaskState::Exited(Why::Busy)
+                        TaskState::Exited(ExitReason::Busy)
                     } else if used + spec.cpus > CPUS + 1e-9 {
-                        TaskState::Exited(Why::NoRoom)
+                        TaskState::Exited(ExitReason::NoRoom)
                     } else {
                         TaskState::Fetching
                     };
@@ -237,7 +242,7 @@
                     let w = &mut self.workers[m];
                     w.tasks.insert((task, attempt), Running { state, until, progress_until });
                 }
-                Order::Stop { task, attempt, grace_s } => {
+                TaskCommand::Stop { task, attempt, grace_s } => {
                     let user = self.users.iter().find(|u| u.job == task.job);
                     let goes_on = |u: &&User| u.cancel_at.is_none() && u.told == Told::Accepted;
                     self.stopped += u64::from(user.is_some_and(|u| goes_on(&u)));
@@ -250,11 +255,11 @@
                             }
                             TaskState::Saving if grace_s > 0.0 => {}
                             TaskState::Exited(_) => {}
-                            _ => r.state = TaskState::Exited(Why::Stopped),
+                            _ => r.state = TaskState::Exited(ExitReason::Stopped),
                         }
                     }
                 }
-                Order::Forget { task, attempt } => {
+                TaskCommand::Forget { task, attempt } => {
                     let exited = |r: &Running| matches!(r.state, TaskState::Exited(_));
                     if w.tasks.get(&(task, attempt)).is_some_and(exited) {
                         w.tasks.remove(&(task, attempt));
--- a/crates/basaltrail-core/tests/simulation/simulated/world.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/world.rs
@@ -87,9 +87,9 @@
             n: 0,
             rng,
             queue: BTreeMap::new(),
-            nodes: (0..NODES)
-                .map(|i| Controller {
-                    node: None,
+            controllers: (0..CONTROLLERS)
+                .map(|i| SimulatedController {
+                    process: None,
                     version: Version::default(),
                     next_version: Version::default(),
                     epoch: 0,
@@ -139,7 +139,7 @@
             stopped: 0,
             quiet_at: FAULTS_END,
         };
-        for i in 0..NODES {
+        for i in 0..CONTROLLERS {
             w.boot(i);
         }
         for i in 0..w.users.len() {
@@ -161,17 +161,17 @@
     /// All processes run this version until they are upgraded.
     pub(super) fn run_only(&mut self, version: Version) {
         self.versions = vec![version];
-        for i in 0..NODES {
-            if self.nodes[i].version != version {
-                self.nodes[i].next_version = version;
+        for i in 0..CONTROLLERS {
+            if self.controllers[i].version != version {
+                self.controllers[i].next_version = version;
                 self.boot(i);
             }
         }
     }
 
-    pub(super) fn send(&mut self, at: u64, node: usize, epoch: u64, msg: Msg) {
+    pub(super) fn send(&mut self, at: u64, controller: usize, epoch: u64, msg: Msg) {
         self.n += 1;
-        self.queue.insert((at, self.n), (node, epoch, msg));
+        self.queue.insert((at, self.n), (controller, epoch, msg));
     }
 
     pub(super) fn delay(&mut self) -> u64 {
@@ -191,16 +191,16 @@
         let incarnation = self.rng.random();
         if self.versions.len() > 1 {
             let drawn = self.rng.random_range(0..self.versions.len());
-            self.nodes[i].next_version = self.versions[drawn];
+            self.controllers[i].next_version = self.versions[drawn];
         }
-        let c = &mut self.nodes[i];
+        let c = &mut self.controllers[i];
         c.epoch += 1;
         c.born = self.t;
         let before = std::mem::replace(&mut c.configuration, c.next_configuration.clone());
         c.earlier.push((self.t, before));
         c.version = c.next_version;
         let settings = settings(i, incarnation, &c.configuration);
-        c.node = Some(Process::start(c.version, settings, incarnation));
+        c.process = Some(Process::start(c.version, settings, incarnation));
         let epoch = c.epoch;
         self.send(self.t, i, epoch, Msg::Tick);
     }
@@ -236,9 +236,9 @@
             let world = self.t + 20;
             while let Some(e) = self.queue.first_entry().filter(|e| e.key().0 < world) {
                 let at = e.key().0;
-                let (node, epoch, msg) = e.remove();
+                let (controller, epoch, msg) = e.remove();
                 self.t = self.t.max(at);
-                self.deliver(node, epoch, msg);
+                self.deliver(controller, epoch, msg);
             }
             self.t = world;
             self.heal();
@@ -256,7 +256,7 @@
                 self.next_freeze = u64::MAX;
                 let until = self.t + self.rng.random_range(2_000..15_000);
                 if let Some(i) = self.leader() {
-                    self.nodes[i].freezes_until = until;
+                    self.controllers[i].freezes_until = until;
                     self.quiet_at = self.quiet_at.max(until);
                 }
             }
@@ -273,37 +273,39 @@
         }
     }
 
-    pub(super) fn deliver(&mut self, node: usize, epoch: u64, msg: Msg) {
-        let to_node = matches!(msg, Msg::Tick | Msg::Input(_) | Msg::Report(..));
-        if to_node && self.t < self.nodes[node].frozen_until {
-            return self.send(self.nodes[node].frozen_until, node, epoch, msg);
+    pub(super) fn deliver(&mut self, controller: usize, epoch: u64, msg: Msg) {
+        let to_node = matches!(msg, Msg::Tick | Msg::Input(_) | Msg::Heartbeat(..));
+        if to_node && self.t < self.controllers[controller].frozen_until {
+            return self.send(self.controllers[controller].frozen_until, controller, epoch, msg);
         }
         match msg {
             Msg::Tick => {
-                if self.nodes[node].epoch != epoch {
+                if self.controllers[controller].epoch != epoch {
                     return;
                 }
-                if self.nodes[node].node.is_none() {
-                    return self.boot(node);
+                if self.controllers[controller].process.is_none() {
+                    return self.boot(controller);
                 }
-                self.step(node, Input::Tick);
-                self.send(self.t + 50, node, epoch, Msg::Tick);
+                self.step(controller, Input::Tick);
+                self.send(self.t + 50, controller, epoch, Msg::Tick);
             }
             Msg::Input(input) => {
-                if epoch == 0 || self.nodes[node].epoch == epoch {
-                    self.step(node, input);
+                if epoch == 0 || self.controllers[controller].epoch == epoch {
+                    self.step(controller, input);
                 }
             }
             // What a process sent is carried out even when it has ended since.
-            Msg::State(op, call) => self.state(node, epoch, op, call),
-            Msg::Cloud(op, call) => self.cloud(node, epoch, op, call),
-            Msg::Report(m, req, report) => {
-                if self.nodes[node].node.is_some() {
-                    self.reqs.insert(req, Asker::Worker(m, report.seq));
-                    self.step(node, Input::Checkin { req, report: Box::new(report) });
+            Msg::State(op, call) => self.state(controller, epoch, op, call),
+            Msg::Cloud(op, call) => self.cloud(controller, epoch, op, call),
+            Msg::Heartbeat(m, req, heartbeat) => {
+                if self.controllers[controller].process.is_some() {
+                    self.reqs.insert(req, Asker::Worker(m, heartbeat.sequence));
+                    self.step(controller, Input::Heartbeat { req, heartbeat: Box::new(heartbeat) });
                 }
             }
-            Msg::Orders(m, session, seq, answer) => self.orders(m, session, seq, answer),
+            Msg::Orders(m, agent_epoch, sequence, answer) => {
+                self.commands(m, agent_epoch, sequence, answer)
+            }
             Msg::User(i) => self.user(i),
             Msg::Answer(asker, answer) => self.answer(asker, answer),
         }
--- a/crates/basaltrail-core/tests/simulation/versions.rs
+++ b/crates/basaltrail-core/tests/simulation/versions.rs
@@ -1,7 +1,7 @@
 //! The versions of the controller that a simulated process may run: here, this one alone.
 //! `tests/mixed-versions` plays the same days with earlier ones beside it.
 
-use basaltrail_core::{Effect, Input, Node, Settings};
+use basaltrail_core::{Controller, Effect, Input, Settings};
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -31,12 +31,12 @@
 }
 
 /// A process of some version.
-pub struct Process(Node);
+pub struct Process(Controller);
 
 impl Process {
     pub fn start(version: Version, settings: Settings, seed: u64) -> Self {
         match version {
-            Version::Current => Process(Node::new(Arc::new(settings), seed)),
+            Version::Current => Process(Controller::new(Arc::new(settings), seed)),
         }
     }
 
