--- a/crates/basaltrail-core/tests/traces.rs
+++ b/crates/basaltrail-core/tests/traces.rs
@@ -16,24 +16,24 @@
         gpus_max: 0.0,
     };
     Settings {
-        node: "n0".into(),
+        controller: "n0".into(),
         zone: "a".into(),
-        nodes: 3,
+        controller_count: 3,
         zones: vec!["a".into()],
         peer_zones: vec!["a".into(), "a".into()],
         teams: vec![team("wide", 64.0), team("narrow", 8.0), team("tiny", 4.0)],
         objectives: Vec::new(),
-        report_ms: 1_000,
+        heartbeat_interval_ms: 1_000,
         lease_ms: 10_000,
         cancel_ms: 30_000,
-        state_rps: 1_000.0,
+        store_rps: 1_000.0,
         write_rps: 1_000.0,
         value_bytes: 4_096,
-        txn_ops: 12,
+        transaction_ops: 12,
         cloud_rps: 100.0,
         list_lag_ms: 3_000,
         memory_mb: 56.0,
-        machines_most: 5_000,
+        max_machines: 5_000,
         incarnation: 7,
         policy: Policy { leader_lease: 0.5, ..Policy::default() },
     }
@@ -65,22 +65,22 @@
 
 /// One controller, and a state service that answers at once unless told otherwise.
 struct Trace {
-    node: Node,
+    controller: Controller,
     t: u64,
     keys: BTreeMap<String, (String, u64, Option<u64>)>,
     revision: u64,
-    loan: u64,
+    lease_id: u64,
     state: &'static str,
     /// Calls that wait for `state up` or for `late`.
-    stuck: Vec<StateOp>,
+    stuck: Vec<StoreRequest>,
     /// With when each is to be answered, news or not, and when it is given up.
-    watches: Vec<(OpId, String, u64, u64, u64)>,
+    watches: Vec<(CallId, String, u64, u64, u64)>,
     /// No watch of the jobs is answered.
     news_held: bool,
-    /// The roster cannot be read.
+    /// The machine registry cannot be read.
     roster_held: bool,
     /// Watches that are never answered.
-    hung: Vec<OpId>,
+    hung: Vec<CallId>,
     /// A key whose writes the service rejects for good, and how many it has.
     rejects: Option<String>,
     rejected: u32,
@@ -94,11 +94,11 @@
 impl Trace {
     fn new() -> Self {
         Trace {
-            node: Node::new(Arc::new(settings()), 1),
+            controller: Controller::new(Arc::new(settings()), 1),
             t: 0,
             keys: BTreeMap::new(),
             revision: 0,
-            loan: 0,
+            lease_id: 0,
             state: "up",
             stuck: Vec::new(),
             watches: Vec::new(),
@@ -114,10 +114,10 @@
         }
     }
 
-    fn put(&mut self, key: &str, value: Option<String>, loan: Option<u64>) {
+    fn put(&mut self, key: &str, value: Option<String>, lease_id: Option<u64>) {
         match &value {
             Some(v) => {
-                self.keys.insert(key.into(), (v.clone(), self.revision, loan));
+                self.keys.insert(key.into(), (v.clone(), self.revision, lease_id));
             }
             None => {
                 self.keys.remove(key);
@@ -126,21 +126,23 @@
         self.log.push((key.into(), self.revision, value));
     }
 
-    fn carry_out(&mut self, op: &StateOp) -> StateReply {
-        let item = |k: &String, v: &(String, u64, Option<u64>)| Item {
+    fn carry_out(&mut self, op: &StoreRequest) -> StoreReply {
+        let item = |k: &String, v: &(String, u64, Option<u64>)| KeyValue {
             key: k.clone(),
             value: v.0.clone(),
-            stamp: v.1,
-            loan: v.2,
+            mod_revision: v.1,
+            lease_id: v.2,
         };
         match op {
-            StateOp::Get(k) => {
-                self.keys.get(k).map_or(StateReply::Missing, |v| StateReply::Found(item(k, v)))
+            StoreRequest::Get(k) => {
+                self.keys.get(k).map_or(StoreReply::NotFound, |v| StoreReply::KeyValue(item(k, v)))
             }
-            StateOp::List { prefix, .. } if self.roster_held && prefix == records::ROSTER => {
-                StateReply::Refused
+            StoreRequest::List { prefix, .. }
+                if self.roster_held && prefix == records::MACHINE_REGISTRY_PREFIX =>
+            {
+                StoreReply::Refused
             }
-            StateOp::List { prefix, .. } => StateReply::Rows {
+            StoreRequest::List { prefix, .. } => StoreReply::Page {
                 items: self
                     .keys
                     .iter()
@@ -150,76 +152,79 @@
                 more: false,
                 revision: self.revision,
             },
-            StateOp::Txn { conds, puts, removes } => {
+            StoreRequest::Transaction { preconditions, puts, deletes } => {
                 if puts.iter().any(|p| self.rejects.as_ref() == Some(&p.key)) {
                     self.rejected += 1;
-                    return StateReply::Rejected;
+                    return StoreReply::Rejected;
                 }
-                let stamp = |k: &String| self.keys.get(k).map_or(0, |v| v.1);
-                let failed: Vec<String> =
-                    conds.iter().filter(|(k, s)| stamp(k) != *s).map(|(k, _)| k.clone()).collect();
+                let mod_revision = |k: &String| self.keys.get(k).map_or(0, |v| v.1);
+                let failed: Vec<String> = preconditions
+                    .iter()
+                    .filter(|(k, s)| mod_revision(k) != *s)
+                    .map(|(k, _)| k.clone())
+                    .collect();
                 if !failed.is_empty() {
-                    return StateReply::Conflict { failed };
+                    return StoreReply::Conflict { failed };
                 }
                 self.revision += 1;
                 for p in puts {
-                    self.put(&p.key, Some(p.value.clone()), p.loan);
+                    self.put(&p.key, Some(p.value.clone()), p.lease_id);
                 }
-                for k in removes {
+                for k in deletes {
                     self.put(k, None, None);
                 }
-                StateReply::Committed { revision: self.revision }
+                StoreReply::Committed { revision: self.revision }
             }
-            StateOp::Grant { .. } => {
-                self.loan += 1;
-                StateReply::Granted { loan: self.loan }
+            StoreRequest::GrantLease { .. } => {
+                self.lease_id += 1;
+                StoreReply::LeaseGranted { lease_id: self.lease_id }
             }
-            StateOp::Extend { loan } => {
-                let held = self.keys.get("c/leader").is_some_and(|k| k.2 == Some(*loan));
+            StoreRequest::KeepAlive { lease_id } => {
+                let held = self.keys.get("c/leader").is_some_and(|k| k.2 == Some(*lease_id));
                 if held {
-                    StateReply::Ok
+                    StoreReply::Ok
                 } else {
-                    StateReply::Missing
+                    StoreReply::NotFound
                 }
             }
-            StateOp::Revoke { loan } => {
-                if self.keys.get("c/leader").is_some_and(|k| k.2 == Some(*loan)) {
+            StoreRequest::RevokeLease { lease_id } => {
+                if self.keys.get("c/leader").is_some_and(|k| k.2 == Some(*lease_id)) {
                     self.revision += 1;
                     self.put("c/leader", None, None);
                 }
-                StateReply::Ok
+                StoreReply::Ok
             }
-            StateOp::Watch { .. } => unreachable!(),
+            StoreRequest::Watch { .. } => unreachable!(),
         }
     }
 
     fn feed(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            for e in self.node.step(self.t, self.t as i64, input) {
+            for e in self.controller.step(self.t, self.t as i64, input) {
                 match e {
-                    Effect::State {
+                    Effect::Store {
                         op,
-                        call: StateOp::Watch { prefix, after, wait_ms },
+                        call: StoreRequest::Watch { prefix, after, wait_ms },
                         timeout_ms,
                     } => {
                         let (due, given_up) = (self.t + wait_ms, self.t + timeout_ms);
                         self.watches.push((op, prefix, after, due, given_up));
                     }
-                    Effect::State { op, call, .. } => {
+                    Effect::Store { op, call, .. } => {
                         let reply = match self.state {
                             "up" => self.carry_out(&call),
-                            "refusing" => StateReply::Refused,
+                            "refusing" => StoreReply::Refused,
                             _ => {
                                 self.stuck.push(call);
-                                StateReply::Unknown
+                                StoreReply::Unknown
                             }
                         };
-                        inputs.push(Input::State { op, reply });
+                        inputs.push(Input::Store { op, reply });
                     }
                     Effect::Cloud { op, call, .. } => {
                         let reply = match call {
-                            CloudOp::Types => CloudReply::Types(vec![MachineType {
+                            CloudRequest::Types => CloudReply::Types(vec![MachineType {
                                 name: "x".into(),
                                 cpus: 8.0,
                                 gpus: 0.0,
@@ -231,9 +236,9 @@
                                 boot_s: 8.0,
                                 zones: vec!["a".into()],
                             }]),
-                            CloudOp::Rent { .. } => CloudReply::NoCapacity,
-                            CloudOp::Release(_) => CloudReply::Released,
-                            CloudOp::List { .. } => {
+                            CloudRequest::Provision { .. } => CloudReply::NoCapacity,
+                            CloudRequest::Terminate(_) => CloudReply::Terminated,
+                            CloudRequest::List { .. } => {
                                 CloudReply::Listed { machines: Vec::new(), more: false }
                             }
                         };
@@ -254,23 +259,23 @@
         let name = |t: &TaskId| format!("{}/{}", t.job.0, t.index);
         match a {
             Answer::Created { .. } => "201".into(),
-            Answer::State { view, .. } => format!("200 {view:?}").to_lowercase(),
+            Answer::Job { view, .. } => format!("200 {view:?}").to_lowercase(),
             Answer::NotFound => "404".into(),
-            Answer::Impossible(_) => "422".into(),
+            Answer::Unschedulable(_) => "422".into(),
             Answer::Invalid(_) => "400".into(),
-            Answer::Busy { .. } => "503".into(),
-            Answer::Limits(report) => format!("limits of {}", report.node),
-            Answer::Elsewhere { leader } => format!("421 {}", leader.as_deref().unwrap_or("-")),
-            Answer::Orders { token, orders } => {
+            Answer::Unavailable { .. } => "503".into(),
+            Answer::Limits(heartbeat) => format!("limits of {}", heartbeat.controller),
+            Answer::NotLeader { leader } => format!("421 {}", leader.as_deref().unwrap_or("-")),
+            Answer::Commands { token, commands } => {
                 let mut words = vec![format!("token {}", token.0)];
-                for o in orders {
+                for o in commands {
                     words.push(match o {
-                        Order::Start { task, attempt } => {
+                        TaskCommand::Start { task, attempt } => {
                             self.attempts.insert(name(task), *attempt);
                             format!("start {}", name(task))
                         }
-                        Order::Stop { task, .. } => format!("stop {}", name(task)),
-                        Order::Forget { task, .. } => format!("forget {}", name(task)),
+                        TaskCommand::Stop { task, .. } => format!("stop {}", name(task)),
+                        TaskCommand::Forget { task, .. } => format!("forget {}", name(task)),
                     });
                 }
                 words.join(", ")
@@ -284,41 +289,43 @@
             self.t += 50;
             self.feed(Input::Tick);
             for (op, prefix, after, due, given_up) in std::mem::take(&mut self.watches) {
-                let held = self.news_held && prefix == records::JOBS;
+                let held = self.news_held && prefix == records::JOBS_PREFIX;
                 if self.state != "up" || held || self.hung.contains(&op) {
                     if self.t >= given_up {
-                        self.feed(Input::State { op, reply: StateReply::Unknown });
+                        self.feed(Input::Store { op, reply: StoreReply::Unknown });
                     } else {
                         self.watches.push((op, prefix, after, due, given_up));
                     }
                     continue;
                 }
-                let new: Vec<Event> = self
+                let new: Vec<WatchEvent> = self
                     .log
                     .iter()
                     .filter(|(k, r, _)| *r > after && k.starts_with(&prefix))
-                    .map(|(key, stamp, v)| match v {
-                        Some(value) => Event::Put(Item {
+                    .map(|(key, mod_revision, v)| match v {
+                        Some(value) => WatchEvent::Put(KeyValue {
                             key: key.clone(),
                             value: value.clone(),
-                            stamp: *stamp,
-                            loan: None,
+                            mod_revision: *mod_revision,
+                            lease_id: None,
                         }),
-                        None => Event::Remove { key: key.clone(), stamp: *stamp },
+                        None => {
+                            WatchEvent::Delete { key: key.clone(), mod_revision: *mod_revision }
+                        }
                     })
                     .collect();
                 if new.is_empty() && self.t < due {
                     self.watches.push((op, prefix, after, due, given_up));
                 } else {
-                    let reply = StateReply::Events { revision: self.revision, events: new };
-                    self.feed(Input::State { op, reply });
+                    let reply = StoreReply::Events { revision: self.revision, events: new };
+                    self.feed(Input::Store { op, reply });
                 }
             }
         }
     }
 
     /// `report m1 s1 f5 t1 [notice] job/task=state ...`
-    fn report(&mut self, words: &[&str]) {
+    fn heartbeat(&mut self, words: &[&str]) {
         let number = |w: &str| w[1..].parse::<u64>().unwrap();
         let mut tasks = Vec::new();
         for w in &words[4..] {
@@ -329,35 +336,35 @@
             let state = match state {
                 "fetching" => TaskState::Fetching,
                 "running" => TaskState::Running,
-                "done" => TaskState::Exited(Why::Done),
-                "error" => TaskState::Exited(Why::Error),
-                "stopped" => TaskState::Exited(Why::Stopped),
+                "done" => TaskState::Exited(ExitReason::Done),
+                "error" => TaskState::Exited(ExitReason::Error),
+                "stopped" => TaskState::Exited(ExitReason::Stopped),
                 other => panic!("no state {other}"),
             };
-            // A task that this node has not started was started by an earlier leader.
+            // A task that this controller has not started was started by an earlier leader.
             let attempt = self.attempts.get(task).copied().unwrap_or(Attempt(1));
-            tasks.push(TaskReport { task: task_id, attempt, state });
+            tasks.push(TaskStatus { task: task_id, attempt, state });
         }
         self.req += 1;
-        let report = Report {
+        let heartbeat = Heartbeat {
             machine: MachineId(words[0].into()),
             endpoint: "e".into(),
             machine_type: "x".into(),
             zone: "a".into(),
             spot: false,
-            session: number(words[1]),
-            seq: number(words[2]),
-            token: Token(number(words[3])),
-            notice_s: None,
+            agent_epoch: number(words[1]),
+            sequence: number(words[2]),
+            token: FencingToken(number(words[3])),
+            reclaim_notice_s: None,
             tasks,
         };
-        self.feed(Input::Checkin { req: ReqId(self.req), report: Box::new(report) });
+        self.feed(Input::Heartbeat { req: RequestId(self.req), heartbeat: Box::new(heartbeat) });
     }
 
     fn line(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         self.req += 1;
-        let req = ReqId(self.req);
+        let req = RequestId(self.req);
         let job = |i: usize| JobId(words[i].parse().unwrap());
         match words[0] {
             "wait" => self.ticks(words[1].parse().unwrap()),
@@ -373,7 +380,7 @@
             "news" => self.news_held = words[1] == "held",
             "roster" => self.roster_held = words[1] == "held",
             "watch" => {
-                let jobs = self.watches.iter().filter(|w| w.1 == records::JOBS);
+                let jobs = self.watches.iter().filter(|w| w.1 == records::JOBS_PREFIX);
                 self.hung.extend(jobs.map(|w| w.0));
                 assert!(!self.hung.is_empty(), "no watch is open");
             }
@@ -383,7 +390,7 @@
                     self.carry_out(&op);
                 }
             }
-            // Another node does this, straight in the state service.
+            // Another controller does this, straight in the state service.
             "other" => {
                 self.revision += 1;
                 match words[1] {
@@ -442,7 +449,7 @@
             }
             "poll" => self.feed(Input::Poll { req, job: job(1) }),
             "cancel" => self.feed(Input::Cancel { req, job: job(1) }),
-            "report" => self.report(&words[1..]),
+            "report" => self.heartbeat(&words[1..]),
             other => panic!("no {other}"),
         }
     }
--- a/crates/basaltrail-protocol/src/administration.rs
+++ b/crates/basaltrail-protocol/src/administration.rs
@@ -1,7 +1,7 @@
 //! What the administration listener tells: limits, use, backlog and allotments of the teams.
 //! The schema is published as `docs/schemas/limits.json`.
 
-use basaltrail_core::limits::{ClassReport, LimitsReport, TeamReport};
+use basaltrail_core::inspection::{ClassReport, LimitsReport, TeamReport};
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
@@ -86,7 +86,7 @@
 /// A report as it is told.
 pub fn limits(report: &LimitsReport) -> Limits {
     Limits {
-        node: report.node.clone(),
+        node: report.controller.clone(),
         leader: report.leader.clone(),
         revision: report.revision,
         allotted: report.allotted,
--- a/crates/basaltrail-protocol/src/cloud.rs
+++ b/crates/basaltrail-protocol/src/cloud.rs
@@ -1,7 +1,7 @@
 //! The cloud's interface.
 
 use crate::{names, Malformed};
-use basaltrail_core::io::{CloudOp, CloudReply};
+use basaltrail_core::io::{CloudReply, CloudRequest};
 use basaltrail_core::model::*;
 use serde::{Deserialize, Serialize};
 
@@ -78,10 +78,10 @@
 }
 
 /// Method, path and body of a call.
-pub fn request(op: &CloudOp) -> (&'static str, String, String) {
+pub fn request(op: &CloudRequest) -> (&'static str, String, String) {
     match op {
-        CloudOp::Types => ("GET", "/machine_types".into(), String::new()),
-        CloudOp::Rent { requisition, machine_type, zone, spot, count } => {
+        CloudRequest::Types => ("GET", "/machine_types".into(), String::new()),
+        CloudRequest::Provision { requisition, machine_type, zone, spot, count } => {
             let body = RentBody {
                 requisition,
                 format: machine_type,
@@ -91,11 +91,11 @@
             };
             ("POST", "/rentals".into(), serde_json::to_string(&body).unwrap_or_default())
         }
-        CloudOp::Release(stacks) => {
+        CloudRequest::Terminate(stacks) => {
             let body = serde_json::to_string(&ReleaseBody { stacks }).unwrap_or_default();
             ("POST", "/rentals/release".into(), body)
         }
-        CloudOp::List { after } => {
+        CloudRequest::List { after } => {
             let after = after.as_ref().map(|a| format!("&after={a}")).unwrap_or_default();
             ("GET", format!("/rentals?most=500{after}"), String::new())
         }
@@ -103,15 +103,15 @@
 }
 
 /// Reads the answer to a call; `Failed` is anything that tells nothing.
-pub fn reply(op: &CloudOp, status: u16, body: &[u8]) -> Result<CloudReply, Malformed> {
+pub fn reply(op: &CloudRequest, status: u16, body: &[u8]) -> Result<CloudReply, Malformed> {
     if status != 200 {
         let refusal: Option<RefusalBody> = serde_json::from_slice(body).ok();
         let none = status == 503 && refusal.is_some_and(|r| r.error == "no capacity");
-        let rent = matches!(op, CloudOp::Rent { .. });
+        let rent = matches!(op, CloudRequest::Provision { .. });
         return Ok(if none && rent { CloudReply::NoCapacity } else { CloudReply::Failed });
     }
     Ok(match op {
-        CloudOp::Types => {
+        CloudRequest::Types => {
             let body: TypesBody = serde_json::from_slice(body)?;
             let sane = |x: f64| x.is_finite() && x >= 0.0;
             let types = body.formats.into_iter().map(|t| MachineType {
@@ -131,12 +131,12 @@
             };
             CloudReply::Types(types.filter(ok).collect())
         }
-        CloudOp::Rent { .. } => {
+        CloudRequest::Provision { .. } => {
             let body: RentedBody = serde_json::from_slice(body)?;
-            CloudReply::Rented(body.stacks.iter().filter_map(|s| names::machine(s)).collect())
+            CloudReply::Provisioned(body.stacks.iter().filter_map(|s| names::machine(s)).collect())
         }
-        CloudOp::Release(_) => CloudReply::Released,
-        CloudOp::List { .. } => {
+        CloudRequest::Terminate(_) => CloudReply::Terminated,
+        CloudRequest::List { .. } => {
             let body: ListBody = serde_json::from_slice(body)?;
             let mut machines = Vec::with_capacity(body.stacks.len());
             for l in body.stacks {
--- a/crates/basaltrail-protocol/src/frames_tests.rs
+++ b/crates/basaltrail-protocol/src/frames_tests.rs
@@ -23,7 +23,7 @@
 }
 
 /// A leader of thousands of jobs tells of all of them: what did not fit into one frame was left
-/// out, and those jobs showed as queued on the other nodes for as long as they ran.
+/// out, and those jobs showed as queued on the other controllers for as long as they ran.
 #[test]
 fn what_does_not_fit_into_one_frame_goes_into_further_ones() {
     let count = RECORDS_MOST * 2 + 7;
@@ -46,7 +46,7 @@
 }
 
 /// The bytes of a frame as every version since e26460f has written and read them: a frame of
-/// another layout ends the connection to a node that has not been upgraded yet.
+/// another layout ends the connection to a controller that has not been upgraded yet.
 #[test]
 fn the_layout_of_a_frame_stays() {
     let progress = [Progress { job: JobId(0x0102_0304_0506_0708), done: 0x0A0B_0C0D, running: 7 }];
--- a/crates/basaltrail-protocol/src/jobs.rs
+++ b/crates/basaltrail-protocol/src/jobs.rs
@@ -134,14 +134,14 @@
             };
             (201, json(&b), None)
         }
-        Answer::State { job, view, done, running } => {
+        Answer::Job { job, view, done, running } => {
             let condition = match view {
-                JobView::Queued => "queued",
-                JobView::Running => "running",
-                JobView::Done => "done",
-                JobView::Cancelled => "aborted",
+                JobStatus::Queued => "queued",
+                JobStatus::Running => "running",
+                JobStatus::Done => "done",
+                JobStatus::Cancelled => "aborted",
             };
-            let live = matches!(view, JobView::Queued | JobView::Running);
+            let live = matches!(view, JobStatus::Queued | JobStatus::Running);
             let b = JobBody {
                 name_id: names::job_name(*job),
                 condition,
@@ -151,10 +151,10 @@
             (200, json(&b), None)
         }
         Answer::Invalid(why) => (400, error(why), None),
-        Answer::Impossible(why) => (422, error(why), None),
+        Answer::Unschedulable(why) => (422, error(why), None),
         Answer::NotFound => (404, error("no such job"), None),
-        Answer::Busy { retry_s, why } => (503, error(why), Some(*retry_s)),
-        Answer::Orders { .. } | Answer::Elsewhere { .. } | Answer::Limits(_) => {
+        Answer::Unavailable { retry_after_s, why } => (503, error(why), Some(*retry_after_s)),
+        Answer::Commands { .. } | Answer::NotLeader { .. } | Answer::Limits(_) => {
             (500, error("not for users"), None)
         }
     }
--- a/crates/basaltrail-protocol/src/state.rs
+++ b/crates/basaltrail-protocol/src/state.rs
@@ -1,7 +1,7 @@
 //! The state service's interface.
 
 use crate::Malformed;
-use basaltrail_core::io::{Event, Item, Put, StateOp, StateReply};
+use basaltrail_core::io::{KeyValue, PutRequest, StoreReply, StoreRequest, WatchEvent};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
@@ -14,7 +14,7 @@
 #[derive(Serialize)]
 #[serde(untagged)]
 enum Change<'a> {
-    Put {
+    PutRequest {
         put: &'a str,
         v: &'a RawValue,
         #[serde(skip_serializing_if = "Option::is_none")]
@@ -92,36 +92,49 @@
     loan: Option<u64>,
 }
 
-impl From<Row> for Item {
-    fn from(r: Row) -> Item {
-        Item { key: r.key, value: r.v.get().to_string(), stamp: r.stamp, loan: r.loan }
+impl From<Row> for KeyValue {
+    fn from(r: Row) -> KeyValue {
+        KeyValue {
+            key: r.key,
+            value: r.v.get().to_string(),
+            mod_revision: r.stamp,
+            lease_id: r.loan,
+        }
     }
 }
 
 /// Method, path and body of a call.
-pub fn request(op: &StateOp) -> Result<(&'static str, String, String), Malformed> {
+pub fn request(op: &StoreRequest) -> Result<(&'static str, String, String), Malformed> {
     Ok(match op {
-        StateOp::Get(key) => ("GET", format!("/kv/{key}"), String::new()),
-        StateOp::List { prefix, after, limit } => {
+        StoreRequest::Get(key) => ("GET", format!("/kv/{key}"), String::new()),
+        StoreRequest::List { prefix, after, limit } => {
             let after = after.as_ref().map(|a| format!("&after={a}")).unwrap_or_default();
             ("GET", format!("/kv?starts={prefix}{after}&most={limit}"), String::new())
         }
-        StateOp::Txn { conds, puts, removes } => {
+        StoreRequest::Transaction { preconditions, puts, deletes } => {
             let conditions =
-                conds.iter().map(|(key, stamp)| Condition { key, stamp: *stamp }).collect();
-            let mut apply = Vec::with_capacity(puts.len() + removes.len());
-            for Put { key, value, loan } in puts {
-                apply.push(Change::Put { put: key, v: serde_json::from_str(value)?, loan: *loan });
+                preconditions.iter().map(|(key, stamp)| Condition { key, stamp: *stamp }).collect();
+            let mut apply = Vec::with_capacity(puts.len() + deletes.len());
+            for PutRequest { key, value, lease_id } in puts {
+                apply.push(Change::PutRequest {
+                    put: key,
+                    v: serde_json::from_str(value)?,
+                    loan: *lease_id,
+                });
             }
-            apply.extend(removes.iter().map(|remove| Change::Remove { remove }));
+            apply.extend(deletes.iter().map(|remove| Change::Remove { remove }));
             ("POST", "/txn".into(), serde_json::to_string(&TxnBody { conditions, apply })?)
         }
-        StateOp::Grant { ttl_ms } => {
+        StoreRequest::GrantLease { ttl_ms } => {
             ("POST", "/grants".into(), serde_json::to_string(&GrantBody { life_ms: *ttl_ms })?)
         }
-        StateOp::Extend { loan } => ("POST", format!("/grants/{loan}/extend"), String::new()),
-        StateOp::Revoke { loan } => ("DELETE", format!("/grants/{loan}"), String::new()),
-        StateOp::Watch { prefix, after, wait_ms } => (
+        StoreRequest::KeepAlive { lease_id } => {
+            ("POST", format!("/grants/{lease_id}/extend"), String::new())
+        }
+        StoreRequest::RevokeLease { lease_id } => {
+            ("DELETE", format!("/grants/{lease_id}"), String::new())
+        }
+        StoreRequest::Watch { prefix, after, wait_ms } => (
             "GET",
             format!("/changes?starts={prefix}&after={after}&blockMs={wait_ms}"),
             String::new(),
@@ -130,55 +143,60 @@
 }
 
 /// Reads the answer to a call.
-pub fn reply(op: &StateOp, status: u16, body: &[u8]) -> Result<StateReply, Malformed> {
+pub fn reply(op: &StoreRequest, status: u16, body: &[u8]) -> Result<StoreReply, Malformed> {
     match status {
         200 | 404 | 409 | 410 => {}
         // The service says that it did not carry these out.
-        429 | 503 => return Ok(StateReply::Refused),
-        400 => return Ok(StateReply::Rejected),
-        _ => return Ok(StateReply::Unknown),
+        429 | 503 => return Ok(StoreReply::Refused),
+        400 => return Ok(StoreReply::Rejected),
+        _ => return Ok(StoreReply::Unknown),
     }
     Ok(match (op, status) {
-        (_, 410) => StateReply::Compacted,
-        (StateOp::Txn { .. }, 409) => {
+        (_, 410) => StoreReply::Compacted,
+        (StoreRequest::Transaction { .. }, 409) => {
             let b: FailedBody = serde_json::from_slice(body)?;
-            StateReply::Conflict { failed: b.failed }
+            StoreReply::Conflict { failed: b.failed }
         }
-        (_, 409) => StateReply::Unknown,
-        (StateOp::Txn { .. } | StateOp::List { .. } | StateOp::Watch { .. }, 404) => {
-            StateReply::Unknown
+        (_, 409) => StoreReply::Unknown,
+        (
+            StoreRequest::Transaction { .. }
+            | StoreRequest::List { .. }
+            | StoreRequest::Watch { .. },
+            404,
+        ) => StoreReply::Unknown,
+        (_, 404) => StoreReply::NotFound,
+        (StoreRequest::Get(_), _) => {
+            StoreReply::KeyValue(serde_json::from_slice::<Row>(body)?.into())
         }
-        (_, 404) => StateReply::Missing,
-        (StateOp::Get(_), _) => StateReply::Found(serde_json::from_slice::<Row>(body)?.into()),
-        (StateOp::List { .. }, _) => {
+        (StoreRequest::List { .. }, _) => {
             let b: RowsBody = serde_json::from_slice(body)?;
-            let items = b.rows.into_iter().map(Item::from).collect();
-            StateReply::Rows { items, more: b.truncated, revision: b.impression }
+            let items = b.rows.into_iter().map(KeyValue::from).collect();
+            StoreReply::Page { items, more: b.truncated, revision: b.impression }
         }
-        (StateOp::Txn { .. }, _) => {
+        (StoreRequest::Transaction { .. }, _) => {
             let b: RevisionBody = serde_json::from_slice(body)?;
-            StateReply::Committed { revision: b.impression }
+            StoreReply::Committed { revision: b.impression }
         }
-        (StateOp::Grant { .. }, _) => {
-            StateReply::Granted { loan: serde_json::from_slice::<GrantedBody>(body)?.loan }
+        (StoreRequest::GrantLease { .. }, _) => {
+            StoreReply::LeaseGranted { lease_id: serde_json::from_slice::<GrantedBody>(body)?.loan }
         }
-        (StateOp::Extend { .. } | StateOp::Revoke { .. }, _) => StateReply::Ok,
-        (StateOp::Watch { .. }, _) => {
+        (StoreRequest::KeepAlive { .. } | StoreRequest::RevokeLease { .. }, _) => StoreReply::Ok,
+        (StoreRequest::Watch { .. }, _) => {
             let b: NewsBody = serde_json::from_slice(body)?;
             let mut events = Vec::with_capacity(b.news.len());
             for n in b.news {
                 events.push(match (n.put, n.v, n.remove) {
-                    (Some(key), Some(v), _) => Event::Put(Item {
+                    (Some(key), Some(v), _) => WatchEvent::Put(KeyValue {
                         key,
                         value: v.get().to_string(),
-                        stamp: n.stamp,
-                        loan: n.loan,
+                        mod_revision: n.stamp,
+                        lease_id: n.loan,
                     }),
-                    (None, _, Some(key)) => Event::Remove { key, stamp: n.stamp },
+                    (None, _, Some(key)) => WatchEvent::Delete { key, mod_revision: n.stamp },
                     _ => return Err(Malformed::Field("a change that is neither put nor remove")),
                 });
             }
-            StateReply::Events { revision: b.impression, events }
+            StoreReply::Events { revision: b.impression, events }
         }
     })
 }
--- a/crates/basaltrail-protocol/src/workers.rs
+++ b/crates/basaltrail-protocol/src/workers.rs
@@ -1,4 +1,4 @@
-//! Reports of workers and orders to them.
+//! Heartbeats of workers and the commands that answer them.
 
 use crate::{names, Malformed};
 use basaltrail_core::model::*;
@@ -6,7 +6,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct ReportBody {
+struct HeartbeatBody {
     stack: String,
     #[serde(default)]
     endpoint: String,
@@ -32,15 +32,15 @@
     colophon: Option<String>,
 }
 
-/// Reads a report. One task that cannot be read spoils the whole report: a list
+/// Reads a heartbeat. One task that cannot be read spoils the whole heartbeat: a list
 /// with a gap would tell us that something is not there.
-pub fn report(body: &[u8]) -> Result<Report, Malformed> {
-    let r: ReportBody = serde_json::from_slice(body)?;
+pub fn heartbeat(body: &[u8]) -> Result<Heartbeat, Malformed> {
+    let r: HeartbeatBody = serde_json::from_slice(body)?;
     let machine = names::machine(&r.stack).ok_or(Malformed::Field("stack is not a name"))?;
     if r.endpoint.len() > 100 || r.format.len() > 100 || r.room.len() > 100 {
         return Err(Malformed::Field("a name is too long"));
     }
-    let notice_s = r.recall_s.filter(|s| s.is_finite());
+    let reclaim_notice_s = r.recall_s.filter(|s| s.is_finite());
     let mut tasks = Vec::with_capacity(r.leaves.len());
     for l in r.leaves {
         let task = names::task(&l.leaf).ok_or(Malformed::Field("leaf is not a task"))?;
@@ -49,27 +49,27 @@
             "running" => TaskState::Running,
             "flushing" => TaskState::Saving,
             "ended" => TaskState::Exited(match l.colophon.as_deref() {
-                Some("done") => Why::Done,
-                Some("stopped") => Why::Stopped,
-                Some("no_room") => Why::NoRoom,
-                Some("in_use") => Why::Busy,
-                Some("unknown") => Why::Unknown,
-                _ => Why::Error,
+                Some("done") => ExitReason::Done,
+                Some("stopped") => ExitReason::Stopped,
+                Some("no_room") => ExitReason::NoRoom,
+                Some("in_use") => ExitReason::Busy,
+                Some("unknown") => ExitReason::Unknown,
+                _ => ExitReason::Error,
             }),
             _ => return Err(Malformed::Field("condition is not known")),
         };
-        tasks.push(TaskReport { task, attempt: Attempt(l.printing), state });
+        tasks.push(TaskStatus { task, attempt: Attempt(l.printing), state });
     }
-    Ok(Report {
+    Ok(Heartbeat {
         machine,
         endpoint: r.endpoint,
         machine_type: r.format,
         zone: r.room,
         spot: r.remainders,
-        session: r.tenure,
-        seq: r.folio,
-        token: Token(r.warrant),
-        notice_s,
+        agent_epoch: r.tenure,
+        sequence: r.folio,
+        token: FencingToken(r.warrant),
+        reclaim_notice_s,
         tasks,
     })
 }
@@ -91,20 +91,22 @@
 }
 
 #[derive(Serialize)]
-struct ElsewhereBody<'a> {
+struct NotLeaderBody<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     steward: Option<&'a str>,
 }
 
-/// The body of a response to a report.
-pub fn orders(token: Token, orders: &[Order]) -> String {
-    let orders = orders
+/// The body of a response to a heartbeat.
+pub fn commands(token: FencingToken, commands: &[TaskCommand]) -> String {
+    let orders = commands
         .iter()
         .map(|o| {
             let (order, task, attempt, grace_s) = match *o {
-                Order::Start { task, attempt } => ("start", task, attempt, None),
-                Order::Stop { task, attempt, grace_s } => ("kill", task, attempt, Some(grace_s)),
-                Order::Forget { task, attempt } => ("forget", task, attempt, None),
+                TaskCommand::Start { task, attempt } => ("start", task, attempt, None),
+                TaskCommand::Stop { task, attempt, grace_s } => {
+                    ("kill", task, attempt, Some(grace_s))
+                }
+                TaskCommand::Forget { task, attempt } => ("forget", task, attempt, None),
             };
             OrderBody { order, leaf: names::task_name(task), printing: attempt.0, grace_s }
         })
@@ -112,8 +114,8 @@
     serde_json::to_string(&OrdersBody { warrant: token.0, orders }).unwrap_or_default()
 }
 
-pub fn elsewhere(leader: Option<&str>) -> String {
-    serde_json::to_string(&ElsewhereBody { steward: leader }).unwrap_or_default()
+pub fn not_leader(leader: Option<&str>) -> String {
+    serde_json::to_string(&NotLeaderBody { steward: leader }).unwrap_or_default()
 }
 
 #[cfg(test)]
--- a/crates/basaltrail-protocol/src/workers_tests.rs
+++ b/crates/basaltrail-protocol/src/workers_tests.rs
@@ -2,21 +2,21 @@
 
 #[test]
 fn a_report_is_read_and_orders_are_written() {
-    let r = report(
+    let r = heartbeat(
         br#"{"stack":"m-000231","endpoint":"10.1.0.232:9000","format":"g8","room":"a",
         "remainders":true,"tenure":1,"folio":88,"warrant":41,"recallS":null,"leaves":[
         {"leaf":"job-000412/3","printing":2,"condition":"running"},
         {"leaf":"job-000398/0","printing":1,"condition":"ended","colophon":"done"}]}"#,
     )
     .unwrap();
-    assert_eq!((r.session, r.seq, r.token), (1, 88, Token(41)));
-    assert_eq!(r.tasks[1].state, TaskState::Exited(Why::Done));
+    assert_eq!((r.agent_epoch, r.sequence, r.token), (1, 88, FencingToken(41)));
+    assert_eq!(r.tasks[1].state, TaskState::Exited(ExitReason::Done));
     let t = r.tasks[0].task;
-    let body = orders(
-        Token(41),
+    let body = commands(
+        FencingToken(41),
         &[
-            Order::Start { task: t, attempt: Attempt(2) },
-            Order::Stop { task: t, attempt: Attempt(2), grace_s: 10.0 },
+            TaskCommand::Start { task: t, attempt: Attempt(2) },
+            TaskCommand::Stop { task: t, attempt: Attempt(2), grace_s: 10.0 },
         ],
     );
     assert_eq!(
@@ -34,10 +34,10 @@
             {{"leaf":"{leaf}","printing":1,"condition":"{condition}"}}]}}"#
         )
     };
-    assert!(report(body("job-000001/0", "running").as_bytes()).is_ok());
-    assert!(report(body("job-1/0", "running").as_bytes()).is_err());
-    assert!(report(body("job-000001/0", "dreaming").as_bytes()).is_err());
+    assert!(heartbeat(body("job-000001/0", "running").as_bytes()).is_ok());
+    assert!(heartbeat(body("job-1/0", "running").as_bytes()).is_err());
+    assert!(heartbeat(body("job-000001/0", "dreaming").as_bytes()).is_err());
     assert!(
-        report(br#"{"stack":"m-000001","format":"g","room":"a","tenure":1,"folio":1}"#).is_err()
+        heartbeat(br#"{"stack":"m-000001","format":"g","room":"a","tenure":1,"folio":1}"#).is_err()
     );
 }
--- a/crates/basaltrail-protocol/tests/fuzz.rs
+++ b/crates/basaltrail-protocol/tests/fuzz.rs
@@ -55,24 +55,28 @@
 fn no_parser_panics_and_bounds_hold() {
     let mut rng = SmallRng::seed_from_u64(5);
     let cloud_ops = [
-        CloudOp::Types,
-        CloudOp::Rent {
+        CloudRequest::Types,
+        CloudRequest::Provision {
             requisition: "r".into(),
             machine_type: "x".into(),
             zone: "a".into(),
             spot: true,
             count: 1,
         },
-        CloudOp::Release(Vec::new()),
-        CloudOp::List { after: None },
+        CloudRequest::Terminate(Vec::new()),
+        CloudRequest::List { after: None },
     ];
     let state_ops = [
-        StateOp::Get("a".into()),
-        StateOp::List { prefix: "a".into(), after: None, limit: 1 },
-        StateOp::Txn { conds: Vec::new(), puts: Vec::new(), removes: Vec::new() },
-        StateOp::Grant { ttl_ms: 1 },
-        StateOp::Extend { loan: 1 },
-        StateOp::Watch { prefix: "a".into(), after: 0, wait_ms: 0 },
+        StoreRequest::Get("a".into()),
+        StoreRequest::List { prefix: "a".into(), after: None, limit: 1 },
+        StoreRequest::Transaction {
+            preconditions: Vec::new(),
+            puts: Vec::new(),
+            deletes: Vec::new(),
+        },
+        StoreRequest::GrantLease { ttl_ms: 1 },
+        StoreRequest::KeepAlive { lease_id: 1 },
+        StoreRequest::Watch { prefix: "a".into(), after: 0, wait_ms: 0 },
     ];
     let (mut taken, mut refused) = (0, 0);
     for _ in 0..20_000 {
@@ -91,7 +95,7 @@
             }
             Err(_) => refused += 1,
         }
-        let _ = workers::report(&body);
+        let _ = workers::heartbeat(&body);
         let status = [200, 404, 409, 410, 429, 503, 700][rng.random_range(0..7)];
         for op in &cloud_ops {
             let reply = cloud::reply(op, status, &body);
@@ -103,7 +107,7 @@
             let reply = state::reply(op, status, &body);
             // A refusal must never be taken for a change that was made.
             if status != 200 {
-                assert!(!matches!(reply, Ok(StateReply::Committed { .. } | StateReply::Ok)));
+                assert!(!matches!(reply, Ok(StoreReply::Committed { .. } | StoreReply::Ok)));
             }
         }
         if let Some(n) = body.get(..frames::HEADER_BYTES).and_then(frames::body_bytes) {
--- a/crates/basaltrail-protocol/tests/schema.rs
+++ b/crates/basaltrail-protocol/tests/schema.rs
@@ -1,6 +1,6 @@
 //! The published schema of `inspect limits --json`, and answers judged by it.
 
-use basaltrail_core::limits::{ClassReport, LimitsReport, TeamReport};
+use basaltrail_core::inspection::{ClassReport, LimitsReport, TeamReport};
 use basaltrail_protocol::administration::{limits, Limits};
 
 const PUBLISHED: &str = include_str!("../../../docs/schemas/limits.json");
@@ -33,7 +33,7 @@
         classes: vec![class("c", room), class("", None)],
     };
     let report = LimitsReport {
-        node: "stack-0".into(),
+        controller: "stack-0".into(),
         leader: Some("stack-1".into()),
         revision: 12,
         allotted: true,
--- a/crates/basaltrail/src/clients.rs
+++ b/crates/basaltrail/src/clients.rs
@@ -1,6 +1,6 @@
 //! Calls to the state service and the cloud, over kept connections.
 
-use basaltrail_core::{CloudOp, CloudReply, StateOp, StateReply};
+use basaltrail_core::{CloudReply, CloudRequest, StoreReply, StoreRequest};
 use basaltrail_protocol::{cloud, state};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Part of a node's memory that one answer may take.
+/// Part of a controller's memory that one answer may take.
 const ANSWER_PART: f64 = 1.0 / 7.0;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
@@ -20,7 +20,7 @@
 enum CallError {
     /// None came, or none in time.
     NoAnswer,
-    /// It is longer than this node takes.
+    /// It is longer than this controller takes.
     TooLong,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl Http {
-    /// A client for a node with so much memory.
+    /// A client for a controller with so much memory.
     pub fn new(memory_mb: f64) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -75,31 +75,31 @@
             .unwrap_or(Err(CallError::NoAnswer))
     }
 
-    pub async fn state(&self, to: SocketAddr, op: &StateOp, timeout_ms: u64) -> StateReply {
-        let Ok((method, path, body)) = state::request(op) else { return StateReply::Refused };
+    pub async fn state(&self, to: SocketAddr, op: &StoreRequest, timeout_ms: u64) -> StoreReply {
+        let Ok((method, path, body)) = state::request(op) else { return StoreReply::Refused };
         let answer = self.call(&to.to_string(), method, &path, body, timeout_ms).await;
         let (status, body) = match answer {
             Ok(answer) => answer,
             // The same watch would be answered as long again: what it tells is read by pages.
-            Err(CallError::TooLong) if matches!(op, StateOp::Watch { .. }) => {
+            Err(CallError::TooLong) if matches!(op, StoreRequest::Watch { .. }) => {
                 tracing::info!("event=news_too_long bytes_most={}", self.answer_bytes_most);
-                return StateReply::Compacted;
+                return StoreReply::Compacted;
             }
-            Err(_) => return StateReply::Unknown,
+            Err(_) => return StoreReply::Unknown,
         };
         state::reply(op, status, &body).unwrap_or_else(|e| {
             tracing::error!("event=state_answer_unreadable status={status} why={e}");
-            StateReply::Unknown
+            StoreReply::Unknown
         })
     }
 
-    /// Reads from another node's administration listener; nothing unless it answers 200.
+    /// Reads from another controller's administration listener; nothing unless it answers 200.
     pub async fn read(&self, to: SocketAddr, path: &str, timeout_ms: u64) -> Option<Bytes> {
         let answer = self.call(&to.to_string(), "GET", path, String::new(), timeout_ms).await;
         answer.ok().filter(|(status, _)| *status == 200).map(|(_, body)| body)
     }
 
-    pub async fn cloud(&self, to: SocketAddr, op: &CloudOp, timeout_ms: u64) -> CloudReply {
+    pub async fn cloud(&self, to: SocketAddr, op: &CloudRequest, timeout_ms: u64) -> CloudReply {
         let (method, path, body) = cloud::request(op);
         let answer = self.call(&to.to_string(), method, &path, body, timeout_ms).await;
         let Ok((status, body)) = answer else { return CloudReply::Failed };
--- a/crates/basaltrail/src/clients_tests.rs
+++ b/crates/basaltrail/src/clients_tests.rs
@@ -3,8 +3,8 @@
 use serde_json::json;
 use warp::Filter;
 
-/// A node that was away asks for what changed meanwhile. An answer beyond its bound was taken for
-/// none: the same watch was opened again, answered as long again, and the node never caught up.
+/// A controller that was away asks for what changed meanwhile. An answer beyond its bound was taken for
+/// none: the same watch was opened again, answered as long again, and the controller never caught up.
 #[tokio::test]
 async fn news_too_long_to_take_are_read_by_pages() {
     let value = "x".repeat(4_000);
@@ -13,13 +13,13 @@
         reply(200, json!({"impression": 7, "news": vec![put; 1_000]}))
     });
     let at = serve(news).await.unwrap();
-    let watch = StateOp::Watch { prefix: "j/".into(), after: 0, wait_ms: 0 };
+    let watch = StoreRequest::Watch { prefix: "j/".into(), after: 0, wait_ms: 0 };
     let small = Http::new(14.0).state(at, &watch, 5_000).await;
-    assert_eq!(small, StateReply::Compacted);
+    assert_eq!(small, StoreReply::Compacted);
     let large = Http::new(700.0).state(at, &watch, 5_000).await;
-    let StateReply::Events { revision: 7, events } = large else { panic!("{large:?}") };
+    let StoreReply::Events { revision: 7, events } = large else { panic!("{large:?}") };
     assert_eq!(events.len(), 1_000);
-    let list = StateOp::List { prefix: "j/".into(), after: None, limit: 500 };
+    let list = StoreRequest::List { prefix: "j/".into(), after: None, limit: 500 };
     let nobody = "127.0.0.1:1".parse().unwrap();
-    assert_eq!(Http::new(14.0).state(nobody, &list, 500).await, StateReply::Unknown);
+    assert_eq!(Http::new(14.0).state(nobody, &list, 500).await, StoreReply::Unknown);
 }
--- a/crates/basaltrail/src/driver.rs
+++ b/crates/basaltrail/src/driver.rs
@@ -15,16 +15,16 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// Requests that may wait for the loop, per megabyte. After a stall every worker asks at
-/// once: one that is refused asks another node and comes back only after that.
+/// once: one that is refused asks another controller and comes back only after that.
 const QUEUE_PER_MB: f64 = 8.0;
 /// Answers of our own calls that may wait.
 const ANSWERS: usize = 512;
 const TICK: Duration = Duration::from_millis(50);
 
 struct Driver {
-    node: Node,
+    node: Controller,
     started: Instant,
-    waiting: HashMap<ReqId, oneshot::Sender<Answer>>,
+    waiting: HashMap<RequestId, oneshot::Sender<Answer>>,
     http: Http,
     state: SocketAddr,
     cloud: SocketAddr,
@@ -56,8 +56,8 @@
     }
     let http = Http::new(settings.core.memory_mb);
     let seed = settings.core.incarnation;
-    let node = settings.core.node.clone();
-    let mut core = Node::new(Arc::new(settings.core), seed);
+    let node = settings.core.controller.clone();
+    let mut core = Controller::new(Arc::new(settings.core), seed);
     core.set_verbose(logging::is_debug());
     let mut driver = Driver {
         node: core,
@@ -108,11 +108,11 @@
                     let _ = to.send(answer);
                 }
             }
-            Effect::State { op, call, timeout_ms } => {
+            Effect::Store { op, call, timeout_ms } => {
                 let (http, to, answers) = (self.http.clone(), self.state, self.answers.clone());
                 tokio::spawn(async move {
                     let reply = http.state(to, &call, timeout_ms).await;
-                    let _ = answers.send(Input::State { op, reply }).await;
+                    let _ = answers.send(Input::Store { op, reply }).await;
                 });
             }
             Effect::Cloud { op, call, timeout_ms } => {
--- a/crates/basaltrail/src/inspect.rs
+++ b/crates/basaltrail/src/inspect.rs
@@ -1,4 +1,4 @@
-//! `inspect`: what a running node tells of itself.
+//! `inspect`: what a running controller tells of itself.
 
 use crate::clients::Http;
 use basaltrail_protocol::administration::{Class, Limits, Room, Team};
@@ -14,16 +14,16 @@
 pub enum Inspect {
     /// Teams and classes: guarantee, limit, use, backlog, allotment, refusals
     Limits {
-        /// The node's administration listener
+        /// The controller's administration listener
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
-        /// The node's answer as it is
+        /// The controller's answer as it is
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Prints what was asked for; status 1, with one line, if the node does not tell.
+/// Prints what was asked for; status 1, with one line, if the controller does not tell.
 pub fn run(what: &Inspect) -> ExitCode {
     let Inspect::Limits { at, json } = what;
     match read(*at) {
--- a/crates/basaltrail/src/main.rs
+++ b/crates/basaltrail/src/main.rs
@@ -40,7 +40,7 @@
 enum Command {
     /// Validates the settings
     Check(Files),
-    /// Reads a running node over its administration listener
+    /// Reads a running controller over its administration listener
     #[command(subcommand)]
     Inspect(inspect::Inspect),
 }
--- a/crates/basaltrail/src/server.rs
+++ b/crates/basaltrail/src/server.rs
@@ -1,6 +1,6 @@
 //! The HTTP side towards users and workers.
 
-use basaltrail_core::{Answer, Input, ReqId};
+use basaltrail_core::{Answer, Input, RequestId};
 use basaltrail_protocol::{administration, jobs, names, workers};
 use bytes::{Buf, Bytes};
 use futures_util::{Stream, StreamExt};
@@ -22,7 +22,7 @@
 
 /// A request for the core, and where its answer goes.
 pub struct Ask {
-    pub req: ReqId,
+    pub req: RequestId,
     pub input: Input,
     pub answer: oneshot::Sender<Answer>,
 }
@@ -38,9 +38,9 @@
 
 impl Request {
     /// Hands a request to the core; a full queue is an answer of its own, at once.
-    async fn ask(&self, input: impl FnOnce(ReqId) -> Input) -> Answer {
-        let busy = Answer::Busy { retry_s: 1, why: "too many requests" };
-        let req = ReqId(self.next.fetch_add(1, Ordering::Relaxed));
+    async fn ask(&self, input: impl FnOnce(RequestId) -> Input) -> Answer {
+        let busy = Answer::Unavailable { retry_after_s: 1, why: "too many requests" };
+        let req = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
         let (answer, wait) = oneshot::channel();
         if self.asks.try_send(Ask { req, input: input(req), answer }).is_err() {
             return busy;
@@ -109,24 +109,26 @@
     })
 }
 
-async fn checkin<B: Buf>(
+async fn heartbeat<B: Buf>(
     stream: impl Stream<Item = Result<B, warp::Error>>,
     requests: Request,
 ) -> Result<Reply, Infallible> {
-    let report = match body(stream).await {
-        Ok(b) => workers::report(&b).map_err(|e| e.to_string()),
+    let heartbeat = match body(stream).await {
+        Ok(b) => workers::heartbeat(&b).map_err(|e| e.to_string()),
         Err(why) => Err(why.to_string()),
     };
-    let report = match report {
+    let heartbeat = match heartbeat {
         Ok(r) => Box::new(r),
         Err(why) => {
             tracing::info!("event=report_refused why={why}");
             return Ok(reply(400, jobs::error(&why), None));
         }
     };
-    Ok(match requests.ask(|req| Input::Checkin { req, report }).await {
-        Answer::Orders { token, orders } => reply(200, workers::orders(token, &orders), None),
-        Answer::Elsewhere { leader } => reply(421, workers::elsewhere(leader.as_deref()), None),
+    Ok(match requests.ask(|req| Input::Heartbeat { req, heartbeat }).await {
+        Answer::Commands { token, commands } => {
+            reply(200, workers::commands(token, &commands), None)
+        }
+        Answer::NotLeader { leader } => reply(421, workers::not_leader(leader.as_deref()), None),
         other => to_user(&other),
     })
 }
@@ -145,11 +147,11 @@
 ) -> impl Filter<Extract = (impl warp::Reply,), Error = warp::Rejection> + Clone {
     let ready = requests.ready.clone();
     let with = warp::any().map(move || requests.clone());
-    let checkin = warp::path!("checkin")
+    let heartbeat = warp::path!("checkin")
         .and(warp::post())
         .and(warp::body::stream())
         .and(with.clone())
-        .and_then(checkin);
+        .and_then(heartbeat);
     let poll = warp::path!("api" / "jobs" / String)
         .and(warp::get())
         .and(with.clone())
@@ -168,7 +170,7 @@
             true => reply(200, "{}".into(), None),
             false => reply(503, jobs::error("not ready"), Some(1)),
         });
-    checkin.or(poll).unify().or(submit).unify().or(cancel).unify().or(ready).unify()
+    heartbeat.or(poll).unify().or(submit).unify().or(cancel).unify().or(ready).unify()
 }
 
 /// Connections of operators at once.
--- a/crates/basaltrail/src/settings.rs
+++ b/crates/basaltrail/src/settings.rs
@@ -128,9 +128,10 @@
     txn_ops: Option<usize>,
 }
 
-/// A value holds the completions of [`basaltrail_core::records::PART`] tasks, a bit each, in
+/// A value holds the completions of [`basaltrail_core::records::TASKS_PER_SEGMENT`] tasks, a bit each, in
 /// hexadecimal digits.
-const VALUE_KB_LEAST: f64 = basaltrail_core::records::PART as f64 / 4.0 / 1024.0 + 0.25;
+const VALUE_KB_LEAST: f64 =
+    basaltrail_core::records::TASKS_PER_SEGMENT as f64 / 4.0 / 1024.0 + 0.25;
 
 #[derive(Deserialize)]
 struct Cloud {
@@ -247,24 +248,24 @@
     let value_kb = least("value_kb", now.value_kb, next.and_then(|n| n.value_kb), VALUE_KB_LEAST)?;
     let txn_ops = least("txn_ops", ops(now.txn_ops), next.and_then(|n| n.txn_ops).map(ops), 2.0)?;
     let core = Settings {
-        node: f.node_name,
+        controller: f.node_name,
         zone: f.zone,
-        nodes: p.size.max(f.members.len() + 1),
+        controller_count: p.size.max(f.members.len() + 1),
         zones: p.zones.clone(),
         peer_zones: f.members.iter().map(|m| m.zone.clone()).collect(),
         teams,
         objectives: p.objectives.iter().filter_map(ObjectiveEntry::read).collect(),
-        report_ms: ms("workers.report_s", p.workers.report_s)?,
+        heartbeat_interval_ms: ms("workers.report_s", p.workers.report_s)?,
         lease_ms: ms("workers.lease_s", p.workers.lease_s)?,
         cancel_ms: ms("workers.cancel_s", p.workers.cancel_s)?,
-        state_rps,
+        store_rps: state_rps,
         write_rps,
         value_bytes: (value_kb * 1024.0) as usize,
-        txn_ops: txn_ops as usize,
+        transaction_ops: txn_ops as usize,
         cloud_rps: positive("cloud.rps", p.cloud.rps)?,
         list_lag_ms: (p.cloud.list_lag_s.clamp(0.0, 1e6) * 1000.0) as u64,
         memory_mb: positive("resources.mem_mb", p.resources.mem_mb)?,
-        machines_most: p.resources.max_connections / 2,
+        max_machines: p.resources.max_connections / 2,
         incarnation: SmallRng::from_os_rng().random(),
         policy: Policy::default(),
     };
--- a/crates/basaltrail/src/settings_tests.rs
+++ b/crates/basaltrail/src/settings_tests.rs
@@ -38,8 +38,9 @@
         let next = format!("[params.state.next]\n{next}\n[params.cloud]");
         parse("s.toml", &GOOD.replacen("[params.cloud]", &next, 1))
     };
-    let limits =
-        |p: Process| (p.core.state_rps, p.core.write_rps, p.core.value_bytes, p.core.txn_ops);
+    let limits = |p: Process| {
+        (p.core.store_rps, p.core.write_rps, p.core.value_bytes, p.core.transaction_ops)
+    };
     let now = (120.0, 40.0, 16 * 1024, 24);
     assert_eq!(limits(parse("s.toml", GOOD).unwrap()), now);
     assert_eq!(limits(with("").unwrap()), now);
--- a/tests/mixed-versions/tests/versions/convert.rs
+++ b/tests/mixed-versions/tests/versions/convert.rs
@@ -10,24 +10,24 @@
 
             pub fn settings(s: new::Settings) -> old::Settings {
                 old::Settings {
-                    node: s.node,
+                    node: s.controller,
                     zone: s.zone,
-                    nodes: s.nodes,
+                    nodes: s.controller_count,
                     zones: s.zones,
                     peer_zones: s.peer_zones,
                     teams: s.teams.into_iter().map(team).collect(),
                     objectives: s.objectives.into_iter().map(objective).collect(),
-                    report_ms: s.report_ms,
+                    report_ms: s.heartbeat_interval_ms,
                     lease_ms: s.lease_ms,
                     cancel_ms: s.cancel_ms,
-                    state_rps: s.state_rps,
+                    state_rps: s.store_rps,
                     write_rps: s.write_rps,
                     value_bytes: s.value_bytes,
-                    txn_ops: s.txn_ops,
+                    txn_ops: s.transaction_ops,
                     cloud_rps: s.cloud_rps,
                     list_lag_ms: s.list_lag_ms,
                     memory_mb: s.memory_mb,
-                    machines_most: s.machines_most,
+                    machines_most: s.max_machines,
                     incarnation: s.incarnation,
                     policy: old::Policy::default(),
                 }
@@ -78,11 +78,11 @@
                     new::Input::Cancel { req, job } => {
                         old::Input::Cancel { req: old::ReqId(req.0), job: old::JobId(job.0) }
                     }
-                    new::Input::Checkin { req, report: r } => {
+                    new::Input::Heartbeat { req, heartbeat: r } => {
                         old::Input::Checkin { req: old::ReqId(req.0), report: Box::new(report(*r)) }
                     }
-                    new::Input::State { op, reply } => {
-                        old::Input::State { op: old::OpId(op.0), reply: state_reply(reply) }
+                    new::Input::Store { op, reply } => {
+                        old::Input::State { op: old::OpId(op.0), reply: store_reply(reply) }
                     }
                     new::Input::Cloud { op, reply } => {
                         old::Input::Cloud { op: old::OpId(op.0), reply: cloud_reply(reply) }
@@ -98,8 +98,8 @@
                 }
             }
 
-            fn report(r: new::Report) -> old::Report {
-                let task = |t: new::TaskReport| old::TaskReport {
+            fn report(r: new::Heartbeat) -> old::Report {
+                let task = |t: new::TaskStatus| old::TaskReport {
                     task: old::TaskId { job: old::JobId(t.task.job.0), index: t.task.index },
                     attempt: old::Attempt(t.attempt.0),
                     state: match t.state {
@@ -107,12 +107,12 @@
                         new::TaskState::Running => old::TaskState::Running,
                         new::TaskState::Saving => old::TaskState::Saving,
                         new::TaskState::Exited(why) => old::TaskState::Exited(match why {
-                            new::Why::Done => old::Why::Done,
-                            new::Why::Stopped => old::Why::Stopped,
-                            new::Why::Error => old::Why::Error,
-                            new::Why::NoRoom => old::Why::NoRoom,
-                            new::Why::Busy => old::Why::Busy,
-                            new::Why::Unknown => old::Why::Unknown,
+                            new::ExitReason::Done => old::Why::Done,
+                            new::ExitReason::Stopped => old::Why::Stopped,
+                            new::ExitReason::Error => old::Why::Error,
+                            new::ExitReason::NoRoom => old::Why::NoRoom,
+                            new::ExitReason::Busy => old::Why::Busy,
+                            new::ExitReason::Unknown => old::Why::Unknown,
                         }),
                     },
                 };
@@ -122,49 +122,51 @@
                     machine_type: r.machine_type,
                     zone: r.zone,
                     spot: r.spot,
-                    session: r.session,
-                    seq: r.seq,
+                    session: r.agent_epoch,
+                    seq: r.sequence,
                     token: old::Token(r.token.0),
-                    notice_s: r.notice_s,
+                    notice_s: r.reclaim_notice_s,
                     tasks: r.tasks.into_iter().map(task).collect(),
                 }
             }
 
-            fn item(i: new::Item) -> old::Item {
-                old::Item { key: i.key, value: i.value, stamp: i.stamp, loan: i.loan }
+            fn item(i: new::KeyValue) -> old::Item {
+                old::Item { key: i.key, value: i.value, stamp: i.mod_revision, loan: i.lease_id }
             }
 
-            fn state_reply(reply: new::StateReply) -> old::StateReply {
+            fn store_reply(reply: new::StoreReply) -> old::StateReply {
                 match reply {
-                    new::StateReply::Found(i) => old::StateReply::Found(item(i)),
-                    new::StateReply::Missing => old::StateReply::Missing,
-                    new::StateReply::Rows { items, more, revision } => old::StateReply::Rows {
+                    new::StoreReply::KeyValue(i) => old::StateReply::Found(item(i)),
+                    new::StoreReply::NotFound => old::StateReply::Missing,
+                    new::StoreReply::Page { items, more, revision } => old::StateReply::Rows {
                         items: items.into_iter().map(item).collect(),
                         more,
                         revision,
                     },
-                    new::StateReply::Committed { revision } => {
+                    new::StoreReply::Committed { revision } => {
                         old::StateReply::Committed { revision }
                     }
-                    new::StateReply::Conflict { failed } => old::StateReply::Conflict { failed },
-                    new::StateReply::Granted { loan } => old::StateReply::Granted { loan },
-                    new::StateReply::Ok => old::StateReply::Ok,
-                    new::StateReply::Events { revision, events } => old::StateReply::Events {
+                    new::StoreReply::Conflict { failed } => old::StateReply::Conflict { failed },
+                    new::StoreReply::LeaseGranted { lease_id } => {
+                        old::StateReply::Granted { loan: lease_id }
+                    }
+                    new::StoreReply::Ok => old::StateReply::Ok,
+                    new::StoreReply::Events { revision, events } => old::StateReply::Events {
                         revision,
                         events: events
                             .into_iter()
                             .map(|event| match event {
-                                new::Event::Put(i) => old::Event::Put(item(i)),
-                                new::Event::Remove { key, stamp } => {
+                                new::WatchEvent::Put(i) => old::Event::Put(item(i)),
+                                new::WatchEvent::Delete { key, mod_revision: stamp } => {
                                     old::Event::Remove { key, stamp }
                                 }
                             })
                             .collect(),
                     },
-                    new::StateReply::Compacted => old::StateReply::Compacted,
-                    new::StateReply::Refused => old::StateReply::Refused,
-                    new::StateReply::Rejected => $rejected,
-                    new::StateReply::Unknown => old::StateReply::Unknown,
+                    new::StoreReply::Compacted => old::StateReply::Compacted,
+                    new::StoreReply::Refused => old::StateReply::Refused,
+                    new::StoreReply::Rejected => $rejected,
+                    new::StoreReply::Unknown => old::StateReply::Unknown,
                 }
             }
 
@@ -174,9 +176,11 @@
                 };
                 match reply {
                     new::CloudReply::Types(types) => old::CloudReply::Types(stored(&types)),
-                    new::CloudReply::Rented(machines) => old::CloudReply::Rented(ids(machines)),
+                    new::CloudReply::Provisioned(machines) => {
+                        old::CloudReply::Rented(ids(machines))
+                    }
                     new::CloudReply::NoCapacity => old::CloudReply::NoCapacity,
-                    new::CloudReply::Released => old::CloudReply::Released,
+                    new::CloudReply::Terminated => old::CloudReply::Released,
                     new::CloudReply::Listed { machines, more } => old::CloudReply::Listed {
                         machines: machines.into_iter().map(listed).collect(),
                         more,
@@ -204,14 +208,18 @@
             pub fn effect(effect: old::Effect) -> new::Effect {
                 match effect {
                     old::Effect::Answer { req, answer: a } => {
-                        new::Effect::Answer { req: new::ReqId(req.0), answer: answer(a) }
-                    }
-                    old::Effect::State { op, call, timeout_ms } => {
-                        new::Effect::State { op: new::OpId(op.0), call: state_op(call), timeout_ms }
-                    }
-                    old::Effect::Cloud { op, call, timeout_ms } => {
-                        new::Effect::Cloud { op: new::OpId(op.0), call: cloud_op(call), timeout_ms }
+                        new::Effect::Answer { req: new::RequestId(req.0), answer: answer(a) }
                     }
+                    old::Effect::State { op, call, timeout_ms } => new::Effect::Store {
+                        op: new::CallId(op.0),
+                        call: store_request(call),
+                        timeout_ms,
+                    },
+                    old::Effect::Cloud { op, call, timeout_ms } => new::Effect::Cloud {
+                        op: new::CallId(op.0),
+                        call: cloud_request(call),
+                        timeout_ms,
+                    },
                     old::Effect::Peers { progress } => new::Effect::Peers {
                         progress: progress
                             .into_iter()
@@ -237,80 +245,96 @@
             fn answer(answer: old::Answer) -> new::Answer {
                 match answer {
                     old::Answer::Created { job } => new::Answer::Created { job: new::JobId(job.0) },
-                    old::Answer::State { job, view, done, running } => new::Answer::State {
+                    old::Answer::State { job, view, done, running } => new::Answer::Job {
                         job: new::JobId(job.0),
                         view: match view {
-                            old::JobView::Queued => new::JobView::Queued,
-                            old::JobView::Running => new::JobView::Running,
-                            old::JobView::Done => new::JobView::Done,
-                            old::JobView::Cancelled => new::JobView::Cancelled,
+                            old::JobView::Queued => new::JobStatus::Queued,
+                            old::JobView::Running => new::JobStatus::Running,
+                            old::JobView::Done => new::JobStatus::Done,
+                            old::JobView::Cancelled => new::JobStatus::Cancelled,
                         },
                         done,
                         running,
                     },
                     old::Answer::Invalid(why) => new::Answer::Invalid(why),
-                    old::Answer::Impossible(why) => new::Answer::Impossible(why),
+                    old::Answer::Impossible(why) => new::Answer::Unschedulable(why),
                     old::Answer::NotFound => new::Answer::NotFound,
-                    old::Answer::Busy { retry_s, why } => new::Answer::Busy { retry_s, why },
-                    old::Answer::Orders { token, orders } => new::Answer::Orders {
-                        token: new::Token(token.0),
-                        orders: orders.into_iter().map(order).collect(),
+                    old::Answer::Busy { retry_s, why } => {
+                        new::Answer::Unavailable { retry_after_s: retry_s, why }
+                    }
+                    old::Answer::Orders { token, orders } => new::Answer::Commands {
+                        token: new::FencingToken(token.0),
+                        commands: orders.into_iter().map(command).collect(),
                     },
-                    old::Answer::Elsewhere { leader } => new::Answer::Elsewhere { leader },
+                    old::Answer::Elsewhere { leader } => new::Answer::NotLeader { leader },
                 }
             }
 
-            fn order(order: old::Order) -> new::Order {
+            fn command(order: old::Order) -> new::TaskCommand {
                 let task =
                     |t: old::TaskId| new::TaskId { job: new::JobId(t.job.0), index: t.index };
                 match order {
                     old::Order::Start { task: t, attempt } => {
-                        new::Order::Start { task: task(t), attempt: new::Attempt(attempt.0) }
+                        new::TaskCommand::Start { task: task(t), attempt: new::Attempt(attempt.0) }
                     }
-                    old::Order::Stop { task: t, attempt, grace_s } => new::Order::Stop {
+                    old::Order::Stop { task: t, attempt, grace_s } => new::TaskCommand::Stop {
                         task: task(t),
                         attempt: new::Attempt(attempt.0),
                         grace_s,
                     },
                     old::Order::Forget { task: t, attempt } => {
-                        new::Order::Forget { task: task(t), attempt: new::Attempt(attempt.0) }
+                        new::TaskCommand::Forget { task: task(t), attempt: new::Attempt(attempt.0) }
                     }
                 }
             }
 
-            fn state_op(op: old::StateOp) -> new::StateOp {
+            fn store_request(op: old::StateOp) -> new::StoreRequest {
                 match op {
-                    old::StateOp::Get(key) => new::StateOp::Get(key),
+                    old::StateOp::Get(key) => new::StoreRequest::Get(key),
                     old::StateOp::List { prefix, after, limit } => {
-                        new::StateOp::List { prefix, after, limit }
+                        new::StoreRequest::List { prefix, after, limit }
                     }
-                    old::StateOp::Txn { conds, puts, removes } => new::StateOp::Txn {
-                        conds,
+                    old::StateOp::Txn { conds, puts, removes } => new::StoreRequest::Transaction {
+                        preconditions: conds,
                         puts: puts
                             .into_iter()
-                            .map(|p| new::Put { key: p.key, value: p.value, loan: p.loan })
+                            .map(|p| new::PutRequest {
+                                key: p.key,
+                                value: p.value,
+                                lease_id: p.loan,
+                            })
                             .collect(),
-                        removes,
+                        deletes: removes,
                     },
-                    old::StateOp::Grant { ttl_ms } => new::StateOp::Grant { ttl_ms },
-                    old::StateOp::Extend { loan } => new::StateOp::Extend { loan },
-                    old::StateOp::Revoke { loan } => new::StateOp::Revoke { loan },
+                    old::StateOp::Grant { ttl_ms } => new::StoreRequest::GrantLease { ttl_ms },
+                    old::StateOp::Extend { loan } => {
+                        new::StoreRequest::KeepAlive { lease_id: loan }
+                    }
+                    old::StateOp::Revoke { loan } => {
+                        new::StoreRequest::RevokeLease { lease_id: loan }
+                    }
                     old::StateOp::Watch { prefix, after, wait_ms } => {
-                        new::StateOp::Watch { prefix, after, wait_ms }
+                        new::StoreRequest::Watch { prefix, after, wait_ms }
                     }
                 }
             }
 
-            fn cloud_op(op: old::CloudOp) -> new::CloudOp {
+            fn cloud_request(op: old::CloudOp) -> new::CloudRequest {
                 match op {
-                    old::CloudOp::Types => new::CloudOp::Types,
+                    old::CloudOp::Types => new::CloudRequest::Types,
                     old::CloudOp::Rent { requisition, machine_type, zone, spot, count } => {
-                        new::CloudOp::Rent { requisition, machine_type, zone, spot, count }
+                        new::CloudRequest::Provision {
+                            requisition,
+                            machine_type,
+                            zone,
+                            spot,
+                            count,
+                        }
                     }
-                    old::CloudOp::Release(ids) => new::CloudOp::Release(
+                    old::CloudOp::Release(ids) => new::CloudRequest::Terminate(
                         ids.into_iter().map(|id| new::MachineId(id.0)).collect(),
                     ),
-                    old::CloudOp::List { after } => new::CloudOp::List { after },
+                    old::CloudOp::List { after } => new::CloudRequest::List { after },
                 }
             }
         }
--- a/tests/mixed-versions/tests/versions/mod.rs
+++ b/tests/mixed-versions/tests/versions/mod.rs
@@ -2,7 +2,7 @@
 
 mod convert;
 
-use basaltrail_core::{Effect, Input, Node, Settings};
+use basaltrail_core::{Controller, Effect, Input, Settings};
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 pub enum Process {
     E26460f(Box<core_e26460f::Node>),
     V9b39f4b(Box<core_9b39f4b::Node>),
-    Current(Box<Node>),
+    Current(Box<Controller>),
 }
 
 impl Process {
@@ -52,7 +52,9 @@
                 let settings = convert::v9b39f4b::settings(settings);
                 Process::V9b39f4b(Box::new(core_9b39f4b::Node::new(Arc::new(settings), seed)))
             }
-            Version::Current => Process::Current(Box::new(Node::new(Arc::new(settings), seed))),
+            Version::Current => {
+                Process::Current(Box::new(Controller::new(Arc::new(settings), seed)))
+            }
         }
     }
 
