--- a/crates/basaltrail-core/src/controller/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -1,6 +1,7 @@
 //! What this controller may accept: its allotments, and submissions that wait for the next one.
 
 use super::*;
+use crate::events::AdmissionEvent;
 use basaltrail_admission::{Allotment, Gate, Mode, Outcome, Reason, Refusal, Ticket};
 
 /// The longest that somebody is told to wait, in seconds; PROTOCOL's users follow no more.
@@ -145,7 +146,7 @@
                     // What was written of allotments before is listed only where they bind.
                     self.job_watch.compacted();
                 }
-                self.calls.log(Level::Info, "admission_mode", format!("allotted={allots}"));
+                self.calls.log(AdmissionEvent::Mode { quotas_bind: allots });
             }
         }
         if self.job_watch.is_loaded()
@@ -210,7 +211,7 @@
         if self.admission.unreadable.len() < self.cfg.max_active_jobs()
             && self.admission.unreadable.insert(key.to_string())
         {
-            self.calls.log(Level::Error, "allotment_unreadable", format!("key={key}"));
+            self.calls.log(AdmissionEvent::QuotaUnreadable { key: key.to_string() });
         }
     }
 
@@ -255,9 +256,7 @@
         if refused.is_empty() {
             return;
         }
-        let counts: Vec<String> =
-            refused.iter().map(|(reason, count)| format!("{}={count}", reason.name())).collect();
-        self.calls.log(Level::Info, "submissions_refused", counts.join(" "));
+        self.calls.log(AdmissionEvent::Refused { reasons: refused.into_iter().collect() });
     }
 }
 
--- a/crates/basaltrail-core/src/controller/heartbeats.rs
+++ b/crates/basaltrail-core/src/controller/heartbeats.rs
@@ -1,6 +1,7 @@
 //! Workers' reports: who may answer them, and what is logged of the answers.
 
 use super::*;
+use crate::events::{HeartbeatEvent, HeartbeatSummary, HeartbeatVerdict};
 use crate::lease_renewal::{Knowledge, Refusal};
 use std::collections::BTreeSet;
 
@@ -59,9 +60,8 @@
         let kept = self.knowledge().kept_without_knowledge(heartbeat, answer);
         for task in &kept {
             self.answers.violations += 1;
-            let detail =
-                format!("machine={} job={} task={}", heartbeat.machine, task.job, task.index);
-            self.calls.log(Level::Error, "renewal_violation", detail);
+            let machine = heartbeat.machine.clone();
+            self.calls.log(HeartbeatEvent::RenewalViolation { machine, task: *task });
         }
     }
 
@@ -71,20 +71,19 @@
         }
         let verdict = match decision {
             Ok(Answer::Commands { token, commands }) => {
-                format!("renewed token={} orders={}", token.0, commands.len())
+                HeartbeatVerdict::Renewed { token: *token, commands: commands.len() }
             }
             Ok(_) => return,
-            Err(refusal) => format!("refused why={}", refusal.name()),
+            Err(refusal) => HeartbeatVerdict::Refused(*refusal),
         };
-        let detail = format!(
-            "machine={} session={} seq={} token={} tasks={} {verdict}",
-            heartbeat.machine,
-            heartbeat.agent_epoch,
-            heartbeat.sequence,
-            heartbeat.token.0,
-            heartbeat.tasks.len()
-        );
-        self.calls.log(Level::Debug, "worker_answer", detail);
+        self.calls.log(HeartbeatEvent::Answered {
+            machine: heartbeat.machine.clone(),
+            agent_epoch: heartbeat.agent_epoch,
+            sequence: heartbeat.sequence,
+            token: heartbeat.token,
+            tasks: heartbeat.tasks.len(),
+            verdict,
+        });
     }
 
     /// One line a round about the answers to workers and the knowledge they rested on.
@@ -96,15 +95,14 @@
         if self.answers == AnswerCounters::default() {
             return;
         }
-        let age = self.job_watch.as_of().map_or("none".into(), |t| (self.now - t).to_string());
-        let token = self.election.leader_term().map_or(0, |leader_term| leader_term.token.0);
-        let detail = format!(
-            "token={token} entitled={} jobs_revision={} jobs_age_ms={age} {}",
-            self.election.holds_valid_lease(self.now),
-            self.job_watch.revision().unwrap_or(0),
-            std::mem::take(&mut self.answers).detail()
-        );
-        self.calls.log(Level::Info, "worker_answers", detail);
+        let counters = std::mem::take(&mut self.answers);
+        self.calls.log(HeartbeatEvent::Summary(HeartbeatSummary {
+            token: self.election.leader_term().map_or(FencingToken(0), |term| term.token),
+            holds_valid_lease: self.election.holds_valid_lease(self.now),
+            jobs_revision: self.job_watch.revision().unwrap_or(0),
+            jobs_age_ms: self.job_watch.as_of().map(|as_of| self.now - as_of),
+            counters,
+        }));
     }
 
     /// A line whenever this controller learns of another leader.
@@ -114,13 +112,8 @@
             return;
         }
         let (token, revision) = self.election.seen();
-        let name = leader.map(str::to_string);
-        let detail = format!(
-            "leader={} term={} revision={revision}",
-            name.as_deref().unwrap_or("none"),
-            token.0
-        );
-        self.leader_logged = name;
-        self.calls.log(Level::Info, "leader_seen", detail);
+        let leader = leader.map(str::to_string);
+        self.leader_logged.clone_from(&leader);
+        self.calls.log(LeadershipEvent::LeaderSeen { leader, term: token, revision });
     }
 }
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -4,6 +4,7 @@
     unschedulable_reason, ClientRequest, NewJob, Rejection, RequestKind, RequestQueue,
 };
 use crate::election::Election;
+use crate::events::{JobEvent, LeadershipEvent, ResignReason, StoreEvent};
 use crate::io::*;
 use crate::jobs::watch::{JobWatch, JobWatchCall, WatchKind};
 use crate::jobs::JobCache;
@@ -207,7 +208,8 @@
         {
             // Another controller may still reach them, and their leases run. One that is able takes
             // over within a leader's lease; where none is, nobody leads for no longer.
-            self.calls.log(Level::Info, "resigned", "why=\"workers silent\"".into());
+            let reason = ResignReason::WorkersSilent;
+            self.calls.log(LeadershipEvent::Resigned { reason });
             self.election.resign(self.now, self.cfg.leader_lease_ms() * 2);
         }
         self.read_unknown();
@@ -244,10 +246,10 @@
             return;
         }
         if let Some(r) = self.leader.take() {
-            self.calls.log(Level::Info, "deposed", format!("token={}", r.token.0));
+            self.calls.log(LeadershipEvent::Deposed { token: r.token });
         }
         if let Some(l) = leader_term {
-            self.calls.log(Level::Info, "elected", format!("token={}", l.token.0));
+            self.calls.log(LeadershipEvent::Elected { token: l.token });
             let ctx = Context {
                 cfg: &self.cfg,
                 types: self.types.known(),
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -15,7 +15,7 @@
         if let Some(job) = item.key.strip_prefix(ACTIVE_JOBS_PREFIX).and_then(parse_job) {
             match decode::<JobRecord>(&item.value) {
                 Some(record) => self.job_cache.put_active(job, item.mod_revision, record),
-                None => self.calls.log(Level::Error, "job_unreadable", format!("job={job}")),
+                None => self.calls.log(StoreEvent::JobUnreadable { job }),
             }
         } else if let Some(job) = item.key.strip_prefix(OUTCOMES_PREFIX).and_then(parse_job) {
             if let Some(end) = decode(&item.value) {
@@ -116,7 +116,7 @@
             Purpose::Cancel { job, asks } => match reply {
                 StoreReply::Committed { .. } => {
                     self.job_cache.put_final(job, JobOutcome::Cancelled);
-                    self.calls.log(Level::Info, "job_cancelled", format!("job={job}"));
+                    self.calls.log(JobEvent::Cancelled { job });
                     self.confirmed(job, asks);
                 }
                 StoreReply::Conflict { .. } => self.requests.reads.push((job, asks)),
@@ -139,11 +139,11 @@
                 });
                 if let Some(Some(out)) = out {
                     for job in out.ends {
-                        self.calls.log(Level::Info, "job_done", format!("job={job}"));
+                        self.calls.log(JobEvent::Completed { job });
                         self.job_cache.put_final(job, JobOutcome::Done);
                     }
                     if let Some(keys) = out.rejected {
-                        self.calls.log(Level::Error, "write_rejected", format!("key={keys}"));
+                        self.calls.log(StoreEvent::WriteRejected { keys });
                     }
                     self.requests.reads.extend(out.read.into_iter().map(|j| (j, Vec::new())));
                     if out.deposed {
@@ -194,9 +194,12 @@
                 }
                 self.job_watch.news(revision, sent);
                 if self.verbose && (kind == WatchKind::CatchUp || !events.is_empty()) {
-                    let (news, took) = (events.len(), self.now - sent);
-                    let detail = format!("revision={revision} news={news} {kind:?} took_ms={took}");
-                    self.calls.log(Level::Debug, "jobs_read", detail);
+                    self.calls.log(JobEvent::WatchAnswered {
+                        revision,
+                        events: events.len(),
+                        kind,
+                        took_ms: self.now - sent,
+                    });
                 }
             }
             StoreReply::Compacted => {
@@ -244,9 +247,11 @@
             return self.list_jobs(ListPart::Admission, None, sent);
         }
         self.job_watch.listed(sent);
-        let (active, took) = (self.job_cache.active.len(), self.now - sent);
-        let detail = format!("revision={first} active={active} took_ms={took}");
-        self.calls.log(Level::Info, "jobs_listed", detail);
+        self.calls.log(JobEvent::Listed {
+            revision: first,
+            active: self.job_cache.active.len(),
+            took_ms: self.now - sent,
+        });
     }
 
     /// Entries that we hold in the stretch of keys of one page and that are not listed any more.
@@ -320,8 +325,7 @@
             StoreReply::Refused | StoreReply::Rejected => {
                 for new in batch {
                     if reply == StoreReply::Rejected {
-                        let detail = format!("key={}", active_key(new.job));
-                        self.calls.log(Level::Error, "write_rejected", detail);
+                        self.calls.log(StoreEvent::WriteRejected { keys: active_key(new.job) });
                     }
                     self.admission.settle(&new, Outcome::NotUsed);
                     self.busy(new.asks, 1, "state service refused");
--- a/crates/basaltrail-core/src/io.rs
+++ b/crates/basaltrail-core/src/io.rs
@@ -1,5 +1,6 @@
 //! What goes into the core and what comes out of it.
 
+use crate::events::LogEvent;
 use crate::inspection::LimitsReport;
 use crate::model::*;
 
@@ -162,18 +163,11 @@
     },
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Level {
-    Error,
-    Info,
-    Debug,
-}
-
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Answer { req: RequestId, answer: Answer },
     Store { op: CallId, call: StoreRequest, timeout_ms: u64 },
     Cloud { op: CallId, call: CloudRequest, timeout_ms: u64 },
     Peers { progress: Vec<Progress> },
-    Log { level: Level, event: &'static str, detail: String },
+    Log(LogEvent),
 }
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -43,7 +43,7 @@
             m.first_listed = Some(ctx.now);
             m.known_since = ctx.now.saturating_sub((l.age_s.clamp(0.0, 1e6) * 1000.0) as Ms);
             m.asked_at = asked_at;
-            calls.log(Level::Info, "machine_found", format!("machine={}", l.machine));
+            calls.log(MachineEvent::Discovered { machine: l.machine.clone() });
             self.machines.insert(l.machine.clone(), m);
             self.add_to_registry(ctx, &l.machine);
         }
@@ -70,7 +70,7 @@
             .map(|m| m.id.clone())
             .collect();
         for id in gone {
-            calls.log(Level::Info, "machine_gone", format!("machine={id}"));
+            calls.log(MachineEvent::Gone { machine: id.clone() });
             self.remove_gone(ctx, calls, &id);
         }
     }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -46,37 +46,37 @@
             let taken = m.gone_at.is_some_and(|t| ctx.now > t + 500)
                 && m.last_heartbeat
                     .is_some_and(|t| ctx.now > t.max(woke) + ctx.cfg.heartbeat_interval_ms);
-            let why = if taken {
-                "taken"
+            let reason = if taken {
+                ReleaseReason::Reclaimed
             } else if given_up.contains(&m.id) {
-                "replicas silent"
+                ReleaseReason::ReplicasSilent
             } else if unheard(m) && few(&m.zone) {
-                "unheard"
+                ReleaseReason::SilentSinceFailover
             } else if up && m.decommission != Decommission::No && m.empty() && !m.notice(ctx.now) {
-                "drained"
+                ReleaseReason::Drained
             } else if up && m.empty() && m.faulty(ctx.now, ctx.cfg.lease_ms) {
-                "faulty"
+                ReleaseReason::Quarantined
             } else if up || !m.reconciled {
                 continue;
             } else if failed {
-                "failed"
+                ReleaseReason::Failed
             } else if !seen && silence > ctx.cfg.lease_ms + lag * 4 + 4000 && age > lag * 4 + 4000 {
-                "gone"
+                ReleaseReason::NotListed
             } else if m.last_heartbeat.is_some() && !cut && silence > ctx.cfg.lease_ms * 3 {
-                "silent"
+                ReleaseReason::Silent
             } else if m.late && m.given_up {
-                "never up"
+                ReleaseReason::NeverUp
             } else if m.last_heartbeat.is_none()
                 && !cut
                 && age as f64 > boot_ms * NEVER + 2.0 * ctx.cfg.lease_ms as f64
             {
-                "unheard for long"
+                ReleaseReason::NeverHeard
             } else if silence > ctx.cfg.lease_ms * 12 {
-                "silent for long"
+                ReleaseReason::SilentForLong
             } else {
                 continue;
             };
-            go.push((m.id.clone(), why));
+            go.push((m.id.clone(), reason));
             if go.len() >= RELEASE_MOST {
                 break;
             }
@@ -84,7 +84,7 @@
         if go.is_empty() || !calls.cloud.take(ctx.now, 1.0, CallPriority::Completion) {
             return;
         }
-        for (id, why) in &go {
+        for (id, reason) in &go {
             if let Some(m) = self.machines.get_mut(id) {
                 m.decommission = Decommission::Releasing;
                 let t = ctx.types.iter().find(|t| t.name == m.machine_type);
@@ -92,7 +92,7 @@
                     self.rental.boots.missed(t, &m.zone, ctx.now);
                 }
             }
-            calls.log(Level::Info, "machine_return", format!("machine={id} why={why:?}"));
+            calls.log(MachineEvent::ScaleIn { machine: id.clone(), reason: *reason });
         }
         let go: Vec<MachineId> = go.into_iter().map(|(id, _)| id).collect();
         self.rental.release_in_flight = true;
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -244,10 +244,10 @@
                 let up = m.last_heartbeat.is_some() && m.decommission == Decommission::No && !kept;
                 let idle =
                     up && m.empty() && ctx.now >= *m.idle_since.get_or_insert(ctx.now) + idle_ms;
-                let why = if idle && spare > 0 {
-                    "idle"
+                let reason = if idle && spare > 0 {
+                    DrainReason::Idle
                 } else if up && surplus > 0 {
-                    "dear"
+                    DrainReason::TooExpensive
                 } else {
                     continue;
                 };
@@ -255,7 +255,7 @@
                 surplus = surplus.saturating_sub(1);
                 *have -= 1;
                 m.decommission = Decommission::Draining;
-                calls.log(Level::Info, "machine_drain", format!("machine={} why={why}", m.id));
+                calls.log(MachineEvent::Draining { machine: m.id.clone(), reason });
             }
         }
     }
@@ -290,14 +290,12 @@
         r.in_flight = false;
         match reply {
             CloudReply::Provisioned(ids) => {
-                let detail = format!(
-                    "zone={} spot={} asked={} got={}",
-                    r.kind.zone,
-                    r.kind.spot,
-                    r.count,
-                    ids.len()
-                );
-                calls.log(Level::Info, "rented", detail);
+                calls.log(MachineEvent::ScaleOut {
+                    zone: r.kind.zone.clone(),
+                    spot: r.kind.spot,
+                    requested: r.count,
+                    provisioned: ids.len(),
+                });
                 if ids.len() < r.count as usize {
                     self.rental.refuse(r.kind.clone(), ctx.now + ctx.cfg.lease_ms);
                 }
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -71,7 +71,7 @@
             let m =
                 Machine::new(id, &heartbeat.machine_type, &heartbeat.zone, heartbeat.spot, ctx.now);
             self.machines.insert(heartbeat.machine.clone(), m);
-            calls.log(Level::Info, "machine_adopted", format!("machine={}", heartbeat.machine));
+            calls.log(MachineEvent::Adopted { machine: heartbeat.machine.clone() });
         }
         self.add_to_registry(ctx, &heartbeat.machine);
     }
@@ -110,9 +110,12 @@
     fn note_machine_up(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         self.changed = true;
         let Some(m) = self.machines.get(id) else { return };
-        let age = ctx.now - m.known_since;
-        let detail = format!("machine={} zone={} spot={} age_ms={age}", m.id, m.zone, m.spot);
-        calls.log(Level::Info, "machine_up", detail);
+        calls.log(MachineEvent::Up {
+            machine: m.id.clone(),
+            zone: m.zone.clone(),
+            spot: m.spot,
+            age_ms: ctx.now - m.known_since,
+        });
         let machine_type = ctx.types.iter().find(|t| t.name == m.machine_type);
         if let (Some(at), Some(machine_type)) = (m.asked_at, machine_type) {
             self.rental.boots.came(machine_type, &m.zone, ctx.now, ctx.now - at);
@@ -124,7 +127,7 @@
         let Some(m) = self.machines.get_mut(id) else { return };
         if m.notice(ctx.now) && m.decommission == Decommission::No {
             m.decommission = Decommission::Draining;
-            calls.log(Level::Info, "machine_notice", format!("machine={id}"));
+            calls.log(MachineEvent::ReclaimNotice { machine: id.clone() });
             self.drain(ctx.now, id);
         }
     }
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -20,7 +20,7 @@
         ctx: &Context,
         machine: &MachineId,
         change: TaskChange,
-    ) -> Option<String> {
+    ) -> Option<JobEvent> {
         let now = ctx.now;
         match change {
             TaskChange::Gone { task, attempt } => {
@@ -98,15 +98,11 @@
                             m.health.count_failure(task.job, now);
                         }
                         // A line for each task of an array would be thousands.
-                        return first.then(|| {
-                            format!(
-                                "job={} task={} machine={} suspect={} ran_ms={}",
-                                task.job,
-                                task.index,
-                                machine,
-                                j.health.suspect(),
-                                ran_ms.unwrap_or(0)
-                            )
+                        return first.then(|| JobEvent::TaskFailed {
+                            task,
+                            machine: machine.clone(),
+                            crash_looping: j.health.suspect(),
+                            ran_ms: ran_ms.unwrap_or(0),
                         });
                     }
                     ExitReason::NoRoom => m.no_room_until = now + 2000,
@@ -132,8 +128,8 @@
         changes: Vec<TaskChange>,
     ) {
         for c in changes {
-            if let Some(detail) = self.change(ctx, machine, c) {
-                calls.log(Level::Info, "task_failed", detail);
+            if let Some(event) = self.change(ctx, machine, c) {
+                calls.log(event);
             }
         }
     }
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -81,7 +81,7 @@
                         .and_then(|p| p.parse::<usize>().ok());
                     let entries: Option<Vec<MachineRecord>> = decode(&i.value);
                     let (Some(part), Some(entries)) = (part.filter(|p| *p < 1000), entries) else {
-                        calls.log(Level::Error, "roster_unreadable", format!("key={}", i.key));
+                        calls.log(StoreEvent::RegistryUnreadable { key: i.key.clone() });
                         continue;
                     };
                     if self.registry.len() <= part {
@@ -141,16 +141,11 @@
                     self.unknown.insert(job);
                     self.loaded_done.insert(job, parts);
                 }
-                calls.log(
-                    Level::Info,
-                    "leading",
-                    format!(
-                        "token={} machines={} jobs={}",
-                        self.token.0,
-                        self.machines.len(),
-                        self.jobs.len()
-                    ),
-                );
+                calls.log(LeadershipEvent::Leading {
+                    token: self.token,
+                    machines: self.machines.len(),
+                    jobs: self.jobs.len(),
+                });
             }
             _ => self.load_not_before = ctx.now + ctx.cfg.leader_lease_ms() / 20,
         }
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -1,6 +1,10 @@
 //! What a leader keeps while it leads: machines, tasks, the ledger, and what of
 //! it must be written.
 
+use crate::events::{
+    DrainReason, JobEvent, LeadershipEvent, MachineEvent, ReleaseReason, RoundSummary, StoreEvent,
+    TeamSummary,
+};
 use crate::fairness::Ledger;
 use crate::io::*;
 use crate::jobs::{JobCache, RunJob};
@@ -407,8 +411,11 @@
             let was_up = m.last_heartbeat.is_some();
             let changes = m.expire_lease();
             if was_up || had > 0 {
-                let detail = format!("machine={id} zone={} tasks={had}", m.zone);
-                calls.log(Level::Info, "machine_lapsed", detail);
+                calls.log(MachineEvent::LeaseExpired {
+                    machine: id.clone(),
+                    zone: m.zone.clone(),
+                    tasks: had,
+                });
             }
             self.changed = true;
             self.apply(ctx, calls, id, changes);
@@ -443,20 +450,22 @@
             teams[j.team].1 += j.pending() as f64 * j.spec.cpus;
         }
         let waiting: f64 = teams.iter().map(|(_, w)| w).sum();
-        let by_team: Vec<String> = teams
-            .iter()
-            .zip(&ctx.cfg.teams)
-            .map(|((has, waits), t)| format!("{}:{has}+{waits}", t.name))
-            .collect();
-        calls.log(
-            Level::Debug,
-            "round",
-            format!(
-                "ordinary={} spot={} down={} sent={} fetching={} running={} saving={} waiting={waiting} \
-                 teams={}",
-                count[0], count[1], count[2], cpus[0], cpus[1], cpus[2], cpus[3], by_team.join(",")
-            ),
-        );
+        let by_team = teams.iter().zip(&ctx.cfg.teams).map(|((used, waiting), team)| TeamSummary {
+            team: team.name.clone(),
+            used_cpus: *used,
+            waiting_cpus: *waiting,
+        });
+        calls.log(LeadershipEvent::Round(RoundSummary {
+            on_demand: count[0],
+            spot: count[1],
+            down: count[2],
+            assigned_cpus: cpus[0],
+            fetching_cpus: cpus[1],
+            running_cpus: cpus[2],
+            saving_cpus: cpus[3],
+            waiting_cpus: waiting,
+            teams: by_team.collect(),
+        }));
     }
 
     /// Ended jobs whose tasks are all gone need no account any more.
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -1,9 +1,10 @@
 //! What the leader lets each controller accept: the loads of the teams, and the writes of allotments.
 
 use super::*;
+use crate::events::{AdmissionEvent, ClassQuota};
 use crate::settings::Settings;
 use basaltrail_admission::{
-    Allotment, ClassLoad, Grant, Planner, Room as Admitted, TeamLoad, Written,
+    Allotment, ClassLoad, ClassRoom, Grant, Planner, Room as Admitted, TeamLoad, Written,
 };
 
 /// How much of the rate at which a team was served before counts in each round.
@@ -119,12 +120,16 @@
         let grants = self.allotting.planner.plan(&ctx.job_cache.admission, &bounds, &teams);
         for grant in &grants {
             let Allotment { team, controller, classes, .. } = &grant.allotment;
-            let rooms: Vec<String> = classes
-                .iter()
-                .map(|class| format!("{}:{}/{:.0}", class.class, class.jobs, class.work))
-                .collect();
-            let detail = format!("team={team} to={controller} classes={}", rooms.join(","));
-            calls.log(Level::Info, "allotted", detail);
+            let quota = |class: &ClassRoom| ClassQuota {
+                class: class.class.clone(),
+                jobs: class.jobs,
+                work: class.work,
+            };
+            calls.log(AdmissionEvent::QuotaPlanned {
+                team: team.clone(),
+                controller: controller.clone(),
+                classes: classes.iter().map(quota).collect(),
+            });
         }
         self.allotting.due = grants.into();
     }
--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -175,7 +175,7 @@
             }
         }
         if stopped > 0 {
-            calls.log(Level::Debug, "preempted", format!("tasks={stopped}"));
+            calls.log(JobEvent::TasksPreempted { tasks: stopped });
         }
     }
 }
--- a/crates/basaltrail-core/src/lease_renewal.rs
+++ b/crates/basaltrail-core/src/lease_renewal.rs
@@ -246,18 +246,6 @@
     pub fn count_refusal(&mut self, refusal: Refusal) {
         *self.refused.entry(refusal).or_default() += 1;
     }
-
-    /// All counts as `name=count`; refusals that did not occur are left out.
-    pub fn detail(&self) -> String {
-        let mut text = format!(
-            "renewed={} starts={} stops={} forgets={} violations={}",
-            self.renewed, self.starts, self.stops, self.forgets, self.violations
-        );
-        for (refusal, count) in &self.refused {
-            text.push_str(&format!(" refused_{}={count}", refusal.name()));
-        }
-        text
-    }
 }
 
 #[cfg(test)]
--- a/crates/basaltrail-core/src/lease_renewal_tests.rs
+++ b/crates/basaltrail-core/src/lease_renewal_tests.rs
@@ -137,6 +137,13 @@
     let mut counters = AnswerCounters::default();
     counters.count_orders(&[stop(CANCELLED, 0)]);
     counters.count_refusal(Refusal::JobUnknown);
-    let detail = "renewed=1 starts=0 stops=1 forgets=0 violations=0 refused_job_unknown=1";
-    assert_eq!(counters.detail(), detail);
+    let expected = AnswerCounters {
+        renewed: 1,
+        starts: 0,
+        stops: 1,
+        forgets: 0,
+        refused: BTreeMap::from([(Refusal::JobUnknown, 1)]),
+        violations: 0,
+    };
+    assert_eq!(counters, expected);
 }
--- a/crates/basaltrail-core/src/lib.rs
+++ b/crates/basaltrail-core/src/lib.rs
@@ -2,6 +2,7 @@
 
 pub mod controller;
 pub mod election;
+pub mod events;
 pub mod fairness;
 pub mod health;
 pub mod inspection;
@@ -16,6 +17,7 @@
 
 pub use basaltrail_admission as admission;
 pub use controller::Controller;
+pub use events::LogEvent;
 pub use io::*;
 pub use model::*;
 pub use settings::{AdmissionPolicy, Objective, Policy, Settings, Team};
--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -2,6 +2,7 @@
 
 use crate::controller::request_queue::{ClientRequest, Confirming, NewJob};
 use crate::election::Call;
+use crate::events::LogEvent;
 use crate::io::*;
 use crate::jobs::watch::WatchKind;
 use crate::leader::PendingWrite;
@@ -128,7 +129,7 @@
         self.out.push(Effect::Answer { req, answer });
     }
 
-    pub fn log(&mut self, level: Level, event: &'static str, detail: String) {
-        self.out.push(Effect::Log { level, event, detail });
+    pub fn log(&mut self, event: impl Into<LogEvent>) {
+        self.out.push(Effect::Log(event.into()));
     }
 }
--- a/crates/basaltrail-core/tests/scale.rs
+++ b/crates/basaltrail-core/tests/scale.rs
@@ -2,6 +2,7 @@
 //! at, allocations, calls of each service, bytes of each transaction. It begins with no
 //! machine, rents all of them, and is started anew with all of them up.
 
+use basaltrail_core::events::HeartbeatEvent;
 use basaltrail_core::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -141,7 +142,11 @@
                 Effect::Answer { req, answer } => self.commands(req, answer),
                 Effect::Store { op, call, .. } => self.state(op, call),
                 Effect::Cloud { op, call, .. } => self.cloud(op, call),
-                Effect::Log { event: "renewal_violation", detail, .. } => panic!("{detail}"),
+                Effect::Log(LogEvent::Heartbeat(
+                    violation @ HeartbeatEvent::RenewalViolation { .. },
+                )) => {
+                    panic!("{violation:?}")
+                }
                 _ => {}
             }
         }
--- a/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
@@ -1,6 +1,7 @@
 //! Controllers, and what the state service and the cloud answer them.
 
 use super::*;
+use basaltrail_core::events::HeartbeatEvent;
 
 /// Whether a call keeps limits on the bytes of a value and the changes of a transaction.
 fn within(call: &StoreRequest, (value, ops): (usize, usize)) -> bool {
@@ -79,12 +80,15 @@
                     self.send(at, i, epoch, Msg::Cloud(op, call));
                 }
                 Effect::Peers { progress } => self.tell_peers(i, goes, &progress),
-                Effect::Log { event: "renewal_violation", detail, .. } => {
+                Effect::Log(LogEvent::Heartbeat(HeartbeatEvent::RenewalViolation {
+                    machine,
+                    task,
+                })) => {
                     self.rule(format!(
-                        "node {i}: an answer without the knowledge it takes: {detail}"
+                        "node {i}: an answer without the knowledge it takes: {machine} {task:?}"
                     ));
                 }
-                Effect::Log { .. } => {}
+                Effect::Log(_) => {}
             }
         }
     }
--- a/crates/basaltrail-core/tests/traces.rs
+++ b/crates/basaltrail-core/tests/traces.rs
@@ -1,6 +1,7 @@
 //! Kept traces: text files that tell what goes into one controller and what must
 //! come out. `tests/traces/README` says how they are written.
 
+use basaltrail_core::events::HeartbeatEvent;
 use basaltrail_core::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -248,7 +249,9 @@
                         let line = self.tell(&answer);
                         self.out.push(line);
                     }
-                    Effect::Log { event: "renewal_violation", detail, .. } => panic!("{detail}"),
+                    Effect::Log(LogEvent::Heartbeat(
+                        violation @ HeartbeatEvent::RenewalViolation { .. },
+                    )) => panic!("{violation:?}"),
                     _ => {}
                 }
             }
--- a/crates/basaltrail/src/driver.rs
+++ b/crates/basaltrail/src/driver.rs
@@ -56,7 +56,7 @@
     }
     let http = Http::new(settings.core.memory_mb);
     let seed = settings.core.incarnation;
-    let node = settings.core.controller.clone();
+    let controller = settings.core.controller.clone();
     let mut core = Controller::new(Arc::new(settings.core), seed);
     core.set_verbose(logging::is_debug());
     let mut driver = Driver {
@@ -70,7 +70,7 @@
         frame,
         ready,
     };
-    logging::event(Level::Info, "started", &format!("node={node} listen={}", settings.listen));
+    tracing::info!(event = %"started", controller = %controller, listen = %settings.listen);
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -125,7 +125,7 @@
             Effect::Peers { progress } => {
                 self.frame.send_replace(frames::write(&progress));
             }
-            Effect::Log { level, event, detail } => logging::event(level, event, &detail),
+            Effect::Log(event) => logging::write(&event),
         }
     }
 }
--- /dev/null
+++ b/crates/basaltrail/src/logging_tests.rs
@@ -0,0 +1,50 @@
+//! The form of a log line.
+
+use super::*;
+use basaltrail_core::events::ReleaseReason;
+use basaltrail_core::{JobId, MachineId, TaskId};
+use std::io::{self, Write};
+use std::sync::{Arc, Mutex};
+
+/// Where the lines of a test go.
+#[derive(Clone, Default)]
+struct Lines(Arc<Mutex<Vec<u8>>>);
+
+impl Write for Lines {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        self.0.lock().expect("no writer panics").extend_from_slice(bytes);
+        Ok(bytes.len())
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+fn written(events: &[LogEvent]) -> String {
+    let lines = Lines::default();
+    let writer = lines.clone();
+    let subscriber = tracing_subscriber::registry().with(layer(move || writer.clone()));
+    tracing::subscriber::with_default(subscriber, || events.iter().for_each(write));
+    let bytes = lines.0.lock().expect("no writer panics").clone();
+    String::from_utf8(bytes).expect("lines are text")
+}
+
+#[test]
+fn an_event_is_one_line_that_begins_with_its_name() {
+    let machine = MachineId("m-000001".into());
+    let task = TaskId { job: JobId(7), index: 3 };
+    let events = [
+        HeartbeatEvent::RenewalViolation { machine: machine.clone(), task }.into(),
+        MachineEvent::ScaleIn { machine: machine.clone(), reason: ReleaseReason::NeverUp }.into(),
+        JobEvent::TaskFailed { task, machine, crash_looping: true, ran_ms: 20 }.into(),
+        LeadershipEvent::LeaderSeen { leader: None, term: Default::default(), revision: 4 }.into(),
+    ];
+    let expected = "\
+ERROR event=renewal_violation machine=m-000001 job=000007 task=3
+ INFO event=scale_in machine=m-000001 reason=never_up
+ INFO event=task_failed job=000007 task=3 machine=m-000001 crash_looping=true ran_ms=20
+ INFO event=leader_seen leader=none term=0 revision=4
+";
+    assert_eq!(written(&events), expected);
+}
--- a/tests/mixed-versions/tests/versions/convert.rs
+++ b/tests/mixed-versions/tests/versions/convert.rs
@@ -205,8 +205,8 @@
                 }
             }
 
-            pub fn effect(effect: old::Effect) -> new::Effect {
-                match effect {
+            pub fn effect(effect: old::Effect) -> Option<new::Effect> {
+                Some(match effect {
                     old::Effect::Answer { req, answer: a } => {
                         new::Effect::Answer { req: new::RequestId(req.0), answer: answer(a) }
                     }
@@ -230,16 +230,9 @@
                             })
                             .collect(),
                     },
-                    old::Effect::Log { level, event, detail } => new::Effect::Log {
-                        level: match level {
-                            old::Level::Error => new::Level::Error,
-                            old::Level::Info => new::Level::Info,
-                            old::Level::Debug => new::Level::Debug,
-                        },
-                        event,
-                        detail,
-                    },
-                }
+                    // Neither logs an event that a check reads.
+                    old::Effect::Log { .. } => return None,
+                })
             }
 
             fn answer(answer: old::Answer) -> new::Answer {
--- a/tests/mixed-versions/tests/versions/mod.rs
+++ b/tests/mixed-versions/tests/versions/mod.rs
@@ -62,11 +62,11 @@
         match self {
             Process::E26460f(node) => {
                 let effects = node.step(now, wall, convert::e26460f::input(input));
-                effects.into_iter().map(convert::e26460f::effect).collect()
+                effects.into_iter().filter_map(convert::e26460f::effect).collect()
             }
             Process::V9b39f4b(node) => {
                 let effects = node.step(now, wall, convert::v9b39f4b::input(input));
-                effects.into_iter().map(convert::v9b39f4b::effect).collect()
+                effects.into_iter().filter_map(convert::v9b39f4b::effect).collect()
             }
             Process::Current(node) => node.step(now, wall, input),
         }
