--- a/crates/basaltrail-core/src/lib.rs
+++ b/crates/basaltrail-core/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod lease_renewal;
 pub mod machines;
 pub mod model;
+pub mod resources;
 pub mod settings;
 pub mod store;
 
@@ -20,5 +21,6 @@
 pub use events::LogEvent;
 pub use io::*;
 pub use model::*;
+pub use resources::Resources;
 pub use settings::{AdmissionPolicy, Objective, Policy, Settings, Team};
 pub use store::records;
