--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -125,7 +125,7 @@
 
     /// Machines and tasks that the present leadership has looked at in its passes.
     pub fn visited(&self) -> u64 {
-        self.leader.as_ref().map_or(0, |r| r.visited)
+        self.leader.as_ref().map_or(0, |r| r.scheduler.visited)
     }
 
     pub fn step(&mut self, now: Ms, wall: WallMs, input: Input) -> Vec<Effect> {
@@ -203,7 +203,8 @@
             });
         }
         self.with_leader(|leader, ctx, calls, rng| leader.tick(ctx, calls, rng));
-        if self.with_leader(|leader, ctx, _, _| ctx.holds_valid_lease && leader.lost_workers)
+        if self
+            .with_leader(|leader, ctx, _, _| ctx.holds_valid_lease && leader.liveness.lost_workers)
             == Some(true)
         {
             // Another controller may still reach them, and their leases run. One that is able takes
@@ -357,12 +358,12 @@
 
     fn read_unknown(&mut self) {
         let Some(r) = self.leader.as_mut() else { return };
-        if r.unknown.is_empty() || self.requests.reads.len() > 16 {
+        if r.failover.unknown.is_empty() || self.requests.reads.len() > 16 {
             return;
         }
         // Each is asked for once a second at the most, by taking it off the list here;
         // workers' next reports put it back while it stays unknown.
-        while let Some(job) = r.unknown.pop_first() {
+        while let Some(job) = r.failover.unknown.pop_first() {
             self.requests.reads.push((job, Vec::new()));
             if self.requests.reads.len() > 16 {
                 break;
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -175,7 +175,7 @@
         if asks.is_empty() {
             if let Some(r) = self.leader.as_mut() {
                 // Read again while it is not known; see `read_unknown`.
-                r.unknown.insert(job);
+                r.failover.unknown.insert(job);
             }
         }
         self.busy(asks, 1, "no check possible");
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -1,33 +1,34 @@
 //! What the cloud's list says of machines.
 
 use crate::leader::*;
+use std::collections::HashSet;
 
 impl Leader {
     pub fn list_answer(&mut self, ctx: &Context, calls: &mut Calls, reply: CloudReply) {
-        self.rental.list_in_flight = false;
+        self.autoscaler.rental.list_in_flight = false;
         let CloudReply::Listed { machines, more } = reply else {
-            self.rental.next_list = ctx.now + ctx.cfg.lease_ms / 10;
-            self.rental.listing = None;
+            self.autoscaler.rental.next_list = ctx.now + ctx.cfg.lease_ms / 10;
+            self.autoscaler.rental.listing = None;
             return;
         };
-        let mut all = self.rental.listing.take().unwrap_or_default();
+        let mut all = self.autoscaler.rental.listing.take().unwrap_or_default();
         all.extend(machines);
         if more && all.len() < 20_000 {
-            self.rental.listing = Some(all);
-            self.rental.next_list = ctx.now;
+            self.autoscaler.rental.listing = Some(all);
+            self.autoscaler.rental.next_list = ctx.now;
             return;
         }
-        self.rental.next_list = ctx.now + (ctx.cfg.list_lag_ms / 2).max(1000);
+        self.autoscaler.rental.next_list = ctx.now + (ctx.cfg.list_lag_ms / 2).max(1000);
         if !more {
             self.remove_unlisted(ctx, calls, &all);
         }
         for l in all {
-            if self.returned.contains(&l.machine) {
+            if self.autoscaler.returned.contains(&l.machine) {
                 continue;
             }
             let asked_at = ctx.now.saturating_sub((l.age_s.clamp(0.0, 1e6) * 1000.0) as Ms);
             let asked_at = (l.state == ListedState::Booting).then_some(asked_at);
-            if let Some(m) = self.machines.get_mut(&l.machine) {
+            if let Some(m) = self.cluster.machines.get_mut(&l.machine) {
                 m.asked_at = m.asked_at.or(asked_at);
                 m.listed = Some((l.state, ctx.now));
                 m.first_listed.get_or_insert(ctx.now);
@@ -44,7 +45,7 @@
             m.known_since = ctx.now.saturating_sub((l.age_s.clamp(0.0, 1e6) * 1000.0) as Ms);
             m.asked_at = asked_at;
             calls.log(MachineEvent::Discovered { machine: l.machine.clone() });
-            self.machines.insert(l.machine.clone(), m);
+            self.cluster.machines.insert(l.machine.clone(), m);
             self.add_to_registry(ctx, &l.machine);
         }
     }
@@ -60,9 +61,12 @@
         let oldest = ctx.cfg.list_lag_ms * 5 / 2 + 1000;
         let listed: HashSet<&MachineId> = all.iter().map(|l| &l.machine).collect();
         let gone: Vec<MachineId> = self
+            .cluster
             .machines
             .values()
-            .filter(|m| m.first_listed.is_some_and(|t| self.rental.list_sent > t + oldest))
+            .filter(|m| {
+                m.first_listed.is_some_and(|t| self.autoscaler.rental.list_sent > t + oldest)
+            })
             .filter(|m| {
                 m.last_heartbeat.is_none_or(|t| ctx.now > t + ctx.cfg.heartbeat_interval_ms)
             })
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -7,14 +7,15 @@
     /// Gives back what is drained, failed or lost.
     pub(in crate::leader) fn returns(&mut self, ctx: &Context, calls: &mut Calls) {
         let ready = ctx.holds_valid_lease && !ctx.types.is_empty();
-        let busy = self.rental.release_in_flight || ctx.now < self.rental.release_not_before;
+        let busy = self.autoscaler.rental.release_in_flight
+            || ctx.now < self.autoscaler.rental.release_not_before;
         if !ready || busy {
             return;
         }
         let boot_ms = ctx.types.iter().map(|t| t.boot_s).fold(1.0, f64::max) * 1000.0;
         let lag = ctx.cfg.list_lag_ms;
         self.note_cuts(ctx);
-        let woke = self.woke;
+        let woke = self.liveness.woke;
         // After a takeover older work waits for a word of every machine that may hold some.
         // Those few that are silent when the others have spoken are most likely dead, and
         // the answer to their release makes sure of it sooner than their lease does. Many
@@ -23,7 +24,7 @@
             !m.reconciled && m.answers_without_token == 0 && m.last_heartbeat.is_none()
         };
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             let zone = zones.entry(&m.zone).or_default();
             zone.0 += 1;
             zone.1 += unheard(m) as usize;
@@ -32,7 +33,7 @@
         let late = ctx.now > self.since.max(woke) + ctx.cfg.lease_ms / 2;
         let few = |zone: &str| late && zones.get(zone).is_some_and(|(n, s)| s * UNHEARD_FEW <= *n);
         let mut go = Vec::new();
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             let age = ctx.now - m.known_since;
             let seen = m.listed.is_some_and(|(_, at)| ctx.now <= at + lag * 4 + 4000);
             let failed = matches!(m.listed, Some((ListedState::Failed, _)));
@@ -41,7 +42,7 @@
             let up = m.last_heartbeat.is_some()
                 && !m.lease_expired
                 && (silence <= ctx.cfg.lease_ms * 3 || !m.empty());
-            let cut = self.cut_until.contains_key(&m.zone);
+            let cut = self.autoscaler.cut_until.contains_key(&m.zone);
             // Its time is over by its own word; the answer makes sure that it is gone.
             let taken = m.gone_at.is_some_and(|t| ctx.now > t + 500)
                 && m.last_heartbeat
@@ -85,17 +86,17 @@
             return;
         }
         for (id, reason) in &go {
-            if let Some(m) = self.machines.get_mut(id) {
+            if let Some(m) = self.cluster.machines.get_mut(id) {
                 m.decommission = Decommission::Releasing;
                 let t = ctx.types.iter().find(|t| t.name == m.machine_type);
                 if let Some(t) = t.filter(|_| m.given_up && m.last_heartbeat.is_none()) {
-                    self.rental.boots.missed(t, &m.zone, ctx.now);
+                    self.autoscaler.rental.boots.missed(t, &m.zone, ctx.now);
                 }
             }
             calls.log(MachineEvent::ScaleIn { machine: id.clone(), reason: *reason });
         }
         let go: Vec<MachineId> = go.into_iter().map(|(id, _)| id).collect();
-        self.rental.release_in_flight = true;
+        self.autoscaler.rental.release_in_flight = true;
         let purpose = Purpose::Release { token: self.token, machines: go.clone() };
         calls.cloud(purpose, CloudRequest::Terminate(go), ctx.cfg.lease_ms / 2);
     }
@@ -104,7 +105,7 @@
     /// spoken yet: that leader may have ended within a cut.
     pub(in crate::leader) fn unheard(&self, zone: &str) -> bool {
         let (mut all, mut silent) = (0, 0);
-        for m in self.machines.values().filter(|m| m.expected && m.zone == zone) {
+        for m in self.cluster.machines.values().filter(|m| m.expected && m.zone == zone) {
             all += 1;
             silent += m.last_heartbeat.is_none() as usize;
         }
@@ -115,17 +116,17 @@
     /// count as such for a while after, since their machines come back one by one.
     pub(in crate::leader) fn note_cuts(&mut self, ctx: &Context) {
         let mut count: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.last_heartbeat.is_some()) {
+        for m in self.cluster.machines.values().filter(|m| m.last_heartbeat.is_some()) {
             let c = count.entry(&m.zone).or_default();
             c.0 += 1;
             c.1 += m.lease_expired as usize;
         }
         for (zone, (n, lease_expired)) in count {
             if n > 2 && lease_expired * 2 > n {
-                self.cut_until.insert(zone.to_string(), ctx.now + ctx.cfg.lease_ms);
+                self.autoscaler.cut_until.insert(zone.to_string(), ctx.now + ctx.cfg.lease_ms);
             }
         }
-        self.cut_until.retain(|_, until| *until > ctx.now);
+        self.autoscaler.cut_until.retain(|_, until| *until > ctx.now);
     }
 
     /// Whether this controller seems to have lost the workers: most of those that reported to
@@ -133,9 +134,9 @@
     pub(in crate::leader) fn find_lost(&self, ctx: &Context) -> bool {
         let silent_after = ctx.cfg.lease_ms * 2 / 5;
         let (mut all, mut silent, mut near, mut near_silent) = (0, 0, 0, 0);
-        for m in self.machines.values().filter(|m| m.decommission == Decommission::No) {
+        for m in self.cluster.machines.values().filter(|m| m.decommission == Decommission::No) {
             let Some(at) = m.last_heartbeat else { continue };
-            let is_silent = (ctx.now > at.max(self.woke) + silent_after) as usize;
+            let is_silent = (ctx.now > at.max(self.liveness.woke) + silent_after) as usize;
             all += 1;
             silent += is_silent;
             if m.zone == ctx.cfg.zone {
@@ -149,13 +150,13 @@
     /// Leaves word of the zone with the most machines.
     pub(in crate::leader) fn note_preferred_zone(&mut self) {
         let mut count: BTreeMap<&str, usize> = BTreeMap::new();
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             *count.entry(&m.zone).or_default() += 1;
         }
         let primary_zone = count.into_iter().max_by_key(|(_, n)| *n).map(|(z, _)| z.to_string());
-        if primary_zone.is_some() && primary_zone != self.primary_zone {
-            self.primary_zone = primary_zone;
-            self.preferred_zone_due = true;
+        if primary_zone.is_some() && primary_zone != self.autoscaler.primary_zone {
+            self.autoscaler.primary_zone = primary_zone;
+            self.writer.preferred_zone_due = true;
         }
     }
 
@@ -166,14 +167,14 @@
         machines: Vec<MachineId>,
         reply: CloudReply,
     ) {
-        self.rental.release_in_flight = false;
+        self.autoscaler.rental.release_in_flight = false;
         if reply == CloudReply::Terminated {
             for id in machines {
                 self.remove_gone(ctx, calls, &id);
             }
         } else {
             // They stay marked: a release that was given up may still be carried out.
-            self.rental.release_not_before = ctx.now + ctx.cfg.lease_ms / 10;
+            self.autoscaler.rental.release_not_before = ctx.now + ctx.cfg.lease_ms / 10;
         }
     }
 }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in_tests.rs
@@ -23,12 +23,12 @@
         m.expected = true;
         // Zone a has spoken, but for one; of zone b one was rented since.
         m.last_heartbeat = (i < 3).then_some(400);
-        leader.machines.insert(id, m);
+        leader.cluster.machines.insert(id, m);
     }
     let new = MachineId("m-9".into());
-    leader.machines.insert(new.clone(), Machine::new(new, "x", "b", false, 400));
+    leader.cluster.machines.insert(new.clone(), Machine::new(new, "x", "b", false, 400));
     assert!(!leader.unheard("a") && leader.unheard("b"));
-    for m in leader.machines.values_mut().filter(|m| m.zone == "b").take(2) {
+    for m in leader.cluster.machines.values_mut().filter(|m| m.zone == "b").take(2) {
         m.last_heartbeat = Some(500);
     }
     assert!(!leader.unheard("b"), "half of its machines have spoken");
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -11,7 +11,7 @@
         let mut left: Vec<f64> = ctx.cfg.teams.iter().map(|t| t.cpus_max).collect();
         // Services are counted apart, see `standing`.
         let ends = |j: &&RunJob| j.ended.is_none() && !j.spec.is_service();
-        for j in self.jobs.values().filter(ends) {
+        for j in self.cluster.jobs.values().filter(ends) {
             let price = |t: &MachineType| t.price / t.holds(&j.spec) as f64;
             let fit = ctx.types.iter().enumerate();
             let fit = fit.filter(|(_, t)| t.allowed(&j.spec) && t.holds(&j.spec) > 0);
@@ -43,7 +43,7 @@
         };
         let mut most = 0;
         let waits = |j: &&RunJob| j.pending() > 0 && !j.spec.is_service();
-        for j in self.jobs.values().filter(waits).filter(|j| wishes(&j.spec)) {
+        for j in self.cluster.jobs.values().filter(waits).filter(|j| wishes(&j.spec)) {
             if !fits_kind(&j.spec, t, &kind.zone, kind.spot) {
                 continue;
             }
@@ -66,24 +66,29 @@
             return;
         }
         let timeout = ctx.cfg.lease_ms / 2;
-        if !self.rental.list_in_flight
-            && ctx.now >= self.rental.next_list
+        if !self.autoscaler.rental.list_in_flight
+            && ctx.now >= self.autoscaler.rental.next_list
             && calls.cloud.take(ctx.now, 1.0, CallPriority::Rest)
         {
-            let after =
-                self.rental.listing.as_ref().and_then(|l| l.last()).map(|m| m.machine.to_string());
+            let after = self
+                .autoscaler
+                .rental
+                .listing
+                .as_ref()
+                .and_then(|l| l.last())
+                .map(|m| m.machine.to_string());
             if after.is_none() {
-                self.rental.list_sent = ctx.now;
+                self.autoscaler.rental.list_sent = ctx.now;
             }
-            self.rental.list_in_flight = true;
+            self.autoscaler.rental.list_in_flight = true;
             calls.cloud(Purpose::List { token: self.token }, CloudRequest::List { after }, timeout);
         }
-        if ctx.now >= self.rental.next_plan {
-            self.rental.next_plan = ctx.now + ctx.cfg.heartbeat_interval_ms / 2;
+        if ctx.now >= self.autoscaler.rental.next_plan {
+            self.autoscaler.rental.next_plan = ctx.now + ctx.cfg.heartbeat_interval_ms / 2;
             self.plan(ctx, calls);
         }
         let due = |r: &&mut ProvisioningRequest| !r.in_flight && ctx.now >= r.not_before;
-        for r in self.rental.pending.iter_mut().filter(due) {
+        for r in self.autoscaler.rental.pending.iter_mut().filter(due) {
             if !calls.cloud.take(ctx.now, 1.0, CallPriority::Request) {
                 break;
             }
@@ -120,13 +125,15 @@
         let mut wants: Vec<Want> = Vec::new();
         // What is held ready follows the work of late, so that nothing idles at the end.
         let demand = self.demand(ctx);
-        let fade = (ctx.now - self.peak_at) as f64 / (ctx.cfg.policy.idle_s * 3000.0).max(1.0);
-        self.peak_at = ctx.now;
-        self.peak = (self.peak.min(limits) * (-fade).exp()).max(demand[cheap].machines);
+        let fade =
+            (ctx.now - self.autoscaler.peak_at) as f64 / (ctx.cfg.policy.idle_s * 3000.0).max(1.0);
+        self.autoscaler.peak_at = ctx.now;
+        self.autoscaler.peak =
+            (self.autoscaler.peak.min(limits) * (-fade).exp()).max(demand[cheap].machines);
         for (i, (d, t)) in demand.iter().zip(ctx.types).enumerate() {
             let cpus = t.cpus.max(1e-9);
             let ready = if i == cheap { guaranteed * ctx.cfg.policy.headroom / cpus } else { 0.0 };
-            let ready = ready.min(self.peak);
+            let ready = ready.min(self.autoscaler.peak);
             let target = d.machines.max(ready).min(limits / cpus).ceil() as usize;
             for spot in [false, true] {
                 let ratio = (per_cpu(t, spot) / cheapest).max(1.0);
@@ -140,6 +147,7 @@
         }
         self.note_late(ctx);
         let live: Vec<&Machine> = self
+            .cluster
             .machines
             .values()
             .filter(|m| m.decommission == Decommission::No && !m.late && !m.notice(ctx.now))
@@ -153,7 +161,7 @@
             *fleet.entry(MachineKind { machine_type, zone, spot: m.spot }).or_default() += 1;
         }
         let count = |name: &str| have.get(name).copied().unwrap_or(0);
-        let kinds = self.rental.kinds(ctx.types, |_| 0);
+        let kinds = self.autoscaler.rental.kinds(ctx.types, |_| 0);
         let standing: BTreeMap<MachineKind, usize> =
             kinds.iter().map(|k| (k.clone(), self.standing(ctx, k))).collect();
         let standing = |k: &MachineKind| standing.get(k).copied().unwrap_or(0);
@@ -165,39 +173,43 @@
                 (k, lacking)
             })
             .collect();
-        while self.rental.pending.len() < RENTALS_MOST {
-            let coming = |k: &MachineKind| self.rental.asked(|o| o == k);
+        while self.autoscaler.rental.pending.len() < RENTALS_MOST {
+            let coming = |k: &MachineKind| self.autoscaler.rental.asked(|o| o == k);
             let all = |k: &MachineKind| fleet.get(k).copied().unwrap_or(0) + coming(k);
-            let kinds = self.rental.kinds(ctx.types, all);
+            let kinds = self.autoscaler.rental.kinds(ctx.types, all);
             let short = |k: &MachineKind| {
                 let want = wants.iter().find(|w| w.name == k.machine_type && w.spot == k.spot);
                 let most = want.map_or(0, |w| w.most);
-                let asked = self.rental.asked(|o| o.machine_type == k.machine_type);
+                let asked = self.autoscaler.rental.asked(|o| o.machine_type == k.machine_type);
                 let lacking = lacking.get(k).map_or(0, |n| n.saturating_sub(coming(k)));
                 most.saturating_sub(count(&k.machine_type) + asked).max(lacking)
             };
             // What is rented beyond a cut cannot be reached.
-            let reached = |zone: &str| !self.cut_until.contains_key(zone) && !self.unheard(zone);
-            let mut open =
-                kinds.into_iter().filter(|k| self.rental.open(k, ctx.now) && reached(&k.zone));
+            let reached =
+                |zone: &str| !self.autoscaler.cut_until.contains_key(zone) && !self.unheard(zone);
+            let mut open = kinds
+                .into_iter()
+                .filter(|k| self.autoscaler.rental.open(k, ctx.now) && reached(&k.zone));
             let boots = |k: &MachineKind| {
-                let asked =
-                    self.rental.asked(|o| (&o.machine_type, &o.zone) == (&k.machine_type, &k.zone));
+                let asked = self
+                    .autoscaler
+                    .rental
+                    .asked(|o| (&o.machine_type, &o.zone) == (&k.machine_type, &k.zone));
                 let t = ctx.types.iter().find(|t| t.name == k.machine_type);
-                t.map_or(0, |t| self.rental.boots.room(t, &k.zone, asked, ctx.now))
+                t.map_or(0, |t| self.autoscaler.rental.boots.room(t, &k.zone, asked, ctx.now))
             };
             // A team without a limit may have work for more machines than can report here.
-            let taken = self.machines.len() + self.rental.asked(|_| true);
+            let taken = self.cluster.machines.len() + self.autoscaler.rental.asked(|_| true);
             let left = ctx.cfg.max_machines.saturating_sub(taken);
             let Some((n, kind)) = open.find_map(|k| {
                 Some((short(&k).min(boots(&k)).min(left), k)).filter(|(n, _)| *n > 0)
             }) else {
                 break;
             };
-            self.rental.counter += 1;
-            self.rental.pending.push(ProvisioningRequest {
+            self.autoscaler.rental.counter += 1;
+            self.autoscaler.rental.pending.push(ProvisioningRequest {
                 // Never used again: the token is this leadership's alone.
-                requisition: format!("r-{}-{}", self.token.0, self.rental.counter),
+                requisition: format!("r-{}-{}", self.token.0, self.autoscaler.rental.counter),
                 kind,
                 count: n.min(RENT_MOST) as u32,
                 tries: 0,
@@ -216,9 +228,9 @@
         // Work comes in waves: only what was too much for longer than a machine takes
         // to find work for its boot goes back.
         let since = match wants.iter().any(|w| dear(w) > 0) {
-            true => *self.surplus_since.get_or_insert(ctx.now),
+            true => *self.autoscaler.surplus_since.get_or_insert(ctx.now),
             false => {
-                self.surplus_since = None;
+                self.autoscaler.surplus_since = None;
                 ctx.now
             }
         };
@@ -233,7 +245,7 @@
             let mut spare = count(&w.name).saturating_sub(w.target);
             let idle_ms = (ctx.cfg.policy.idle_s * 1000.0 / w.ratio) as Ms;
             let ours = |m: &&mut Machine| m.machine_type == w.name && m.spot == w.spot;
-            for m in self.machines.values_mut().filter(ours) {
+            for m in self.cluster.machines.values_mut().filter(ours) {
                 if !m.empty() || m.last_heartbeat.is_none() {
                     m.idle_since = None;
                 }
@@ -262,9 +274,9 @@
 
     /// Marks the machines on their way that are not counted on any more.
     fn note_late(&mut self, ctx: &Context) {
-        let boots = &self.rental.boots;
+        let boots = &self.autoscaler.rental.boots;
         let mut on_way = Vec::new();
-        for m in self.machines.values_mut() {
+        for m in self.cluster.machines.values_mut() {
             let asked_at = m.asked_at.filter(|_| m.last_heartbeat.is_none() && m.empty());
             let t = ctx.types.iter().find(|t| t.name == m.machine_type);
             m.late = false;
@@ -274,7 +286,10 @@
                 on_way.push((t, m.zone.clone(), m.late));
             }
         }
-        self.rental.boots.count(on_way.iter().map(|(t, z, late)| (*t, z.as_str(), *late)));
+        self.autoscaler
+            .rental
+            .boots
+            .count(on_way.iter().map(|(t, z, late)| (*t, z.as_str(), *late)));
     }
 
     pub fn rent_answer(
@@ -284,7 +299,7 @@
         requisition: &str,
         reply: CloudReply,
     ) {
-        let pending = &mut self.rental.pending;
+        let pending = &mut self.autoscaler.rental.pending;
         let Some(i) = pending.iter().position(|r| r.requisition == requisition) else { return };
         let mut r = pending.remove(i);
         r.in_flight = false;
@@ -297,22 +312,24 @@
                     provisioned: ids.len(),
                 });
                 if ids.len() < r.count as usize {
-                    self.rental.refuse(r.kind.clone(), ctx.now + ctx.cfg.lease_ms);
+                    self.autoscaler.rental.refuse(r.kind.clone(), ctx.now + ctx.cfg.lease_ms);
                 }
                 for id in ids {
-                    if self.machines.contains_key(&id) || self.returned.contains(&id) {
+                    if self.cluster.machines.contains_key(&id)
+                        || self.autoscaler.returned.contains(&id)
+                    {
                         continue;
                     }
                     let k = &r.kind;
                     let mut m = Machine::new(id.clone(), &k.machine_type, &k.zone, k.spot, ctx.now);
                     m.ours = true;
                     m.asked_at = Some(ctx.now);
-                    self.machines.insert(id.clone(), m);
+                    self.cluster.machines.insert(id.clone(), m);
                     self.add_to_registry(ctx, &id);
                 }
             }
             CloudReply::NoCapacity => {
-                self.rental.refuse(r.kind, ctx.now + ctx.cfg.lease_ms);
+                self.autoscaler.rental.refuse(r.kind, ctx.now + ctx.cfg.lease_ms);
             }
             _ => {
                 // The outcome is unknown: the same name is asked again, so that what
@@ -320,13 +337,13 @@
                 r.tries += 1;
                 r.not_before = ctx.now + ctx.cfg.lease_ms / 10;
                 if r.tries < 30 {
-                    self.rental.pending.push(r);
+                    self.autoscaler.rental.pending.push(r);
                 }
                 return;
             }
         }
         // What is still wanted is asked for at once.
-        self.rental.next_plan = ctx.now;
+        self.autoscaler.rental.next_plan = ctx.now;
     }
 }
 
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out_tests.rs
@@ -30,7 +30,7 @@
     let narrow = Settings { teams: vec![narrow], ..cfg.clone() };
     let limited = Context { cfg: &narrow, ..ctx };
     assert_eq!(leader.lacking(&limited, &[], &kind), 2);
-    let job = leader.jobs.get_mut(&JobId(1)).unwrap();
+    let job = leader.cluster.jobs.get_mut(&JobId(1)).unwrap();
     for m in ["m-1", "m-2"] {
         job.health.failed(&MachineId(m.into()), 500, cfg.lease_ms);
     }
@@ -59,7 +59,7 @@
     };
     let mut leader = Leader::new(&ctx, FencingToken(2), 1);
     leader.plan(&ctx, &mut Calls::default());
-    assert_eq!(leader.rental.asked(|_| true), 70);
+    assert_eq!(leader.autoscaler.rental.asked(|_| true), 70);
 }
 
 /// A machine that never came stood for room for as long as four boots and two leases,
@@ -84,18 +84,18 @@
     let calls = &mut Calls::default();
     let mut leader = Leader::new(&ctx, FencingToken(2), 1);
     leader.plan(&ctx, calls);
-    assert_eq!(leader.rental.asked(|_| true), 5);
-    let zone = leader.rental.pending[0].kind.zone.clone();
-    let name = leader.rental.pending[0].requisition.clone();
+    assert_eq!(leader.autoscaler.rental.asked(|_| true), 5);
+    let zone = leader.autoscaler.rental.pending[0].kind.zone.clone();
+    let name = leader.autoscaler.rental.pending[0].requisition.clone();
     let ids = (0..5).map(|i| MachineId(format!("m-{i}").into())).collect();
     leader.rent_answer(&ctx, calls, &name, CloudReply::Provisioned(ids));
     leader.plan(&Context { now: 45_000, ..ctx }, calls);
-    assert_eq!(leader.rental.asked(|_| true), 0, "they may still come");
+    assert_eq!(leader.autoscaler.rental.asked(|_| true), 0, "they may still come");
     leader.plan(&Context { now: 51_000, ..ctx }, calls);
-    assert_eq!(leader.rental.asked(|_| true), 5);
-    let there = leader.rental.asked(|k| k.zone == zone);
+    assert_eq!(leader.autoscaler.rental.asked(|_| true), 5);
+    let there = leader.autoscaler.rental.asked(|k| k.zone == zone);
     assert!(there <= 2, "{there} more where none came");
     // Nobody is rented a third time, and those that never came go back.
     leader.plan(&Context { now: 81_000, ..ctx }, calls);
-    assert!(leader.machines.values().all(|m| m.given_up));
+    assert!(leader.cluster.machines.values().all(|m| m.given_up));
 }
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -27,17 +27,17 @@
         if !self.loaded() {
             return self.answer_while_loading(ctx, heartbeat, permit?);
         }
-        if self.returned.contains(&heartbeat.machine) {
+        if self.autoscaler.returned.contains(&heartbeat.machine) {
             return Err(Refusal::MachineReturned);
         }
-        let ours = self.machines.get(&heartbeat.machine).is_some_and(|m| m.ours);
+        let ours = self.cluster.machines.get(&heartbeat.machine).is_some_and(|m| m.ours);
         if heartbeat.token < self.token && !ours {
             return self.answer_without_token(ctx, &heartbeat.machine, permit?);
         }
         self.adopt_machine(ctx, calls, heartbeat);
         self.take_report(ctx, calls, heartbeat)?;
         let permit = permit?;
-        if self.changed && ctx.job_cache_is_fresh {
+        if self.scheduler.changed && ctx.job_cache_is_fresh {
             self.place(ctx, calls, rng);
         }
         self.fill(ctx, &heartbeat.machine, rng);
@@ -54,7 +54,7 @@
         machine: &MachineId,
         permit: Permit,
     ) -> Result<Answer, Refusal> {
-        if let Some(m) = self.machines.get_mut(machine) {
+        if let Some(m) = self.cluster.machines.get_mut(machine) {
             if !m.answer_without_token(ctx.now) {
                 return Err(Refusal::NoReportWithToken);
             }
@@ -66,11 +66,11 @@
     /// that an earlier leader asked for. Nothing starts there before it is on the machine registry, and
     /// nothing can have been.
     fn adopt_machine(&mut self, ctx: &Context, calls: &mut Calls, heartbeat: &Heartbeat) {
-        if !self.machines.contains_key(&heartbeat.machine) {
+        if !self.cluster.machines.contains_key(&heartbeat.machine) {
             let id = heartbeat.machine.clone();
             let m =
                 Machine::new(id, &heartbeat.machine_type, &heartbeat.zone, heartbeat.spot, ctx.now);
-            self.machines.insert(heartbeat.machine.clone(), m);
+            self.cluster.machines.insert(heartbeat.machine.clone(), m);
             calls.log(MachineEvent::Adopted { machine: heartbeat.machine.clone() });
         }
         self.add_to_registry(ctx, &heartbeat.machine);
@@ -84,7 +84,7 @@
         heartbeat: &Heartbeat,
     ) -> Result<(), Refusal> {
         let id = &heartbeat.machine;
-        let Some(m) = self.machines.get_mut(id).filter(|m| m.is_newer(heartbeat)) else {
+        let Some(m) = self.cluster.machines.get_mut(id).filter(|m| m.is_newer(heartbeat)) else {
             return Err(Refusal::LateReport);
         };
         let first = m.last_heartbeat.is_none();
@@ -99,17 +99,17 @@
         self.note_images(ctx, id);
         // A machine that was not reconciled for, or late, has become one to place on, and
         // its room may be what a waiting job lacks.
-        let m = &self.machines[id];
+        let m = &self.cluster.machines[id];
         let room = Self::type_index(ctx.types, &m.machine_type)
             .is_some_and(|i| m.used().0 < ctx.types[i].cpus);
-        self.changed |= !usable || (room && self.short_of_room);
+        self.scheduler.changed |= !usable || (room && self.scheduler.short_of_room);
         Ok(())
     }
 
     /// The first report of a machine that this leadership takes.
     fn note_machine_up(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
-        self.changed = true;
-        let Some(m) = self.machines.get(id) else { return };
+        self.scheduler.changed = true;
+        let Some(m) = self.cluster.machines.get(id) else { return };
         calls.log(MachineEvent::Up {
             machine: m.id.clone(),
             zone: m.zone.clone(),
@@ -118,13 +118,13 @@
         });
         let machine_type = ctx.types.iter().find(|t| t.name == m.machine_type);
         if let (Some(at), Some(machine_type)) = (m.asked_at, machine_type) {
-            self.rental.boots.came(machine_type, &m.zone, ctx.now, ctx.now - at);
+            self.autoscaler.rental.boots.came(machine_type, &m.zone, ctx.now, ctx.now - at);
         }
     }
 
     /// A machine that the cloud is about to take back is emptied.
     fn note_notice(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
-        let Some(m) = self.machines.get_mut(id) else { return };
+        let Some(m) = self.cluster.machines.get_mut(id) else { return };
         if m.notice(ctx.now) && m.decommission == Decommission::No {
             m.decommission = Decommission::Draining;
             calls.log(MachineEvent::ReclaimNotice { machine: id.clone() });
@@ -135,7 +135,7 @@
     /// What the machine is to do, in at most so many orders.
     fn commands(&mut self, ctx: &Context, machine: &MachineId, most: usize) -> Vec<TaskCommand> {
         let mut commands = Vec::new();
-        let Some(m) = self.machines.get_mut(machine) else { return commands };
+        let Some(m) = self.cluster.machines.get_mut(machine) else { return commands };
         let repeat = ctx.cfg.heartbeat_interval_ms * 3;
         for ((task, attempt), e) in m.entries.iter_mut() {
             if commands.len() >= most {
@@ -144,7 +144,7 @@
             let (task, attempt) = (*task, *attempt);
             match e.place {
                 TaskPhase::Told(TaskState::Exited(why)) => {
-                    let durable = match self.jobs.get(&task.job) {
+                    let durable = match self.cluster.jobs.get(&task.job) {
                         Some(j) => {
                             // That a replica is done is nowhere kept.
                             j.ended.is_some()
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -4,7 +4,7 @@
 
 impl Leader {
     pub(in crate::leader) fn need(&self, job: JobId) -> Option<Need> {
-        let j = self.jobs.get(&job)?;
+        let j = self.cluster.jobs.get(&job)?;
         Some(Need {
             team: j.team,
             cpus: j.spec.cpus,
@@ -24,20 +24,20 @@
         let now = ctx.now;
         match change {
             TaskChange::Gone { task, attempt } => {
-                if let Some(j) = self.jobs.get_mut(&task.job) {
+                if let Some(j) = self.cluster.jobs.get_mut(&task.job) {
                     if j.free(task.index, machine, attempt) {
-                        self.changed = true;
+                        self.scheduler.changed = true;
                     }
                 }
                 None
             }
             TaskChange::Here { task, attempt } => {
-                self.pass = None;
+                self.scheduler.pass = None;
                 let need = self.need(task.job);
-                let m = self.machines.get_mut(machine)?;
+                let m = self.cluster.machines.get_mut(machine)?;
                 let e = m.entries.get_mut(&(task, attempt))?;
                 e.need = need;
-                let Some(j) = self.jobs.get_mut(&task.job) else {
+                let Some(j) = self.cluster.jobs.get_mut(&task.job) else {
                     match ctx.job_cache.ended(task.job) {
                         Some(_) => e.stop = Some(0.0),
                         None => self.read_job(ctx, task.job),
@@ -57,14 +57,14 @@
                 None
             }
             TaskChange::Exited { task, attempt, why, ran_ms } => {
-                self.changed = true;
+                self.scheduler.changed = true;
                 let stands = self.service_stands(ctx, task);
                 let need = self.need(task.job);
-                let m = self.machines.get_mut(machine)?;
+                let m = self.cluster.machines.get_mut(machine)?;
                 if let Some(e) = m.entries.get_mut(&(task, attempt)) {
                     e.need = need;
                 }
-                let Some(j) = self.jobs.get_mut(&task.job) else {
+                let Some(j) = self.cluster.jobs.get_mut(&task.job) else {
                     self.read_job(ctx, task.job);
                     return None;
                 };
@@ -73,10 +73,10 @@
                 let lasted = ran_ms.is_some_and(|ran| ran >= ctx.cfg.lease_ms);
                 if why == ExitReason::Done && !service {
                     if j.mark_done(task.index) {
-                        self.unwritten.insert(task.job);
+                        self.writer.unwritten.insert(task.job);
                     }
                     if j.complete() {
-                        self.complete.insert(task.job);
+                        self.writer.complete.insert(task.job);
                     }
                     failed_before = j.health.ended_well(machine);
                     m.health.ended_well();
@@ -111,7 +111,7 @@
                 }
                 // It was not the job.
                 for other in failed_before.iter().filter(|o| *o != machine) {
-                    if let Some(m) = self.machines.get_mut(other) {
+                    if let Some(m) = self.cluster.machines.get_mut(other) {
                         m.health.count_failure(task.job, now);
                     }
                 }
@@ -135,12 +135,12 @@
     }
 
     pub(in crate::leader) fn note_images(&mut self, ctx: &Context, machine: &MachineId) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.cluster.machines.get_mut(machine) else { return };
         let cache = ctx.types.iter().find(|t| t.name == m.machine_type).map_or(0.0, |t| t.cache_gb);
         let running: BTreeSet<JobId> =
             m.entries.iter().filter(|(_, e)| e.holds()).map(|((t, _), _)| t.job).collect();
         for job in running {
-            if let Some(j) = self.jobs.get(&job) {
+            if let Some(j) = self.cluster.jobs.get(&job) {
                 m.used_image(&j.spec.image, j.spec.image_gb, cache);
             }
         }
@@ -149,13 +149,13 @@
     /// Tasks that can save leave a machine that is about to go, and so do those that
     /// cannot be done by then: what they did is lost, and elsewhere they begin sooner.
     pub(in crate::leader) fn drain(&mut self, now: Ms, machine: &MachineId) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.cluster.machines.get_mut(machine) else { return };
         let left_s = m.gone_at.map_or(0.0, |t| t.saturating_sub(now) as f64 / 1000.0);
         for ((task, _), e) in m.entries.iter_mut().filter(|(_, e)| e.stop.is_none()) {
             let Some(need) = e.need else { continue };
             let ran_s = e.running_since.map_or(0.0, |t| (now - t) as f64 / 1000.0);
-            let run_s = self.jobs.get(&task.job).map_or(0.0, |j| j.spec.estimate_s);
-            if self.jobs.get(&task.job).is_some_and(|j| j.spec.is_service()) {
+            let run_s = self.cluster.jobs.get(&task.job).map_or(0.0, |j| j.spec.estimate_s);
+            if self.cluster.jobs.get(&task.job).is_some_and(|j| j.spec.is_service()) {
                 // It runs until it is lost: moved now, it is away for a moment.
                 e.stop = Some(0.0);
                 continue;
@@ -171,7 +171,7 @@
 
     /// Takes back what was assigned and never sent.
     pub(in crate::leader) fn withdraw(&mut self, machine: &MachineId) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.cluster.machines.get_mut(machine) else { return };
         let unsent: Vec<(TaskId, Attempt)> = m
             .entries
             .iter()
@@ -180,10 +180,10 @@
             .collect();
         for (task, attempt) in unsent {
             m.entries.remove(&(task, attempt));
-            if let Some(j) = self.jobs.get_mut(&task.job) {
+            if let Some(j) = self.cluster.jobs.get_mut(&task.job) {
                 j.free(task.index, machine, attempt);
             }
-            self.changed = true;
+            self.scheduler.changed = true;
         }
     }
 }
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -27,11 +27,11 @@
         heartbeat: &Heartbeat,
         permit: Permit,
     ) -> Result<Answer, Refusal> {
-        let known = self.early_answers.contains_key(&heartbeat.machine);
-        if !known && self.early_answers.len() >= ctx.cfg.max_machines {
+        let known = self.failover.early_answers.contains_key(&heartbeat.machine);
+        if !known && self.failover.early_answers.len() >= ctx.cfg.max_machines {
             return Err(Refusal::Loading);
         }
-        let answers = self.early_answers.entry(heartbeat.machine.clone()).or_default();
+        let answers = self.failover.early_answers.entry(heartbeat.machine.clone()).or_default();
         if heartbeat.token < self.token {
             if answers.without_token >= ANSWERS_WITHOUT_TOKEN {
                 return Err(Refusal::NoReportWithToken);
@@ -44,37 +44,38 @@
 
     /// Counts what was answered to a machine of the machine registry before the machine registry was read.
     fn count_early_answers(&self, machine: &mut Machine) {
-        if let Some(answers) = self.early_answers.get(&machine.id) {
+        if let Some(answers) = self.failover.early_answers.get(&machine.id) {
             machine.renewed = machine.renewed.max(answers.renewed);
             machine.answers_without_token = answers.without_token;
         }
     }
 
     pub fn load(&mut self, ctx: &Context, calls: &mut Calls) {
-        if self.load_in_flight || self.loaded() || ctx.now < self.load_not_before {
+        if self.failover.load_in_flight || self.loaded() || ctx.now < self.failover.load_not_before
+        {
             return;
         }
         if !calls.pay(ctx.now, CallPriority::Lease) {
             return;
         }
-        self.load_in_flight = true;
+        self.failover.load_in_flight = true;
         let list =
             |prefix: &str, after| StoreRequest::List { prefix: prefix.into(), after, limit: 500 };
-        let call = match self.loading {
-            Loading::Roster => list(MACHINE_REGISTRY_PREFIX, self.load_after.clone()),
-            Loading::Done => list(COMPLETIONS_PREFIX, self.load_after.clone()),
+        let call = match self.failover.loading {
+            Loading::Registry => list(MACHINE_REGISTRY_PREFIX, self.failover.load_after.clone()),
+            Loading::Completions => list(COMPLETIONS_PREFIX, self.failover.load_after.clone()),
             _ => StoreRequest::Get(LEDGER_KEY.into()),
         };
         calls.state(Purpose::Load { token: self.token }, call, ctx.cfg.leader_lease_ms() / 4);
     }
 
     pub fn load_answer(&mut self, ctx: &Context, calls: &mut Calls, reply: StoreReply) {
-        self.load_in_flight = false;
-        match (self.loading, reply) {
-            (Loading::Roster, StoreReply::Page { items, more, .. }) => {
-                self.load_after = items.last().filter(|_| more).map(|i| i.key.clone());
+        self.failover.load_in_flight = false;
+        match (self.failover.loading, reply) {
+            (Loading::Registry, StoreReply::Page { items, more, .. }) => {
+                self.failover.load_after = items.last().filter(|_| more).map(|i| i.key.clone());
                 for i in items {
-                    self.mod_revisions.insert(i.key.clone(), i.mod_revision);
+                    self.writer.mod_revisions.insert(i.key.clone(), i.mod_revision);
                     let part = i
                         .key
                         .strip_prefix(MACHINE_REGISTRY_PREFIX)
@@ -84,9 +85,9 @@
                         calls.log(StoreEvent::RegistryUnreadable { key: i.key.clone() });
                         continue;
                     };
-                    if self.registry.len() <= part {
-                        self.registry.resize(part + 1, Vec::new());
-                        self.registry_bytes.resize(part + 1, 0);
+                    if self.registry.parts.len() <= part {
+                        self.registry.parts.resize(part + 1, Vec::new());
+                        self.registry.bytes.resize(part + 1, 0);
                     }
                     for e in &entries {
                         let mut m =
@@ -99,62 +100,62 @@
                         m.part = Some(part);
                         m.renewed = self.since;
                         self.count_early_answers(&mut m);
-                        self.machines.insert(e.id.clone(), m);
+                        self.cluster.machines.insert(e.id.clone(), m);
                     }
-                    self.registry_bytes[part] = i.value.len();
-                    self.registry[part] = entries;
+                    self.registry.bytes[part] = i.value.len();
+                    self.registry.parts[part] = entries;
                 }
                 if !more {
                     self.repair_registry(ctx);
-                    self.loading = Loading::Done;
+                    self.failover.loading = Loading::Completions;
                 }
             }
-            (Loading::Done, StoreReply::Page { items, more, .. }) => {
-                self.load_after = items.last().filter(|_| more).map(|i| i.key.clone());
+            (Loading::Completions, StoreReply::Page { items, more, .. }) => {
+                self.failover.load_after = items.last().filter(|_| more).map(|i| i.key.clone());
                 for i in items {
-                    self.mod_revisions.insert(i.key.clone(), i.mod_revision);
+                    self.writer.mod_revisions.insert(i.key.clone(), i.mod_revision);
                     let text: Option<String> = decode(&i.value);
                     if let (Some((job, part)), Some(text)) = (parse_done_key(&i.key), text) {
-                        self.loaded_done.entry(job).or_default().push((part, text));
+                        self.failover.loaded_done.entry(job).or_default().push((part, text));
                     }
                 }
                 if !more {
-                    self.loading = Loading::Ledger;
+                    self.failover.loading = Loading::Ledger;
                 }
             }
             (Loading::Ledger, reply @ (StoreReply::KeyValue(_) | StoreReply::NotFound)) => {
                 if let StoreReply::KeyValue(i) = reply {
-                    self.mod_revisions.insert(i.key.clone(), i.mod_revision);
+                    self.writer.mod_revisions.insert(i.key.clone(), i.mod_revision);
                     let record: Option<LedgerRecord> = decode(&i.value);
                     self.ledger = Ledger::new(ctx.cfg, record.as_ref(), ctx.now);
                     let told = record.map(|r| r.suspects).unwrap_or_default();
-                    self.inherited.extend(told.into_iter().take(SUSPECTS_TOLD));
+                    self.failover.inherited.extend(told.into_iter().take(SUSPECTS_TOLD));
                 }
-                self.loading = Loading::Complete;
-                self.early_answers.clear();
-                let ids: Vec<JobId> = self.jobs.keys().copied().collect();
+                self.failover.loading = Loading::Complete;
+                self.failover.early_answers.clear();
+                let ids: Vec<JobId> = self.cluster.jobs.keys().copied().collect();
                 for job in ids {
                     self.apply_loaded(job);
                 }
-                for (job, parts) in std::mem::take(&mut self.loaded_done) {
+                for (job, parts) in std::mem::take(&mut self.failover.loaded_done) {
                     // Left by a job that has ended.
-                    self.unknown.insert(job);
-                    self.loaded_done.insert(job, parts);
+                    self.failover.unknown.insert(job);
+                    self.failover.loaded_done.insert(job, parts);
                 }
                 calls.log(LeadershipEvent::Leading {
                     token: self.token,
-                    machines: self.machines.len(),
-                    jobs: self.jobs.len(),
+                    machines: self.cluster.machines.len(),
+                    jobs: self.cluster.jobs.len(),
                 });
             }
-            _ => self.load_not_before = ctx.now + ctx.cfg.leader_lease_ms() / 20,
+            _ => self.failover.load_not_before = ctx.now + ctx.cfg.leader_lease_ms() / 20,
         }
     }
 
     fn apply_loaded(&mut self, job: JobId) {
-        let suspect = self.inherited.contains(&job);
-        let Some(j) = self.jobs.get_mut(&job) else { return };
-        for (part, text) in self.loaded_done.remove(&job).unwrap_or_default() {
+        let suspect = self.failover.inherited.contains(&job);
+        let Some(j) = self.cluster.jobs.get_mut(&job) else { return };
+        for (part, text) in self.failover.loaded_done.remove(&job).unwrap_or_default() {
             if j.spec.is_service() {
                 break; // it is never done, whatever stands there
             }
@@ -164,44 +165,44 @@
         }
         j.health.inherit(suspect, j.done.count() > 0);
         if j.complete() {
-            self.complete.insert(job);
+            self.writer.complete.insert(job);
         }
     }
 
     /// Takes over what the table now says of a job.
     pub fn sync_job(&mut self, ctx: &Context, job: JobId) {
-        self.unknown.remove(&job);
+        self.failover.unknown.remove(&job);
         if let Some(a) = ctx.job_cache.active.get(&job) {
             let Some(team) = ctx.cfg.team(&a.spec.team) else { return };
-            if let Some(j) = self.jobs.get_mut(&job) {
+            if let Some(j) = self.cluster.jobs.get_mut(&job) {
                 j.mod_revision = a.mod_revision;
             } else {
-                self.jobs.insert(job, RunJob::new(job, team, a));
+                self.cluster.jobs.insert(job, RunJob::new(job, team, a));
                 self.note_shape(ctx, &a.spec);
                 if self.loaded() {
                     self.apply_loaded(job);
                 }
                 self.adopt(ctx, job);
             }
-            self.changed = true;
+            self.scheduler.changed = true;
         } else if let Some(end) = ctx.job_cache.ended(job) {
-            if let Some(j) = self.jobs.get_mut(&job) {
+            if let Some(j) = self.cluster.jobs.get_mut(&job) {
                 j.ended = Some(end);
-                self.changed = true;
+                self.scheduler.changed = true;
             }
-            if let Some(parts) = self.loaded_done.remove(&job) {
-                self.cleanup.extend(parts.into_iter().map(|(p, _)| (job, p)));
+            if let Some(parts) = self.failover.loaded_done.remove(&job) {
+                self.writer.cleanup.extend(parts.into_iter().map(|(p, _)| (job, p)));
             }
             self.stop_job(job);
-        } else if self.jobs.get(&job).is_some_and(|j| j.ended.is_none()) {
-            self.unknown.insert(job);
+        } else if self.cluster.jobs.get(&job).is_some_and(|j| j.ended.is_none()) {
+            self.failover.unknown.insert(job);
         }
     }
 
     /// Tasks that machines told of before the job was known.
     fn adopt(&mut self, ctx: &Context, job: JobId) {
         let mut found = Vec::new();
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             for ((task, attempt), e) in &m.entries {
                 if task.job == job && e.need.is_none() {
                     let change = match e.place {
@@ -220,7 +221,7 @@
     }
 
     fn stop_job(&mut self, job: JobId) {
-        for m in self.machines.values_mut() {
+        for m in self.cluster.machines.values_mut() {
             // What was never sent is simply not sent.
             m.entries
                 .retain(|(t, _), e| t.job != job || !matches!(e.place, TaskPhase::Assigned { .. }));
--- a/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
@@ -24,7 +24,7 @@
     };
     let led = |value: &str| {
         let mut leader = Leader::new(&ctx, FencingToken(2), 1);
-        leader.loading = Loading::Ledger;
+        leader.failover.loading = Loading::Ledger;
         let item = KeyValue {
             key: LEDGER_KEY.into(),
             value: value.into(),
@@ -32,8 +32,8 @@
             lease_id: None,
         };
         leader.load_answer(&ctx, &mut Calls::default(), StoreReply::KeyValue(item));
-        assert!(leader.loaded() && !leader.jobs.contains_key(&JobId(2)));
-        leader.jobs[&JobId(1)].health.room(0)
+        assert!(leader.loaded() && !leader.cluster.jobs.contains_key(&JobId(2)));
+        leader.cluster.jobs[&JobId(1)].health.room(0)
     };
     let record = LedgerRecord {
         teams: vec![("gone".into(), 5.0, 7.0)],
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -8,7 +8,7 @@
 use crate::fairness::Ledger;
 use crate::io::*;
 use crate::jobs::{JobCache, RunJob};
-use crate::leader::autoscaler::provisioning::{MachineKind, Provisioning, ProvisioningRequest};
+use crate::leader::autoscaler::provisioning::{MachineKind, ProvisioningRequest};
 use crate::leader::scheduler::bin_packing::{choose, Room, Spread, Wish};
 use crate::leader::scheduler::deadline_feasibility::{in_reach, Candidate};
 use crate::machines::*;
@@ -17,12 +17,21 @@
 use crate::store::calls::{Calls, Purpose};
 use crate::store::rate_limiter::CallPriority;
 use crate::store::records::*;
+use autoscaler::Autoscaler;
+use cluster::Cluster;
+use failover::{Failover, Loading};
+use liveness::WorkerLiveness;
+use persistence::machine_registry::MachineRegistry;
+use persistence::Writer;
 use rand::rngs::SmallRng;
+use scheduler::Scheduler;
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 pub mod autoscaler;
+mod cluster;
 mod failover;
+mod liveness;
 mod persistence;
 mod quota_allocation;
 pub mod scheduler;
@@ -40,14 +49,6 @@
     pub job_cache_is_fresh: bool,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Loading {
-    Roster,
-    Done,
-    Ledger,
-    Complete,
-}
-
 /// A leader's transaction on its way.
 #[derive(Default)]
 pub struct PendingWrite {
@@ -133,194 +134,59 @@
 const UNREAD_PER_MB: f64 = 40.0;
 /// Nor more names in one release.
 const RELEASE_MOST: usize = 100;
-/// Machines returned lately, per megabyte; their late reports are not taken for new machines.
-const RETURNED_PER_MB: f64 = 40.0;
 /// Bytes of one transaction, of the 64 KiB that the state service takes.
 const TXN_BYTES: usize = 56 * 1024;
 /// Workers' leases for which a write rests that the state service rejected.
 const PARKED_LEASES: Ms = 6;
 
-/// Names of returned machines that are kept: a whole fleet may go back and late copies of its
-/// reports follow.
-fn most_returned(settings: &Settings) -> usize {
-    settings.max_machines.max((settings.memory_mb * RETURNED_PER_MB) as usize)
-}
-
-/// The names seen last, up to a bound.
-struct Recent {
-    order: VecDeque<MachineId>,
-    names: HashSet<MachineId>,
-    most: usize,
-}
-
-impl Recent {
-    fn new(most: usize) -> Self {
-        Recent { order: VecDeque::new(), names: HashSet::new(), most: most.max(64) }
-    }
-
-    fn contains(&self, id: &MachineId) -> bool {
-        self.names.contains(id)
-    }
-
-    fn add(&mut self, id: &MachineId) {
-        if self.names.insert(id.clone()) {
-            self.order.push_back(id.clone());
-        }
-        if self.order.len() > self.most {
-            if let Some(old) = self.order.pop_front() {
-                self.names.remove(&old);
-            }
-        }
-    }
-}
-
+/// What a controller keeps while it leads. Each part owns its state; this type wires them.
 pub struct Leader {
+    /// The fencing token that it leads with.
     pub token: FencingToken,
+    /// The mod revision of its record under the leader key.
     pub mod_revision: u64,
+    /// When it was elected.
     pub since: Ms,
-    loading: Loading,
-    load_in_flight: bool,
-    load_after: Option<String>,
-    load_not_before: Ms,
-    /// Until the machine registry is read: what was answered to which machine.
-    early_answers: HashMap<MachineId, failover::recovery::EarlyAnswers>,
-    pub machines: BTreeMap<MachineId, Machine>,
-    pub jobs: BTreeMap<JobId, RunJob>,
-    loaded_done: BTreeMap<JobId, Vec<(u32, String)>>,
-    /// Jobs that an earlier leader found to fail everywhere.
-    inherited: BTreeSet<JobId>,
+    /// Machines and jobs.
+    pub cluster: Cluster,
+    /// What is recovered from the previous leader.
+    pub failover: Failover,
+    /// The durable list of machines that may hold tasks.
+    registry: MachineRegistry,
+    /// What has to be written, and the transaction in flight.
+    writer: Writer,
+    /// Which task starts where.
+    pub scheduler: Scheduler,
+    /// How many machines there are.
+    autoscaler: Autoscaler,
+    /// Whether this leader reaches the workers.
+    pub liveness: WorkerLiveness,
+    /// The fairness ledger, and when its round ends.
     ledger: Ledger,
     round_ends: Ms,
-    fleet_cpus: f64,
-    ledger_due: bool,
-    primary_zone: Option<String>,
-    preferred_zone_due: bool,
-    /// Zones that were cut off of late, and until when they count as such.
-    cut_until: BTreeMap<String, Ms>,
-    surplus_since: Option<Ms>,
-    /// Machines that work of late could use, fading; nothing is known at first.
-    peak: f64,
-    peak_at: Ms,
-    registry: Vec<Vec<MachineRecord>>,
-    /// Encoded size of each part.
-    registry_bytes: Vec<usize>,
-    registry_dirty: BTreeSet<usize>,
-    /// The part after which the next flush goes on.
-    registry_last: usize,
-    /// Parts that are written only after these others were.
-    registry_waits: BTreeMap<usize, BTreeSet<usize>>,
-    /// Changes in one transaction, fewer once one was rejected.
-    changes_most: usize,
-    /// Keys that were rejected alone, and until when they rest.
-    parked: BTreeMap<String, Ms>,
-    mod_revisions: HashMap<String, u64>,
-    refresh: BTreeMap<String, bool>,
-    cleanup: BTreeSet<(JobId, u32)>,
-    flush_in_flight: bool,
-    flush_not_before: Ms,
-    next_parts: Ms,
-    attempts: u32,
-    changed: bool,
-    next_place: Ms,
-    /// The last pass; gone when more may be in use than it counted.
-    pass: Option<scheduler::cycle::Pass>,
-    next_watch: Ms,
-    last_tick: Ms,
-    /// Machines and tasks looked at in passes: what the size of the fleet costs.
-    pub visited: u64,
-    held_valid_lease: bool,
-    /// When this process last went on after it stood still or had no right: silence counts
-    /// from there.
-    woke: Ms,
-    /// Most workers went silent though this process could have answered them.
-    pub lost_workers: bool,
-    /// Jobs whose tasks are all done and whose end is not written yet.
-    complete: BTreeSet<JobId>,
-    /// Jobs with completions that are not written yet.
-    unwritten: BTreeSet<JobId>,
-    /// The job after which the next flush goes on.
-    written_last: JobId,
-    /// The last pass left work that found no room.
-    short_of_room: bool,
-    /// When a job's or a machine's back-off ends.
-    wake_at: Ms,
-    /// Jobs for which others were stopped: the room that comes free is theirs first.
-    reserved: BTreeMap<JobId, Ms>,
-    /// Jobs that can still be in time, with the seconds that each can lose.
-    reach: HashMap<JobId, f64>,
-    /// The largest service of each class of late.
-    shapes: BTreeMap<String, scheduler::services::Shape>,
     /// What controllers may accept.
     pub allotting: quota_allocation::Allotting,
-    guarantee_waits: scheduler::guarantees::GuaranteeWaits,
-    rental: Provisioning,
-    returned: Recent,
-    /// Jobs that workers told of and the table does not hold.
-    pub unknown: BTreeSet<JobId>,
+    /// When peers are told of progress next.
     pub next_progress: Ms,
 }
 
 impl Leader {
+    /// A leader that knows the jobs and loads the rest.
     pub fn new(ctx: &Context, token: FencingToken, mod_revision: u64) -> Self {
         let mut leader = Leader {
             token,
             mod_revision,
             since: ctx.now,
-            loading: Loading::Roster,
-            load_in_flight: false,
-            load_after: None,
-            load_not_before: 0,
-            early_answers: HashMap::new(),
-            machines: BTreeMap::new(),
-            jobs: BTreeMap::new(),
-            loaded_done: BTreeMap::new(),
-            inherited: BTreeSet::new(),
+            cluster: Cluster::default(),
+            failover: Failover::default(),
+            registry: MachineRegistry::default(),
+            writer: Writer::default(),
+            scheduler: Scheduler::default(),
+            autoscaler: Autoscaler::new(ctx.cfg, ctx.now),
+            liveness: WorkerLiveness::new(ctx.now),
             ledger: Ledger::new(ctx.cfg, None, ctx.now),
             round_ends: ctx.now,
-            fleet_cpus: 0.0,
-            ledger_due: false,
-            primary_zone: None,
-            preferred_zone_due: false,
-            cut_until: BTreeMap::new(),
-            surplus_since: None,
-            peak: f64::MAX,
-            peak_at: ctx.now,
-            registry: Vec::new(),
-            registry_bytes: Vec::new(),
-            registry_dirty: BTreeSet::new(),
-            registry_last: 0,
-            registry_waits: BTreeMap::new(),
-            changes_most: usize::MAX,
-            parked: BTreeMap::new(),
-            mod_revisions: HashMap::new(),
-            refresh: BTreeMap::new(),
-            cleanup: BTreeSet::new(),
-            flush_in_flight: false,
-            flush_not_before: 0,
-            next_parts: 0,
-            attempts: 0,
-            changed: true,
-            next_place: 0,
-            pass: None,
-            next_watch: 0,
-            last_tick: ctx.now,
-            visited: 0,
-            held_valid_lease: true,
-            woke: 0,
-            lost_workers: false,
-            complete: BTreeSet::new(),
-            unwritten: BTreeSet::new(),
-            written_last: JobId(0),
-            short_of_room: false,
-            wake_at: Ms::MAX,
-            reserved: BTreeMap::new(),
-            reach: HashMap::new(),
-            shapes: BTreeMap::new(),
             allotting: quota_allocation::Allotting::new(ctx.now),
-            guarantee_waits: scheduler::guarantees::GuaranteeWaits::default(),
-            rental: Provisioning::default(),
-            returned: Recent::new(most_returned(ctx.cfg)),
-            unknown: BTreeSet::new(),
             next_progress: 0,
         };
         for job in ctx.job_cache.active.keys() {
@@ -331,13 +197,13 @@
 
     /// Has the record of a job read of which a worker or a record told.
     pub fn read_job(&mut self, ctx: &Context, job: JobId) {
-        if self.unknown.len() < (ctx.cfg.memory_mb * UNREAD_PER_MB).max(64.0) as usize {
-            self.unknown.insert(job);
+        if self.failover.unknown.len() < (ctx.cfg.memory_mb * UNREAD_PER_MB).max(64.0) as usize {
+            self.failover.unknown.insert(job);
         }
     }
 
     pub fn loaded(&self) -> bool {
-        self.loading == Loading::Complete
+        self.failover.loading == Loading::Complete
     }
 
     pub fn tick(&mut self, ctx: &Context, calls: &mut Calls, rng: &mut SmallRng) {
@@ -345,35 +211,35 @@
         if !self.loaded() {
             return;
         }
-        let stood = ctx.now > self.last_tick + ctx.cfg.heartbeat_interval_ms;
-        if stood || (ctx.holds_valid_lease && !self.held_valid_lease) {
+        let stood = ctx.now > self.liveness.last_tick + ctx.cfg.heartbeat_interval_ms;
+        if stood || (ctx.holds_valid_lease && !self.liveness.held_valid_lease) {
             // Nobody was answered for a while: who was silent then tells nothing.
-            self.woke = ctx.now;
-            self.lost_workers = false;
+            self.liveness.woke = ctx.now;
+            self.liveness.lost_workers = false;
         }
-        self.last_tick = ctx.now;
-        self.held_valid_lease = ctx.holds_valid_lease;
-        if ctx.now >= self.next_watch {
-            self.visited += self.machines.len() as u64;
-            self.next_watch = ctx.now + ctx.cfg.heartbeat_interval_ms / 20;
+        self.liveness.last_tick = ctx.now;
+        self.liveness.held_valid_lease = ctx.holds_valid_lease;
+        if ctx.now >= self.liveness.next_watch {
+            self.scheduler.visited += self.cluster.machines.len() as u64;
+            self.liveness.next_watch = ctx.now + ctx.cfg.heartbeat_interval_ms / 20;
             self.watch_machines(ctx, calls);
-            self.lost_workers = self.find_lost(ctx);
+            self.liveness.lost_workers = self.find_lost(ctx);
             self.finish_jobs();
             self.returns(ctx, calls);
         }
         if ctx.now >= self.round_ends {
             self.round_ends = ctx.now + (ctx.cfg.policy.round_s * 1000.0) as Ms;
             self.ledger.end_round();
-            for j in self.jobs.values_mut() {
+            for j in self.cluster.jobs.values_mut() {
                 j.account.granted = 0.0;
             }
-            self.ledger_due = true;
+            self.writer.ledger_due = true;
             self.note_preferred_zone();
             self.log_round(ctx, calls);
             self.plan_allotments(ctx, calls);
-            self.changed = true;
+            self.scheduler.changed = true;
         }
-        if (self.changed || ctx.now >= self.wake_at)
+        if (self.scheduler.changed || ctx.now >= self.scheduler.wake_at)
             && ctx.holds_valid_lease
             && ctx.job_cache_is_fresh
         {
@@ -392,17 +258,18 @@
         let expires_after = ctx.cfg.with_drift_margin(ctx.cfg.lease_ms);
         let silent_after = ctx.cfg.heartbeat_interval_ms * 3;
         let expires = |m: &Machine| !m.lease_expired && ctx.now > m.renewed + expires_after;
-        let woke = self.woke;
+        let woke = self.liveness.woke;
         let silent =
             |m: &Machine| m.last_heartbeat.is_some_and(|t| ctx.now > t.max(woke) + silent_after);
         let due: Vec<MachineId> = self
+            .cluster
             .machines
             .values()
             .filter(|m| expires(m) || (silent(m) && !m.entries.is_empty()))
             .map(|m| m.id.clone())
             .collect();
         for id in &due {
-            let Some(m) = self.machines.get_mut(id) else { continue };
+            let Some(m) = self.cluster.machines.get_mut(id) else { continue };
             if !expires(m) {
                 self.withdraw(id);
                 continue;
@@ -417,7 +284,7 @@
                     tasks: had,
                 });
             }
-            self.changed = true;
+            self.scheduler.changed = true;
             self.apply(ctx, calls, id, changes);
             self.note_free(id, true);
         }
@@ -426,13 +293,13 @@
     /// One line a round: how the machines are used.
     fn log_round(&self, ctx: &Context, calls: &mut Calls) {
         let mut count = [0usize; 3];
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             let up = m.last_heartbeat.is_some() && !m.lease_expired;
             count[if up { m.spot as usize } else { 2 }] += 1;
         }
         let mut cpus = [0.0f64; 4];
         let mut teams = vec![(0.0f64, 0.0f64); ctx.cfg.teams.len()];
-        for e in self.machines.values().flat_map(|m| m.entries.values()) {
+        for e in self.cluster.machines.values().flat_map(|m| m.entries.values()) {
             let n = e.need.map_or(0.0, |n| n.cpus);
             let i = match e.place {
                 TaskPhase::Assigned { .. } | TaskPhase::Sent => 0,
@@ -446,7 +313,7 @@
                 teams[n.team].0 += n.cpus;
             }
         }
-        for j in self.jobs.values() {
+        for j in self.cluster.jobs.values() {
             teams[j.team].1 += j.pending() as f64 * j.spec.cpus;
         }
         let waiting: f64 = teams.iter().map(|(_, w)| w).sum();
@@ -471,24 +338,24 @@
     /// Ended jobs whose tasks are all gone need no account any more.
     fn finish_jobs(&mut self) {
         let mut over: Vec<JobId> =
-            self.jobs.values().filter(|j| j.ended.is_some()).map(|j| j.id).collect();
+            self.cluster.jobs.values().filter(|j| j.ended.is_some()).map(|j| j.id).collect();
         if over.is_empty() {
             return;
         }
         let mut present: BTreeSet<JobId> = BTreeSet::new();
-        for (t, _) in self.machines.values().flat_map(|m| m.entries.keys()) {
+        for (t, _) in self.cluster.machines.values().flat_map(|m| m.entries.keys()) {
             if over.binary_search(&t.job).is_ok() {
                 present.insert(t.job);
             }
         }
         over.retain(|j| !present.contains(j));
         for job in over {
-            if let Some(j) = self.jobs.remove(&job) {
-                self.cleanup.extend(j.parts.iter().map(|p| (job, *p)));
-                self.complete.remove(&job);
-                self.unwritten.remove(&job);
+            if let Some(j) = self.cluster.jobs.remove(&job) {
+                self.writer.cleanup.extend(j.parts.iter().map(|p| (job, *p)));
+                self.writer.complete.remove(&job);
+                self.writer.unwritten.remove(&job);
                 for p in &j.parts {
-                    self.mod_revisions.remove(&done_key(job, *p));
+                    self.writer.mod_revisions.remove(&done_key(job, *p));
                 }
             }
         }
@@ -496,12 +363,13 @@
 
     pub fn progress(&self) -> Vec<Progress> {
         let mut running: HashMap<JobId, u32> = HashMap::new();
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             for ((t, _), _) in m.entries.iter().filter(|(_, e)| e.runs()) {
                 *running.entry(t.job).or_default() += 1;
             }
         }
-        self.jobs
+        self.cluster
+            .jobs
             .values()
             .filter(|j| j.ended.is_none())
             .map(|j| Progress {
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -1,6 +1,7 @@
 //! What is written: the machine registry, completions, ends, the ledger.
 
 use crate::leader::*;
+use std::collections::HashSet;
 use std::ops::Bound::{Excluded, Unbounded};
 
 /// A transaction that is filled up to the limits of the state service. One that passes
@@ -60,14 +61,14 @@
 
 impl Leader {
     pub fn flush(&mut self, ctx: &Context, calls: &mut Calls) {
-        if self.flush_in_flight
+        if self.writer.in_flight
             || !self.loaded()
             || !ctx.holds_valid_lease
-            || ctx.now < self.flush_not_before
+            || ctx.now < self.writer.not_before
         {
             return;
         }
-        for (key, asked) in self.refresh.iter_mut().filter(|(_, asked)| !**asked) {
+        for (key, asked) in self.writer.refresh.iter_mut().filter(|(_, asked)| !**asked) {
             if calls.pay(ctx.now, CallPriority::Completion) {
                 *asked = true;
                 let purpose = Purpose::Refresh { token: self.token, key: key.clone() };
@@ -76,15 +77,15 @@
         }
         let now = ctx.now;
         let mut f = PendingWrite::default();
-        self.parked.retain(|_, until| *until > now);
-        let most = ctx.cfg.transaction_ops.max(2).min(self.changes_most);
+        self.writer.parked.retain(|_, until| *until > now);
+        let most = ctx.cfg.transaction_ops.max(2).min(self.writer.changes_most);
         let mut t = Txn::new((LEADER_KEY.to_string(), self.mod_revision), most);
         let mut paid = |n: f64, class| calls.writes.take(now, n, class);
-        for id in &self.complete {
-            let Some(j) = self.jobs.get(id).filter(|j| j.ended.is_none()) else { continue };
+        for id in &self.writer.complete {
+            let Some(j) = self.cluster.jobs.get(id).filter(|j| j.ended.is_none()) else { continue };
             if !ctx.job_cache.active.contains_key(id)
-                || self.unknown.contains(id)
-                || self.parked.contains_key(&active_key(*id))
+                || self.failover.unknown.contains(id)
+                || self.writer.parked.contains_key(&active_key(*id))
             {
                 continue;
             }
@@ -96,75 +97,83 @@
             f.ends.push(*id);
             t.put_end(*id, j.mod_revision);
         }
-        let mod_revision = |key: &str| self.mod_revisions.get(key).copied().unwrap_or(0);
-        let shut = |key: &str| self.refresh.contains_key(key) || self.parked.contains_key(key);
+        let mod_revision = |key: &str| self.writer.mod_revisions.get(key).copied().unwrap_or(0);
+        let shut = |key: &str| {
+            self.writer.refresh.contains_key(key) || self.writer.parked.contains_key(key)
+        };
         // In turn: few fit into one transaction, and each has machines that wait for it.
-        let after = self.registry_dirty.range((Excluded(self.registry_last), Unbounded));
-        let order: Vec<usize> =
-            after.chain(self.registry_dirty.range(..=self.registry_last)).copied().collect();
+        let after = self.registry.dirty.range((Excluded(self.registry.last_written), Unbounded));
+        let order: Vec<usize> = after
+            .chain(self.registry.dirty.range(..=self.registry.last_written))
+            .copied()
+            .collect();
         for part in order {
             let key = machine_registry_key(part);
             if shut(&key)
-                || self.registry_waits.get(&part).is_some_and(|w| !w.is_empty())
-                || !t.room(1, self.registry_bytes[part])
+                || self.registry.waits.get(&part).is_some_and(|w| !w.is_empty())
+                || !t.room(1, self.registry.bytes[part])
                 || !paid(1.0, CallPriority::Request)
             {
                 continue;
             }
-            self.registry_dirty.remove(&part);
-            self.registry_last = part;
-            let may_hold = self.registry[part].iter().filter(|e| !e.free);
+            self.registry.dirty.remove(&part);
+            self.registry.last_written = part;
+            let may_hold = self.registry.parts[part].iter().filter(|e| !e.free);
             f.registry.push((part, may_hold.map(|e| e.id.clone()).collect()));
             f.keys.push(key.clone());
-            t.put(mod_revision(&key), key, encode(&self.registry[part]));
+            t.put(mod_revision(&key), key, encode(&self.registry.parts[part]));
         }
-        if self.ledger_due
+        if self.writer.ledger_due
             && !shut(LEDGER_KEY)
             && t.room(1, 4096)
             && paid(1.0, CallPriority::Completion)
         {
-            self.ledger_due = false;
+            self.writer.ledger_due = false;
             f.ledger = true;
             let leases_end = ctx.wall + (ctx.cfg.policy.lease_term_s * 1000.0) as WallMs;
             f.keys.push(LEDGER_KEY.into());
-            let sick = self.jobs.values().filter(|j| j.ended.is_none() && j.health.suspect());
+            let sick =
+                self.cluster.jobs.values().filter(|j| j.ended.is_none() && j.health.suspect());
             let suspects = sick.map(|j| j.id).take(SUSPECTS_TOLD).collect();
             let record = self.ledger.record(ctx.cfg, leases_end, suspects);
             t.put(mod_revision(LEDGER_KEY), LEDGER_KEY.into(), encode(&record));
         }
-        if self.preferred_zone_due
+        if self.writer.preferred_zone_due
             && !shut(PRIMARY_ZONE_KEY)
             && t.room(1, 256)
             && paid(1.0, CallPriority::Rest)
         {
-            self.preferred_zone_due = false;
+            self.writer.preferred_zone_due = false;
             f.primary_zone = true;
             f.keys.push(PRIMARY_ZONE_KEY.into());
             t.put(
                 mod_revision(PRIMARY_ZONE_KEY),
                 PRIMARY_ZONE_KEY.into(),
-                encode(&self.primary_zone),
+                encode(&self.autoscaler.primary_zone),
             );
         }
-        if now >= self.next_parts && !self.unwritten.is_empty() {
+        if now >= self.writer.next_parts && !self.writer.unwritten.is_empty() {
             // Were the lowest ids written first each time, the others' completions would
             // wait for as long as more comes than can be written.
-            let last = self.written_last;
-            let after = self.unwritten.range((Excluded(last), Unbounded));
-            let order: Vec<JobId> = after.chain(self.unwritten.range(..=last)).copied().collect();
+            let last = self.writer.written_last;
+            let after = self.writer.unwritten.range((Excluded(last), Unbounded));
+            let order: Vec<JobId> =
+                after.chain(self.writer.unwritten.range(..=last)).copied().collect();
             let mut left = false;
             'jobs: for id in order {
-                let Some(j) = self.jobs.get_mut(&id) else {
-                    self.unwritten.remove(&id);
+                let Some(j) = self.cluster.jobs.get_mut(&id) else {
+                    self.writer.unwritten.remove(&id);
                     continue;
                 };
                 if j.ended.is_some() || j.complete() {
-                    self.unwritten.remove(&id);
+                    self.writer.unwritten.remove(&id);
                     continue;
                 }
                 for part in j.dirty.clone() {
                     let key = done_key(id, part);
-                    if self.refresh.contains_key(&key) || self.parked.contains_key(&key) {
+                    if self.writer.refresh.contains_key(&key)
+                        || self.writer.parked.contains_key(&key)
+                    {
                         continue;
                     }
                     let text = j.done.part(part);
@@ -178,20 +187,20 @@
                     t.put(mod_revision(&key), key, encode(&text));
                     f.parts.push((id, part, text));
                 }
-                self.written_last = id;
+                self.writer.written_last = id;
                 if j.dirty.is_empty() {
-                    self.unwritten.remove(&id);
+                    self.writer.unwritten.remove(&id);
                 }
             }
             if !left {
-                self.next_parts = now + ctx.cfg.heartbeat_interval_ms;
+                self.writer.next_parts = now + ctx.cfg.heartbeat_interval_ms;
             }
         }
-        while let Some((job, part)) = self.cleanup.first().copied() {
+        while let Some((job, part)) = self.writer.cleanup.first().copied() {
             if !t.room(1, 0) || !paid(1.0, CallPriority::Rest) {
                 break;
             }
-            self.cleanup.pop_first();
+            self.writer.cleanup.pop_first();
             t.remove(done_key(job, part));
             f.cleaned.push((job, part));
         }
@@ -202,10 +211,10 @@
         }
         if !calls.pay(now, CallPriority::Completion) {
             self.undo(ctx, f);
-            self.flush_not_before = now + 20;
+            self.writer.not_before = now + 20;
             return;
         }
-        self.flush_in_flight = true;
+        self.writer.in_flight = true;
         let purpose = Purpose::PendingWrite { token: self.token, flush: Box::new(f) };
         let op = StoreRequest::Transaction { preconditions, puts, deletes };
         calls.state(purpose, op, ctx.cfg.leader_lease_ms() / 4);
@@ -213,16 +222,17 @@
 
     fn undo(&mut self, ctx: &Context, f: PendingWrite) {
         for (job, part, _) in f.parts {
-            if let Some(j) = self.jobs.get_mut(&job) {
+            if let Some(j) = self.cluster.jobs.get_mut(&job) {
                 j.dirty.insert(part);
-                self.unwritten.insert(job);
+                self.writer.unwritten.insert(job);
             }
         }
-        self.registry_dirty.extend(f.registry.into_iter().map(|(p, _)| p));
-        self.cleanup.extend(f.cleaned);
-        self.ledger_due |= f.ledger;
-        self.preferred_zone_due |= f.primary_zone;
-        self.next_parts = self.next_parts.min(ctx.now + ctx.cfg.heartbeat_interval_ms / 4);
+        self.registry.dirty.extend(f.registry.into_iter().map(|(p, _)| p));
+        self.writer.cleanup.extend(f.cleaned);
+        self.writer.ledger_due |= f.ledger;
+        self.writer.preferred_zone_due |= f.primary_zone;
+        self.writer.next_parts =
+            self.writer.next_parts.min(ctx.now + ctx.cfg.heartbeat_interval_ms / 4);
     }
 
     pub fn flush_answer(
@@ -231,27 +241,31 @@
         mut f: PendingWrite,
         reply: StoreReply,
     ) -> WriteOutcome {
-        self.flush_in_flight = false;
+        self.writer.in_flight = false;
         let mut out = WriteOutcome::default();
         match reply {
             StoreReply::Committed { revision } => {
-                self.changes_most = self.changes_most.saturating_mul(2);
+                self.writer.changes_most = self.writer.changes_most.saturating_mul(2);
                 for key in f.keys {
-                    self.mod_revisions.insert(key, revision);
+                    self.writer.mod_revisions.insert(key, revision);
                 }
                 for (job, part, text) in f.parts {
-                    if let Some(j) = self.jobs.get_mut(&job) {
+                    if let Some(j) = self.cluster.jobs.get_mut(&job) {
                         j.durable.add_part(part, &text);
                     }
                 }
                 for (part, ids) in f.registry {
                     self.registry_written(part);
-                    let still: HashSet<&MachineId> =
-                        self.registry[part].iter().filter(|e| !e.free).map(|e| &e.id).collect();
+                    let still: HashSet<&MachineId> = self.registry.parts[part]
+                        .iter()
+                        .filter(|e| !e.free)
+                        .map(|e| &e.id)
+                        .collect();
                     for id in ids.iter().filter(|id| still.contains(id)) {
-                        if let Some(m) = self.machines.get_mut(id).filter(|m| m.free_in.is_empty())
+                        if let Some(m) =
+                            self.cluster.machines.get_mut(id).filter(|m| m.free_in.is_empty())
                         {
-                            self.changed |= !m.durable;
+                            self.scheduler.changed |= !m.durable;
                             m.durable = true;
                         }
                     }
@@ -263,37 +277,37 @@
                 let ends = std::mem::take(&mut f.ends);
                 out.read = ends.into_iter().filter(|j| failed.contains(&active_key(*j))).collect();
                 for key in failed.into_iter().filter(|k| f.keys.contains(k)) {
-                    self.refresh.insert(key, false);
+                    self.writer.refresh.insert(key, false);
                 }
                 self.undo(ctx, f);
             }
             StoreReply::Rejected => {
                 // Written again as it is, it would be rejected for ever, and nothing after it
                 // would be written: fewer changes at once, and what is rejected alone rests.
-                self.changes_most = (f.changes / 2).max(1);
+                self.writer.changes_most = (f.changes / 2).max(1);
                 if f.changes <= 1 || (f.ends.len() == 1 && f.keys.is_empty()) {
                     let until = ctx.now + ctx.cfg.lease_ms * PARKED_LEASES;
                     let ends = f.ends.iter().map(|j| active_key(*j));
                     let keys: Vec<String> = f.keys.iter().cloned().chain(ends).collect();
                     out.rejected = Some(keys.join(","));
-                    self.parked.extend(keys.into_iter().map(|k| (k, until)));
+                    self.writer.parked.extend(keys.into_iter().map(|k| (k, until)));
                     f.cleaned.clear();
                 }
                 self.undo(ctx, f);
-                self.flush_not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
+                self.writer.not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
             }
             StoreReply::Refused => {
                 self.undo(ctx, f);
-                self.flush_not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
+                self.writer.not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
             }
             _ => {
                 // It may yet be carried out. Every key is written again only with the
                 // mod revision it has by then, so the late one and ours cannot both win.
                 for key in std::mem::take(&mut f.keys) {
-                    self.refresh.insert(key, false);
+                    self.writer.refresh.insert(key, false);
                 }
                 self.undo(ctx, f);
-                self.flush_not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
+                self.writer.not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
             }
         }
         out
@@ -302,15 +316,15 @@
     pub fn refresh_answer(&mut self, key: String, reply: StoreReply) {
         match reply {
             StoreReply::KeyValue(i) => {
-                self.mod_revisions.insert(key.clone(), i.mod_revision);
-                self.refresh.remove(&key);
+                self.writer.mod_revisions.insert(key.clone(), i.mod_revision);
+                self.writer.refresh.remove(&key);
             }
             StoreReply::NotFound => {
-                self.mod_revisions.remove(&key);
-                self.refresh.remove(&key);
+                self.writer.mod_revisions.remove(&key);
+                self.writer.refresh.remove(&key);
             }
             _ => {
-                self.refresh.insert(key, false);
+                self.writer.refresh.insert(key, false);
             }
         }
     }
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
@@ -3,10 +3,27 @@
 
 use crate::leader::*;
 
+/// The durable list of machines, cut into parts that a value of the store may hold.
+#[derive(Default)]
+pub struct MachineRegistry {
+    /// The records of each part.
+    pub(in crate::leader) parts: Vec<Vec<MachineRecord>>,
+    /// Encoded size of each part.
+    pub(in crate::leader) bytes: Vec<usize>,
+    /// Parts that have to be written.
+    pub(in crate::leader) dirty: BTreeSet<usize>,
+    /// The part after which the next transaction goes on.
+    pub(in crate::leader) last_written: usize,
+    /// Parts that are written only after these others were.
+    pub(in crate::leader) waits: BTreeMap<usize, BTreeSet<usize>>,
+}
+
 impl Leader {
     /// Puts a machine on the machine registry, as one where nothing runs yet.
     pub(in crate::leader) fn add_to_registry(&mut self, ctx: &Context, machine: &MachineId) {
-        let Some(m) = self.machines.get_mut(machine).filter(|m| m.part.is_none()) else { return };
+        let Some(m) = self.cluster.machines.get_mut(machine).filter(|m| m.part.is_none()) else {
+            return;
+        };
         let mut entry = MachineRecord {
             id: m.id.clone(),
             machine_type: m.machine_type.clone(),
@@ -17,18 +34,19 @@
         let most = ctx.cfg.value_bytes * 9 / 10;
         let size = encode(&entry).len() + 1;
         let part = self
-            .registry_bytes
+            .registry
+            .bytes
             .iter()
             .position(|bytes| bytes + size <= most)
-            .unwrap_or(self.registry.len());
-        if part == self.registry.len() {
-            self.registry.push(Vec::new());
-            self.registry_bytes.push(2);
+            .unwrap_or(self.registry.parts.len());
+        if part == self.registry.parts.len() {
+            self.registry.parts.push(Vec::new());
+            self.registry.bytes.push(2);
         }
         entry.free = true;
-        self.registry[part].push(entry);
-        self.registry_bytes[part] += size;
-        self.registry_dirty.insert(part);
+        self.registry.parts[part].push(entry);
+        self.registry.bytes[part] += size;
+        self.registry.dirty.insert(part);
         m.part = Some(part);
     }
 
@@ -36,13 +54,13 @@
     /// nothing does, or may come to say so, nothing is started there: the next leader
     /// does not wait for a word of it.
     pub(in crate::leader) fn note_free(&mut self, machine: &MachineId, free: bool) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.cluster.machines.get_mut(machine) else { return };
         let Some(part) = m.part else { return };
-        let entry = self.registry[part].iter_mut().find(|e| e.id == *machine);
+        let entry = self.registry.parts[part].iter_mut().find(|e| e.id == *machine);
         let Some(entry) = entry.filter(|e| e.free != free) else { return };
         entry.free = free;
         m.durable = false;
-        self.registry_dirty.insert(part);
+        self.registry.dirty.insert(part);
     }
 
     /// The machine is gone for certain: its release was answered.
@@ -52,16 +70,16 @@
         calls: &mut Calls,
         machine: &MachineId,
     ) {
-        let Some(mut m) = self.machines.remove(machine) else { return };
+        let Some(mut m) = self.cluster.machines.remove(machine) else { return };
         let changes = m.expire_lease();
         self.apply(ctx, calls, machine, changes);
         if let Some(part) = m.part {
-            self.registry[part].retain(|e| e.id != *machine);
-            self.registry_bytes[part] = encode(&self.registry[part]).len();
-            self.registry_dirty.insert(part);
+            self.registry.parts[part].retain(|e| e.id != *machine);
+            self.registry.bytes[part] = encode(&self.registry.parts[part]).len();
+            self.registry.dirty.insert(part);
         }
-        self.returned.add(machine);
-        self.changed = true;
+        self.autoscaler.returned.add(machine);
+        self.scheduler.changed = true;
     }
 
     /// Brings what was read into a form that the limits allow. An earlier version, or limits
@@ -72,13 +90,13 @@
     pub(in crate::leader) fn repair_registry(&mut self, ctx: &Context) {
         self.join_twice_named();
         let most = ctx.cfg.value_bytes * 9 / 10;
-        for part in 0..self.registry.len() {
-            if self.registry_bytes[part] <= ctx.cfg.value_bytes {
+        for part in 0..self.registry.parts.len() {
+            if self.registry.bytes[part] <= ctx.cfg.value_bytes {
                 continue;
             }
             let mut chunks: Vec<Vec<MachineRecord>> = vec![Vec::new()];
             let mut bytes = 2;
-            for e in std::mem::take(&mut self.registry[part]) {
+            for e in std::mem::take(&mut self.registry.parts[part]) {
                 let size = encode(&MachineRecord { free: false, ..e.clone() }).len() + 1;
                 if bytes + size > most {
                     chunks.push(Vec::new());
@@ -90,20 +108,20 @@
                 }
             }
             for (n, chunk) in chunks.into_iter().enumerate() {
-                let to = if n == 0 { part } else { self.registry.len() };
+                let to = if n == 0 { part } else { self.registry.parts.len() };
                 if n > 0 {
-                    self.registry.push(Vec::new());
-                    self.registry_bytes.push(2);
-                    self.registry_waits.entry(part).or_default().insert(to);
+                    self.registry.parts.push(Vec::new());
+                    self.registry.bytes.push(2);
+                    self.registry.waits.entry(part).or_default().insert(to);
                     for e in &chunk {
-                        let Some(m) = self.machines.get_mut(&e.id) else { continue };
+                        let Some(m) = self.cluster.machines.get_mut(&e.id) else { continue };
                         m.part = Some(to);
                         m.free_in.extend(e.free.then_some(part));
                     }
                 }
-                self.registry_bytes[to] = encode(&chunk).len();
-                self.registry[to] = chunk;
-                self.registry_dirty.insert(to);
+                self.registry.bytes[to] = encode(&chunk).len();
+                self.registry.parts[to] = chunk;
+                self.registry.dirty.insert(to);
             }
         }
     }
@@ -113,7 +131,7 @@
     fn join_twice_named(&mut self) {
         let mut first: HashMap<MachineId, usize> = HashMap::new();
         let mut twice: Vec<(usize, usize, MachineRecord)> = Vec::new();
-        for (part, entries) in self.registry.iter_mut().enumerate() {
+        for (part, entries) in self.registry.parts.iter_mut().enumerate() {
             entries.retain(|e| match first.get(&e.id) {
                 Some(at) => {
                     twice.push((*at, part, e.clone()));
@@ -126,13 +144,13 @@
             });
         }
         for (at, part, second) in twice {
-            let Some(e) = self.registry[at].iter_mut().find(|e| e.id == second.id) else {
+            let Some(e) = self.registry.parts[at].iter_mut().find(|e| e.id == second.id) else {
                 continue;
             };
             let kept_free = e.free;
             e.free &= second.free;
             let free = e.free;
-            if let Some(m) = self.machines.get_mut(&second.id) {
+            if let Some(m) = self.cluster.machines.get_mut(&second.id) {
                 (m.reconciled, m.expected) = (free, !free);
                 // What is there now may say that nothing runs, in the one part or the other.
                 m.durable = !kept_free && !second.free;
@@ -140,25 +158,25 @@
                 m.free_in.extend(kept_free.then_some(at));
                 m.free_in.extend(second.free.then_some(part));
             }
-            self.registry_dirty.extend([at, part]);
+            self.registry.dirty.extend([at, part]);
             if at != part {
-                self.registry_waits.entry(part).or_default().insert(at);
+                self.registry.waits.entry(part).or_default().insert(at);
             }
-            self.registry_bytes[at] = encode(&self.registry[at]).len();
-            self.registry_bytes[part] = encode(&self.registry[part]).len();
+            self.registry.bytes[at] = encode(&self.registry.parts[at]).len();
+            self.registry.bytes[part] = encode(&self.registry.parts[part]).len();
         }
     }
 
     /// A part was written: those that waited for it may follow, and what it said before
     /// stands no more.
     pub(in crate::leader) fn registry_written(&mut self, part: usize) {
-        for waits in self.registry_waits.values_mut() {
+        for waits in self.registry.waits.values_mut() {
             waits.remove(&part);
         }
-        self.registry_waits.retain(|_, waits| !waits.is_empty());
-        for m in self.machines.values_mut() {
+        self.registry.waits.retain(|_, waits| !waits.is_empty());
+        for m in self.cluster.machines.values_mut() {
             if m.free_in.remove(&part) {
-                self.registry_dirty.extend(m.part);
+                self.registry.dirty.extend(m.part);
             }
         }
     }
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -62,7 +62,7 @@
             assert!(!here.is_empty(), "{} is lost", id(i));
             let free = here.iter().all(|e| e.free);
             assert!(!busy(i) || !free, "{} passes for free", id(i));
-            let m = &leader.machines[&id(i)];
+            let m = &leader.cluster.machines[&id(i)];
             assert!(!m.durable || here.iter().all(|e| !e.free), "{} is free somewhere", id(i));
         }
     }
@@ -108,7 +108,7 @@
         kept.parts.insert(machine_registry_key(1), part(40..43, |i| !busy(i)));
         let mut leader = kept.load(&ctx);
         // Whichever part's turn it is.
-        leader.registry_last = ends_after % 8;
+        leader.registry.last_written = ends_after % 8;
         let mut touched = BTreeSet::new();
         for step in 0..60 {
             if step == ends_after {
@@ -124,16 +124,19 @@
             kept.check(&leader, 43, &|i| busy(i));
         }
         for _ in 0..200 {
-            leader.flush_not_before = 0;
+            leader.writer.not_before = 0;
             if !kept.flush(&ctx, &mut leader) {
                 break;
             }
             kept.check(&leader, 43, &|i| busy(i));
         }
-        assert!(leader.registry_waits.is_empty() && leader.registry_dirty.is_empty());
+        assert!(leader.registry.waits.is_empty() && leader.registry.dirty.is_empty());
         assert_eq!(kept.entries().len(), 43, "named once each in the end");
         assert!(kept.parts.values().all(|v| v.len() <= cfg.value_bytes));
-        assert!(touched.iter().all(|i| leader.machines[&id(*i)].durable), "no work for some");
+        assert!(
+            touched.iter().all(|i| leader.cluster.machines[&id(*i)].durable),
+            "no work for some"
+        );
     }
 }
 
@@ -155,13 +158,14 @@
     kept.parts.insert(machine_registry_key(0), part(0..4, |i| i < 2));
     kept.parts.insert(machine_registry_key(1), part(0..4, |i| i.is_multiple_of(2)));
     let mut leader = kept.load(&ctx);
-    let reconciled: Vec<bool> = (0..4).map(|i| leader.machines[&id(i)].reconciled).collect();
+    let reconciled: Vec<bool> =
+        (0..4).map(|i| leader.cluster.machines[&id(i)].reconciled).collect();
     assert_eq!(reconciled, [true, false, false, false]);
-    assert!(!leader.machines[&id(1)].durable && !leader.machines[&id(2)].durable);
+    assert!(!leader.cluster.machines[&id(1)].durable && !leader.cluster.machines[&id(2)].durable);
     for _ in 0..20 {
         kept.flush(&ctx, &mut leader);
         kept.check(&leader, 4, &|i| i > 0);
     }
     assert_eq!(kept.entries().len(), 4);
-    assert!(leader.machines[&id(1)].durable && leader.machines[&id(2)].durable);
+    assert!(leader.cluster.machines[&id(1)].durable && leader.cluster.machines[&id(2)].durable);
 }
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -6,6 +6,7 @@
 use basaltrail_admission::{
     Allotment, ClassLoad, ClassRoom, Grant, Planner, Room as Admitted, TeamLoad, Written,
 };
+use std::collections::VecDeque;
 
 /// How much of the rate at which a team was served before counts in each round.
 const REMEMBERED: f64 = 0.5;
@@ -139,7 +140,7 @@
         for (id, active) in &ctx.job_cache.active {
             let Some(team) = ctx.cfg.team(&active.spec.team) else { continue };
             let mut demand = active.spec.demand();
-            if let Some(job) = self.jobs.get(id) {
+            if let Some(job) = self.cluster.jobs.get(id) {
                 // What runs does not wait any more.
                 demand.cpus = f64::from(job.pending()) * active.spec.cpus;
             }
--- a/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
@@ -22,9 +22,9 @@
 impl Leader {
     fn class_use(&self, ctx: &Context) -> ClassUse<'_> {
         let mut found = ClassUse { cpus: HashMap::new(), of_team: vec![0.0; ctx.cfg.teams.len()] };
-        for machine in self.machines.values() {
+        for machine in self.cluster.machines.values() {
             for ((task, _), entry) in machine.entries.iter().filter(|(_, entry)| entry.holds()) {
-                let job = self.jobs.get(&task.job).filter(|job| job.ended.is_none());
+                let job = self.cluster.jobs.get(&task.job).filter(|job| job.ended.is_none());
                 let Some((job, need)) = job.zip(entry.need) else { continue };
                 *found.cpus.entry((job.team, &job.spec.class)).or_default() += need.cpus;
                 found.of_team[job.team] += need.cpus;
@@ -45,7 +45,7 @@
         let mut behind = Vec::new();
         for (team, ids) in waiting.iter().enumerate() {
             let mut first: BTreeMap<&str, &RunJob> = BTreeMap::new();
-            for job in ids.iter().filter_map(|id| self.jobs.get(id)) {
+            for job in ids.iter().filter_map(|id| self.cluster.jobs.get(id)) {
                 let oldest = first.entry(&job.spec.class).or_insert(job);
                 if (job.at, job.id) < (oldest.at, oldest.id) {
                     *oldest = job;
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -56,7 +56,7 @@
     /// (cpus, gpus) per team that may be in use anywhere.
     pub(in crate::leader) fn usage(&self, ctx: &Context) -> Vec<(f64, f64)> {
         let mut used = vec![(0.0, 0.0); ctx.cfg.teams.len()];
-        for m in self.machines.values() {
+        for m in self.cluster.machines.values() {
             let unsure = !m.reconciled || m.entries.values().any(|e| e.holds() && e.need.is_none());
             if unsure {
                 // An earlier leader's tasks of any team may fill it.
@@ -81,7 +81,7 @@
     /// Kinds of the machines on which tasks of earlier leaders may run that no report has
     /// shown to this leader yet.
     fn unreconciled_kinds(&self) -> BTreeSet<MachineKind> {
-        self.machines.values().filter(|m| !m.reconciled).map(Machine::kind).collect()
+        self.cluster.machines.values().filter(|m| !m.reconciled).map(Machine::kind).collect()
     }
 
     /// Whether an earlier leader may have started tasks of this job on a machine that has not
@@ -98,7 +98,12 @@
         let mut running = vec![0.0; teams];
         let mut by_job: HashMap<JobId, f64> = HashMap::new();
         let mut fleet = 0.0;
-        for m in self.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired) {
+        for m in self
+            .cluster
+            .machines
+            .values()
+            .filter(|m| m.last_heartbeat.is_some() && !m.lease_expired)
+        {
             if let Some(i) = Self::type_index(ctx.types, &m.machine_type) {
                 fleet += ctx.types[i].cpus;
             }
@@ -111,10 +116,10 @@
         }
         let dt = self.ledger.accrue(ctx.cfg, ctx.now, fleet, &running);
         let mut active = vec![0u32; teams];
-        for j in self.jobs.values().filter(|j| j.ended.is_none() && !j.health.suspect()) {
+        for j in self.cluster.jobs.values().filter(|j| j.ended.is_none() && !j.health.suspect()) {
             active[j.team] += 1;
         }
-        for j in self.jobs.values_mut().filter(|j| j.ended.is_none()) {
+        for j in self.cluster.jobs.values_mut().filter(|j| j.ended.is_none()) {
             let size = (j.spec.tasks - j.done.count().min(j.spec.tasks)) as f64 * j.spec.cpus;
             let share = Ledger::quota(ctx.cfg, j.team, fleet) / active[j.team].max(1) as f64;
             j.account.fair += share.min(size) * dt;
@@ -136,7 +141,7 @@
             let (mut cpus, mut work) = (0.0, 0.0);
             let open_here = |j: &&RunJob| j.team == team && j.ended.is_none();
             let (mut standing, mut missing) = (0.0, 0.0);
-            for j in self.jobs.values().filter(open_here).filter(|j| !j.health.suspect()) {
+            for j in self.cluster.jobs.values().filter(open_here).filter(|j| !j.health.suspect()) {
                 if j.spec.is_service() {
                     // It has no end and no date: what of it is missing is late already, and
                     // what runs is no work that ends and leaves its room.
@@ -157,8 +162,8 @@
             let share = match ctx.cfg.teams[team].without_guarantee() {
                 // Nobody knows what the others will leave it. By its quota nothing of it
                 // could be in time, and its longest tasks would go first.
-                true => self.fleet_cpus,
-                false => Ledger::quota(ctx.cfg, team, self.fleet_cpus),
+                true => self.scheduler.fleet_cpus,
+                false => Ledger::quota(ctx.cfg, team, self.scheduler.fleet_cpus),
             };
             let share = share.max(*used);
             let per_s = (share - standing).max(0.0) * cpus / work.max(1.0);
@@ -178,25 +183,26 @@
         calls: &mut Calls,
         rng: &mut SmallRng,
     ) {
-        if ctx.now < self.next_place || ctx.types.is_empty() {
+        if ctx.now < self.scheduler.next_place || ctx.types.is_empty() {
             return;
         }
-        self.changed = false;
-        self.next_place = ctx.now + ctx.cfg.heartbeat_interval_ms / 20;
-        self.fleet_cpus = self.accrue(ctx);
-        self.visited += self.machines.values().map(|m| 1 + m.entries.len() as u64).sum::<u64>();
+        self.scheduler.changed = false;
+        self.scheduler.next_place = ctx.now + ctx.cfg.heartbeat_interval_ms / 20;
+        self.scheduler.fleet_cpus = self.accrue(ctx);
+        self.scheduler.visited +=
+            self.cluster.machines.values().map(|m| 1 + m.entries.len() as u64).sum::<u64>();
         let unreconciled = self.unreconciled_kinds();
         let mut used = self.usage(ctx);
         let mut rooms: Vec<Room> =
-            self.machines.values().filter_map(|m| self.room(ctx, m)).collect();
-        self.reach = self.find_reach(ctx, &used);
+            self.cluster.machines.values().filter_map(|m| self.room(ctx, m)).collect();
+        self.scheduler.reach = self.find_reach(ctx, &used);
         // Jobs that may get tasks placed now, per team.
         let mut waiting: Vec<Vec<JobId>> = vec![Vec::new(); ctx.cfg.teams.len()];
         let mut tries: Vec<JobId> = Vec::new();
-        for j in self.jobs.values() {
+        for j in self.cluster.jobs.values() {
             if j.pending() > 0
                 && j.health.not_before() <= ctx.now
-                && !self.unknown.contains(&j.id)
+                && !self.failover.unknown.contains(&j.id)
                 && !self.may_run_unseen(j, &unreconciled)
             {
                 match j.health.suspect() {
@@ -211,17 +217,17 @@
         let mut blocked: Vec<JobId> = Vec::new();
         // Were the room cleared for a job given by degree, those who were stopped would
         // take it back, and be stopped again.
-        self.reserved.retain(|_, until| *until > ctx.now);
-        let reserved: Vec<JobId> = self.reserved.keys().copied().collect();
+        self.scheduler.reserved.retain(|_, until| *until > ctx.now);
+        let reserved: Vec<JobId> = self.scheduler.reserved.keys().copied().collect();
         for id in reserved {
-            let Some(team) = self.jobs.get(&id).map(|j| j.team) else { continue };
+            let Some(team) = self.cluster.jobs.get(&id).map(|j| j.team) else { continue };
             while waiting[team].contains(&id) {
                 if !self.grant_one(ctx, id, u32::MAX, &mut rooms, &mut used, rng) {
                     break;
                 }
-                if self.jobs.get(&id).is_none_or(|j| j.pending() == 0) {
+                if self.cluster.jobs.get(&id).is_none_or(|j| j.pending() == 0) {
                     waiting[team].retain(|j| *j != id);
-                    self.reserved.remove(&id);
+                    self.scheduler.reserved.remove(&id);
                 }
             }
         }
@@ -233,10 +239,10 @@
             .filter(|(_, id)| self.pressing(id))
             .collect();
         for (team, id) in &pressing {
-            while self.jobs.get(id).is_some_and(|j| j.pending() > 0)
+            while self.cluster.jobs.get(id).is_some_and(|j| j.pending() > 0)
                 && self.grant_one(ctx, *id, u32::MAX, &mut rooms, &mut used, rng)
             {}
-            if self.jobs.get(id).is_none_or(|j| j.pending() == 0) {
+            if self.cluster.jobs.get(id).is_none_or(|j| j.pending() == 0) {
                 waiting[*team].retain(|j| j != id);
             }
         }
@@ -246,7 +252,7 @@
         let mut unbegun: Vec<(WallMs, JobId, usize)> = waiting
             .iter()
             .flatten()
-            .filter_map(|id| self.jobs.get(id))
+            .filter_map(|id| self.cluster.jobs.get(id))
             .filter(|j| !j.started && ctx.wall - j.at > UNBEGUN_LEASES * ctx.cfg.lease_ms as WallMs)
             .map(|j| (j.at, j.id, j.team))
             .collect();
@@ -267,7 +273,7 @@
                     pass.held = self.hold(ctx, id, &mut rooms, &mut used);
                 }
                 pass.unbegun.push(id);
-            } else if self.jobs.get(&id).is_none_or(|j| j.pending() == 0) {
+            } else if self.cluster.jobs.get(&id).is_none_or(|j| j.pending() == 0) {
                 waiting[team].retain(|j| *j != id);
             }
         }
@@ -276,7 +282,7 @@
             while left > 0 && self.grant_one(ctx, id, 1, &mut rooms, &mut used, rng) {
                 left -= 1;
             }
-            if self.jobs.get(&id).is_none_or(|job| job.pending() == 0) {
+            if self.cluster.jobs.get(&id).is_none_or(|job| job.pending() == 0) {
                 waiting.iter_mut().for_each(|ids| ids.retain(|other| *other != id));
             }
             if left > 0 {
@@ -298,7 +304,7 @@
                 if self.limit_room(ctx, id, &used) == 0 && self.runs_nothing(id) {
                     waiting[team].clear();
                 }
-            } else if self.jobs.get(&id).is_none_or(|j| j.pending() == 0) {
+            } else if self.cluster.jobs.get(&id).is_none_or(|j| j.pending() == 0) {
                 waiting[team].retain(|j| *j != id);
             }
         }
@@ -311,21 +317,21 @@
             ready = self.reserve_capacity(ctx, &mut rooms, &used);
         }
         pass.ready = ready;
-        self.short_of_room = !blocked.is_empty();
-        let open = || self.jobs.values().filter(|j| j.pending() > 0);
+        self.scheduler.short_of_room = !blocked.is_empty();
+        let open = || self.cluster.jobs.values().filter(|j| j.pending() > 0);
         let pauses = open().map(|j| j.health.not_before());
         let avoided = open().filter_map(|j| j.health.avoids_until(ctx.now));
-        let machines = self.machines.values().map(|m| m.no_room_until);
+        let machines = self.cluster.machines.values().map(|m| m.no_room_until);
         let next = pauses.chain(avoided).chain(machines).filter(|t| *t > ctx.now).min();
         self.note_guarantees(ctx, &blocked);
         let overdue = ctx
             .cfg
             .guarantee_patience_ms()
-            .and_then(|patience| self.guarantee_waits.next_overdue(ctx.now, patience));
-        self.wake_at = next.into_iter().chain(overdue).min().unwrap_or(Ms::MAX);
+            .and_then(|patience| self.scheduler.guarantee_waits.next_overdue(ctx.now, patience));
+        self.scheduler.wake_at = next.into_iter().chain(overdue).min().unwrap_or(Ms::MAX);
         self.preempt(ctx, calls, &blocked, &used, &rooms);
         pass.used = used;
-        self.pass = Some(pass);
+        self.scheduler.pass = Some(pass);
     }
 
     /// Which teams wait for what they are guaranteed, after a pass that left these jobs without
@@ -333,15 +339,15 @@
     fn note_guarantees(&mut self, ctx: &Context, blocked: &[JobId]) {
         let mut needs = vec![TeamNeed::default(); ctx.cfg.teams.len()];
         let open = |job: &&RunJob| job.ended.is_none() && !job.health.suspect();
-        for job in self.jobs.values().filter(open) {
+        for job in self.cluster.jobs.values().filter(open) {
             let tasks = job.pending() as f64 + job.placed.len() as f64;
             needs[job.team].unfinished_cpus += tasks * job.spec.cpus;
         }
-        for job in blocked.iter().filter_map(|id| self.jobs.get(id)) {
+        for job in blocked.iter().filter_map(|id| self.cluster.jobs.get(id)) {
             needs[job.team].blocked = true;
         }
         let guaranteed = ctx.cfg.teams.iter().map(|team| team.cpus);
-        self.guarantee_waits.note(ctx.now, guaranteed.zip(needs));
+        self.scheduler.guarantee_waits.note(ctx.now, guaranteed.zip(needs));
     }
 
     /// Places on the machine that reports now, by the ranking of the last pass, so that the
@@ -353,12 +359,12 @@
         machine: &MachineId,
         rng: &mut SmallRng,
     ) {
-        let room = self.machines.get(machine).and_then(|m| self.room(ctx, m));
+        let room = self.cluster.machines.get(machine).and_then(|m| self.room(ctx, m));
         let Some(room) = room.filter(|_| ctx.holds_valid_lease && ctx.job_cache_is_fresh) else {
             return;
         };
-        let Some(mut pass) = self.pass.take() else { return };
-        self.visited += 1;
+        let Some(mut pass) = self.scheduler.pass.take() else { return };
+        self.scheduler.visited += 1;
         let mut rooms = vec![room];
         let mut used = std::mem::take(&mut pass.used);
         for id in pass.pressing.clone() {
@@ -376,7 +382,7 @@
             }
         }
         let held = pass.held.as_ref() == Some(machine);
-        let reserved: Vec<JobId> = self.reserved.keys().copied().collect();
+        let reserved: Vec<JobId> = self.scheduler.reserved.keys().copied().collect();
         for id in reserved.iter().filter(|_| !held) {
             if self.may_start(ctx, id) {
                 self.grant_one(ctx, *id, u32::MAX, &mut rooms, &mut used, rng);
@@ -402,17 +408,17 @@
             }
         }
         pass.used = used;
-        self.pass = Some(pass);
+        self.scheduler.pass = Some(pass);
     }
 
     /// Whether tasks of a job that the last pass ranked may still be started.
     fn may_start(&self, ctx: &Context, id: &JobId) -> bool {
         let ready = |j: &RunJob| j.pending() > 0 && j.health.not_before() <= ctx.now;
-        self.jobs.get(id).is_some_and(ready) && !self.unknown.contains(id)
+        self.cluster.jobs.get(id).is_some_and(ready) && !self.failover.unknown.contains(id)
     }
 
     fn runs_nothing(&self, id: JobId) -> bool {
-        self.jobs.get(&id).is_some_and(|j| j.placed.is_empty())
+        self.cluster.jobs.get(&id).is_some_and(|j| j.placed.is_empty())
     }
 
     /// Tasks of a job that its team's limit still allows.
@@ -422,7 +428,7 @@
         id: JobId,
         used: &[(f64, f64)],
     ) -> u32 {
-        let Some(j) = self.jobs.get(&id) else { return 0 };
+        let Some(j) = self.cluster.jobs.get(&id) else { return 0 };
         ctx.cfg.teams[j.team].room(used[j.team], &j.spec).min(j.pending())
     }
 
@@ -435,7 +441,7 @@
         rooms: &mut Vec<Room>,
         used: &mut [(f64, f64)],
     ) -> Option<MachineId> {
-        let j = self.jobs.get(&id)?;
+        let j = self.cluster.jobs.get(&id)?;
         let allowed = |r: &Room| {
             (j.spec.spot || !r.spot)
                 && j.spec.zone.as_ref().is_none_or(|z| *z == r.zone)
@@ -461,7 +467,7 @@
         rng: &mut SmallRng,
     ) -> bool {
         let granted = self.grant(ctx, id, most, rooms, used, rng);
-        let Some(j) = self.jobs.get_mut(&id).filter(|_| granted > 0) else { return false };
+        let Some(j) = self.cluster.jobs.get_mut(&id).filter(|_| granted > 0) else { return false };
         let cost = granted as f64 * j.spec.cpus * ctx.cfg.policy.lease_term_s;
         j.account.granted += cost;
         j.started = true;
@@ -480,10 +486,10 @@
     ) -> Option<(usize, JobId)> {
         let beyond = |t: usize| used[t].0 > ctx.cfg.teams[t].cpus + 1e-9;
         let rank = |team: usize, id: &JobId| {
-            let j = &self.jobs[id];
+            let j = &self.cluster.jobs[id];
             let within = used[team].0 + j.spec.cpus <= ctx.cfg.teams[team].cpus + 1e-9;
             let others = (0..used.len()).any(|t| t != team && beyond(t));
-            let may_stop = (within || others) && self.reach.contains_key(id);
+            let may_stop = (within || others) && self.scheduler.reach.contains_key(id);
             let priority = if may_stop { j.spec.priority } else { Priority::Low };
             (Reverse(priority), self.ledger.teams[team].degree())
         };
@@ -498,15 +504,15 @@
     /// keeps a job where it is.
     fn rank(&self, ctx: &Context, ids: &mut Vec<JobId>) {
         let key = |j: &RunJob| {
-            let spare = self.reach.get(&j.id).copied();
+            let spare = self.scheduler.reach.get(&j.id).copied();
             let work = j.pending() as f64 * j.spec.cpus * j.spec.estimate_s;
-            let quota = Ledger::quota(ctx.cfg, j.team, self.fleet_cpus).max(1.0);
+            let quota = Ledger::quota(ctx.cfg, j.team, self.scheduler.fleet_cpus).max(1.0);
             // What is late has only its end to gain: the longest first.
             let time = spare.map_or(-j.spec.estimate_s, |s| s + 3.0 * work / quota);
             (Reverse(j.spec.priority), spare.is_none(), time, j.started, j.account.degree(), j.at)
         };
         let mut keyed: Vec<_> =
-            ids.iter().filter_map(|id| self.jobs.get(id)).map(|j| (key(j), j.id)).collect();
+            ids.iter().filter_map(|id| self.cluster.jobs.get(id)).map(|j| (key(j), j.id)).collect();
         keyed.sort_by(|(a, _), (b, _)| {
             (a.0, a.1)
                 .cmp(&(b.0, b.1))
@@ -522,11 +528,12 @@
     /// Where the tasks of a job may be, if its zones are restricted.
     pub(in crate::leader) fn spread_of(&self, id: JobId) -> Spread {
         let mut spread = Spread::default();
-        let restricted = self.jobs.get(&id).is_some_and(|job| job.spec.one_zone || job.spec.spread);
+        let restricted =
+            self.cluster.jobs.get(&id).is_some_and(|job| job.spec.one_zone || job.spec.spread);
         if !restricted {
             return spread;
         }
-        for machine in self.machines.values() {
+        for machine in self.cluster.machines.values() {
             let of_job = |((task, _), entry): &(&(TaskId, Attempt), &TaskSlot)| {
                 task.job == id && entry.holds()
             };
@@ -551,9 +558,9 @@
         let want = self.limit_room(ctx, id, used).min(most);
         let need = self.need(id);
         let spread = self.spread_of(id);
-        let Some(j) = self.jobs.get_mut(&id).filter(|_| want > 0) else { return 0 };
+        let Some(j) = self.cluster.jobs.get_mut(&id).filter(|_| want > 0) else { return 0 };
         let want = want.min(j.room()).min(if j.spec.is_service() { 1 } else { u32::MAX });
-        let machines = &self.machines;
+        let machines = &self.cluster.machines;
         let image = |m: &MachineId| machines.get(m).is_some_and(|m| m.has_image(&j.spec.image));
         let sample = ctx.cfg.policy.sample;
         let avoid = |m: &MachineId| j.health.avoids(m, ctx.now);
@@ -571,12 +578,12 @@
         }
         let Some((at, n)) = found else { return 0 };
         let machine = rooms[at].machine.clone();
-        let Some(m) = self.machines.get_mut(&machine) else { return 0 };
+        let Some(m) = self.cluster.machines.get_mut(&machine) else { return 0 };
         let mut placed = 0;
         while placed < n {
             let Some(index) = j.next_pending() else { break };
-            let Some(count) = self.attempts.checked_add(1) else { break };
-            self.attempts = count;
+            let Some(count) = self.scheduler.attempts.checked_add(1) else { break };
+            self.scheduler.attempts = count;
             let attempt = Attempt((self.token.0 << 32) | u64::from(count));
             let task = TaskId { job: id, index };
             j.placed.insert(index, (machine.clone(), attempt));
--- a/crates/basaltrail-core/src/leader/scheduler/cycle_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle_tests.rs
@@ -31,8 +31,8 @@
         job_cache_is_fresh: true,
     };
     let mut leader = Leader::new(&ctx, FencingToken(2), 1);
-    leader.fleet_cpus = 1_000.0;
+    leader.scheduler.fleet_cpus = 1_000.0;
     assert!(leader.find_reach(&ctx, &[(0.0, 0.0); 2]).contains_key(&JobId(1)));
-    leader.fleet_cpus = 50.0;
+    leader.scheduler.fleet_cpus = 50.0;
     assert!(!leader.find_reach(&ctx, &[(0.0, 0.0); 2]).contains_key(&JobId(1)));
 }
--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -42,7 +42,7 @@
     /// only: what cannot save would lose all it has done.
     pub(in crate::leader) fn victims(&self, ctx: &Context) -> Vec<Victim> {
         let mut ranked: Vec<(VictimRank, Victim)> = Vec::new();
-        for m in self.machines.values().filter(|m| self.usable(ctx, m)) {
+        for m in self.cluster.machines.values().filter(|m| self.usable(ctx, m)) {
             for (key, e) in &m.entries {
                 let Some(n) = e.need.filter(|n| n.save_s.is_some()) else { continue };
                 // Stopping what has just begun costs more than it ran.
@@ -55,7 +55,7 @@
                 if !e.runs() || e.stop.is_some() || young {
                     continue;
                 }
-                let spare = self.reach.get(&key.0.job);
+                let spare = self.scheduler.reach.get(&key.0.job);
                 let time = spare.map_or(i64::MIN, |s| -s as i64 / 30);
                 let victim = Victim { machine: m.id.clone(), key: *key, need: n };
                 ranked.push(((n.priority, time, Ms::MAX - e.since), victim));
@@ -68,11 +68,12 @@
     /// hold room, also those that cannot save or have just begun; services last.
     fn victims_of_guarantees(&self, ctx: &Context) -> Vec<Victim> {
         let mut ranked: Vec<((bool, VictimRank), Victim)> = Vec::new();
-        for machine in self.machines.values().filter(|machine| self.usable(ctx, machine)) {
+        for machine in self.cluster.machines.values().filter(|machine| self.usable(ctx, machine)) {
             for (key, entry) in &machine.entries {
                 let held = entry.need.filter(|_| entry.holds() && entry.stop.is_none());
                 let Some(need) = held else { continue };
-                let service = self.jobs.get(&key.0.job).is_some_and(|job| job.spec.is_service());
+                let service =
+                    self.cluster.jobs.get(&key.0.job).is_some_and(|job| job.spec.is_service());
                 let rank = (need.priority, 0, Ms::MAX - entry.since);
                 let victim = Victim { machine: machine.id.clone(), key: *key, need };
                 ranked.push(((service, rank), victim));
@@ -89,7 +90,7 @@
             let kind = MachineKind { machine_type, zone: room.zone.clone(), spot: room.spot };
             coming.add(kind, room.cpus);
         }
-        for machine in self.machines.values() {
+        for machine in self.cluster.machines.values() {
             let stopped = machine.entries.values().filter(|e| e.holds() && e.stop.is_some());
             let cpus: f64 = stopped.filter_map(|e| e.need).map(|need| need.cpus).sum();
             if cpus > 0.0 {
@@ -114,7 +115,7 @@
         let mut victims_of_guarantees: Option<Vec<Victim>> = None;
         let mut stopped = 0;
         for id in blocked {
-            let Some(j) = self.jobs.get(id) else { continue };
+            let Some(j) = self.cluster.jobs.get(id) else { continue };
             let team = &ctx.cfg.teams[j.team];
             let mut want = j.spec.cpus * self.limit_room(ctx, *id, used) as f64;
             let spread = self.spread_of(*id);
@@ -126,7 +127,8 @@
             want -= coming.take(want, |kind| useful(&kind.machine_type, &kind.zone, kind.spot));
             // A job with time to lose gets room as tasks end; each stop costs a save and a start.
             let soon_ms = SOON_LEASES * ctx.cfg.lease_ms as f64;
-            let pressed = self.reach.get(id).is_some_and(|spare_s| spare_s * 1000.0 < soon_ms);
+            let pressed =
+                self.scheduler.reach.get(id).is_some_and(|spare_s| spare_s * 1000.0 < soon_ms);
             let mut guarantee = (team.cpus - used[j.team].0).max(0.0);
             if want <= 1e-9 || !(pressed || guarantee >= j.spec.cpus - 1e-9) {
                 continue;
@@ -134,7 +136,7 @@
             let overdue = ctx
                 .cfg
                 .guarantee_patience_ms()
-                .is_some_and(|most| self.guarantee_waits.overdue(j.team, ctx.now, most));
+                .is_some_and(|most| self.scheduler.guarantee_waits.overdue(j.team, ctx.now, most));
             let victims = match overdue {
                 true => {
                     victims_of_guarantees.get_or_insert_with(|| self.victims_of_guarantees(ctx))
@@ -158,7 +160,7 @@
                 if !reclaim && (overdue || !lower) {
                     continue;
                 }
-                let m = self.machines.get_mut(machine);
+                let m = self.cluster.machines.get_mut(machine);
                 let m = m.filter(|m| useful(&m.machine_type, &m.zone, m.spot));
                 let e = m.and_then(|m| m.entries.get_mut(key)).filter(|e| e.stop.is_none());
                 let Some(e) = e else { continue };
@@ -171,7 +173,7 @@
                 cleared = true;
             }
             if cleared {
-                self.reserved.insert(*id, ctx.now + ctx.cfg.lease_ms);
+                self.scheduler.reserved.insert(*id, ctx.now + ctx.cfg.lease_ms);
             }
         }
         if stopped > 0 {
--- a/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
@@ -42,9 +42,9 @@
         };
         m.entries.insert((TaskId { job: JobId(1), index }, Attempt(index as u64)), e);
     }
-    leader.machines.insert(id.clone(), m);
+    leader.cluster.machines.insert(id.clone(), m);
     let mut victims = |now| {
-        leader.machines.get_mut(&id).unwrap().last_heartbeat = Some(now);
+        leader.cluster.machines.get_mut(&id).unwrap().last_heartbeat = Some(now);
         leader.victims(&at(now)).len()
     };
     assert_eq!((victims(5_000), victims(30_500), victims(36_000)), (0, 1, 2));
@@ -112,9 +112,9 @@
         };
         let task = TaskId { job, index: index as u32 };
         machine.entries.insert((task, Attempt(index as u64)), entry);
-        leader.machines.insert(machine.id.clone(), machine);
+        leader.cluster.machines.insert(machine.id.clone(), machine);
     }
-    leader.reach.insert(JobId(2), 0.0);
+    leader.scheduler.reach.insert(JobId(2), 0.0);
     let free_spot = Room {
         machine: MachineId("m-2".into()),
         type_index: 0,
@@ -126,6 +126,7 @@
     };
     leader.preempt(&ctx, &mut Calls::default(), &[JobId(2)], &[(16.0, 0.0)], &[free_spot]);
     let stopped: Vec<String> = leader
+        .cluster
         .machines
         .values()
         .filter(|machine| machine.entries.values().any(|entry| entry.stop.is_some()))
--- a/crates/basaltrail-core/src/leader/scheduler/services.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services.rs
@@ -102,34 +102,34 @@
         }
         let until = ctx.now + REMEMBERED_LEASES * ctx.cfg.lease_ms;
         let size = |s: &JobSpec| s.cpus * f64::from(s.tasks);
-        self.shapes.retain(|_, s| s.until > ctx.now);
-        if let Some(s) = self.shapes.get_mut(&spec.class) {
+        self.scheduler.shapes.retain(|_, s| s.until > ctx.now);
+        if let Some(s) = self.scheduler.shapes.get_mut(&spec.class) {
             s.until = until;
             if size(spec) > size(&s.spec) {
                 s.spec = spec.clone();
             }
-        } else if self.shapes.len() < CLASSES_MOST {
-            self.shapes.insert(spec.class.clone(), Shape { spec: spec.clone(), until });
+        } else if self.scheduler.shapes.len() < CLASSES_MOST {
+            self.scheduler.shapes.insert(spec.class.clone(), Shape { spec: spec.clone(), until });
         }
     }
 
     /// Whether another replica of this service has run for a while: its failure here is then
     /// not the service's.
     pub(in crate::leader) fn service_stands(&self, ctx: &Context, task: TaskId) -> bool {
-        let Some(j) = self.jobs.get(&task.job).filter(|j| j.spec.is_service()) else {
+        let Some(j) = self.cluster.jobs.get(&task.job).filter(|j| j.spec.is_service()) else {
             return false;
         };
         let others = j.placed.iter().filter(|(index, _)| **index != task.index);
         others.take(16).any(|(index, (machine, attempt))| {
             let key = (TaskId { job: task.job, index: *index }, *attempt);
-            let e = self.machines.get(machine).and_then(|m| m.entries.get(&key));
+            let e = self.cluster.machines.get(machine).and_then(|m| m.entries.get(&key));
             e.and_then(|e| e.running_since).is_some_and(|t| ctx.now >= t + ctx.cfg.lease_ms / 2)
         })
     }
 
     /// Services whose replicas go before the ranking: they are missed from the first second.
     pub(in crate::leader) fn pressing(&self, id: &JobId) -> bool {
-        self.jobs.get(id).is_some_and(|j| presses(&j.spec))
+        self.cluster.jobs.get(id).is_some_and(|j| presses(&j.spec))
     }
 
     /// Holds room ready on the machines that have some, within the guarantees.
@@ -142,7 +142,7 @@
         let mut ready = ReservedCapacity::default();
         let mut left: Vec<f64> =
             ctx.cfg.teams.iter().zip(used).map(|(t, (used, _))| t.cpus - used).collect();
-        for shape in self.shapes.values().filter(|s| s.until > ctx.now) {
+        for shape in self.scheduler.shapes.values().filter(|s| s.until > ctx.now) {
             for zone in &ctx.cfg.zones {
                 if shape.spec.zone.as_ref().is_some_and(|z| z != zone) {
                     continue;
@@ -173,7 +173,7 @@
     /// waiting beside it.
     pub(in crate::leader) fn starving(&mut self, ctx: &Context) -> Vec<JobId> {
         let mut out = Vec::new();
-        for j in self.jobs.values_mut() {
+        for j in self.cluster.jobs.values_mut() {
             let bare = j.ended.is_none() && j.pending() > 0 && j.placed.is_empty();
             j.bare_since = bare.then(|| j.bare_since.unwrap_or(ctx.now));
             let long = ctx.cfg.lease_ms * STARVING_LEASES;
@@ -204,30 +204,32 @@
             false => f64::from(n) / zones as f64,
         };
         let running = self
+            .cluster
             .jobs
             .values()
             .filter(|j| j.ended.is_none() && j.spec.is_service() && here(&j.spec))
             .map(|j| part(&j.spec, j.wanted()) / f64::from(t.holds(&j.spec)));
-        let shapes = self.shapes.values().filter(|s| s.until > ctx.now && here(&s.spec));
+        let shapes = self.scheduler.shapes.values().filter(|s| s.until > ctx.now && here(&s.spec));
         let held =
             shapes.map(|s| f64::from(s.in_zone(zones) * READY) / f64::from(t.holds(&s.spec)));
         running.chain(held).sum::<f64>().ceil() as usize
     }
 
     fn any_service(&self) -> bool {
-        self.jobs.values().any(|j| j.spec.is_service())
+        self.cluster.jobs.values().any(|j| j.spec.is_service())
     }
 
     pub(in crate::leader) fn with_replicas(&self) -> BTreeSet<MachineId> {
         if !self.any_service() {
             return BTreeSet::new();
         }
-        let with = self.machines.values().filter(|m| self.has_replicas(m));
+        let with = self.cluster.machines.values().filter(|m| self.has_replicas(m));
         with.map(|m| m.id.clone()).collect()
     }
 
     fn has_replicas(&self, m: &Machine) -> bool {
-        let service = |t: &TaskId| self.jobs.get(&t.job).is_some_and(|j| j.spec.is_service());
+        let service =
+            |t: &TaskId| self.cluster.jobs.get(&t.job).is_some_and(|j| j.spec.is_service());
         m.entries.iter().any(|((t, _), e)| e.holds() && service(t))
     }
 
@@ -239,10 +241,15 @@
             return BTreeSet::new();
         }
         let silent = |m: &Machine, after: Ms| {
-            m.last_heartbeat.is_some_and(|t| ctx.now > t.max(self.woke) + after)
+            m.last_heartbeat.is_some_and(|t| ctx.now > t.max(self.liveness.woke) + after)
         };
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired) {
+        for m in self
+            .cluster
+            .machines
+            .values()
+            .filter(|m| m.last_heartbeat.is_some() && !m.lease_expired)
+        {
             let zone = zones.entry(&m.zone).or_default();
             zone.0 += 1;
             zone.1 += silent(m, ctx.cfg.heartbeat_interval_ms * 2) as usize;
@@ -254,7 +261,7 @@
         let lost = |m: &&Machine| {
             !m.lease_expired && silent(m, after) && few(&m.zone) && self.has_replicas(m)
         };
-        self.machines.values().filter(lost).map(|m| m.id.clone()).collect()
+        self.cluster.machines.values().filter(lost).map(|m| m.id.clone()).collect()
     }
 }
 
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -47,12 +47,12 @@
     /// A leader with so many machines in each zone, all of them heard just now.
     fn leads(&self, per_zone: usize, spot: bool) -> Leader {
         let mut leader = Leader::new(&self.ctx(0), FencingToken(2), 1);
-        leader.loading = Loading::Complete;
+        leader.failover.loading = Loading::Complete;
         for i in 0..2 * per_zone {
             let id = MachineId(format!("m-{i:02}").into());
             let mut m = Machine::new(id.clone(), "x", ["a", "b"][i % 2], spot, 0);
             (m.hears, m.durable, m.last_heartbeat, m.agent_epoch) = (true, true, Some(0), 1);
-            leader.machines.insert(id, m);
+            leader.cluster.machines.insert(id, m);
         }
         leader
     }
@@ -60,13 +60,13 @@
 
 fn place(bench: &Bench, leader: &mut Leader, now: Ms) {
     use rand::SeedableRng;
-    leader.next_place = 0;
+    leader.scheduler.next_place = 0;
     leader.place(&bench.ctx(now), &mut Calls::default(), &mut SmallRng::seed_from_u64(1));
 }
 
 fn where_is(leader: &Leader, job: u64) -> Vec<String> {
     let on = |m: &&Machine| m.entries.keys().any(|(t, _)| t.job == JobId(job));
-    leader.machines.values().filter(on).map(|m| m.id.to_string()).collect()
+    leader.cluster.machines.values().filter(on).map(|m| m.id.to_string()).collect()
 }
 
 /// Packed on as few machines as possible, all replicas would go with one of them.
@@ -79,7 +79,7 @@
     let mut few = bench.leads(1, false);
     place(&bench, &mut few, 100);
     assert_eq!(where_is(&few, 1).len(), 2);
-    assert_eq!(few.jobs[&JobId(1)].pending(), 0, "two on each are better than none");
+    assert_eq!(few.cluster.jobs[&JobId(1)].pending(), 0, "two on each are better than none");
 }
 
 /// An array would take every place, and a service that comes, or comes back, would wait for
@@ -91,9 +91,9 @@
         let bench = Bench::new(&[service(4, 2.0), array.clone()], guarantee);
         let mut leader = bench.leads(4, false);
         place(&bench, &mut leader, 100);
-        let free: f64 = leader.machines.values().map(|m| 8.0 - m.used().0).sum();
+        let free: f64 = leader.cluster.machines.values().map(|m| 8.0 - m.used().0).sum();
         assert!(free >= held && free <= held + 8.0, "guarantee {guarantee}: {free} held");
-        assert_eq!(leader.jobs[&JobId(1)].pending(), 0);
+        assert_eq!(leader.cluster.jobs[&JobId(1)].pending(), 0);
     }
 }
 
@@ -104,7 +104,7 @@
     let mut leader = bench.leads(1, false);
     place(&bench, &mut leader, 100);
     assert!(where_is(&leader, 2).is_empty(), "all is held");
-    for m in leader.machines.values_mut() {
+    for m in leader.cluster.machines.values_mut() {
         m.last_heartbeat = Some(50_000);
     }
     place(&bench, &mut leader, 50_000);
@@ -122,7 +122,7 @@
         where_is(&leader, 1).iter().map(|m| MachineId(m.as_str().into())).collect();
     let now = 10_000;
     let hear = |leader: &mut Leader, silent: &[MachineId], at: Ms| {
-        for m in leader.machines.values_mut() {
+        for m in leader.cluster.machines.values_mut() {
             m.last_heartbeat = Some(if silent.contains(&m.id) { at } else { now });
         }
     };
@@ -130,16 +130,22 @@
     assert!(leader.silent_with_replicas(&bench.ctx(now)).is_empty(), "too soon");
     hear(&mut leader, &with[..1], now - 3_600);
     assert_eq!(leader.silent_with_replicas(&bench.ctx(now)).len(), 1);
-    leader.woke = now - 2_000;
+    leader.liveness.woke = now - 2_000;
     assert!(leader.silent_with_replicas(&bench.ctx(now)).is_empty(), "we stood still ourselves");
-    leader.woke = 0;
+    leader.liveness.woke = 0;
     // Half of a zone.
-    let zone: Vec<MachineId> =
-        leader.machines.values().filter(|m| m.zone == "a").map(|m| m.id.clone()).take(4).collect();
+    let zone: Vec<MachineId> = leader
+        .cluster
+        .machines
+        .values()
+        .filter(|m| m.zone == "a")
+        .map(|m| m.id.clone())
+        .take(4)
+        .collect();
     hear(&mut leader, &zone, now - 3_600);
     assert!(leader.silent_with_replicas(&bench.ctx(now)).is_empty(), "a cut");
     // One without a replica may wait for its lease.
-    let bare = leader.machines.keys().find(|m| !with.contains(m)).unwrap().clone();
+    let bare = leader.cluster.machines.keys().find(|m| !with.contains(m)).unwrap().clone();
     hear(&mut leader, &[bare], now - 3_600);
     assert!(leader.silent_with_replicas(&bench.ctx(now)).is_empty());
 }
@@ -167,7 +173,7 @@
     let mut bench = Bench::new(&[service(40, 1.0), a_job(10, true)], 100.0);
     cfg(&mut bench);
     let mut leader = bench.leads(8, false);
-    leader.fleet_cpus = 128.0;
+    leader.scheduler.fleet_cpus = 128.0;
     let reach = leader.find_reach(&bench.ctx(0), &[(0.0, 0.0)]);
     assert_eq!(reach.get(&JobId(1)), Some(&0.0), "its replicas are missed");
     assert!(reach.contains_key(&JobId(2)), "the array can be in time");
@@ -194,7 +200,7 @@
         tasks: Vec::new(),
     };
     let mut heartbeat = heartbeat;
-    let entries = &mut leader.machines.get_mut(&id).unwrap().entries;
+    let entries = &mut leader.cluster.machines.get_mut(&id).unwrap().entries;
     for ((task, attempt), e) in entries.iter_mut() {
         e.place = TaskPhase::Told(TaskState::Running);
         let (task, attempt) = (*task, *attempt);
