--- a/crates/basaltrail-core/tests/simulation/simulated/allotments.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/allotments.rs
@@ -34,7 +34,7 @@
     fn allot(&mut self) {
         for controller in 0..CONTROLLERS {
             self.controllers[controller].next_configuration.policy = policy();
-            self.boot(controller);
+            self.start_controller(controller);
         }
     }
 
@@ -54,12 +54,12 @@
     /// each team.
     fn play_within_bounds(&mut self, until: u64) -> [usize; CPUS_MAX.len()] {
         let mut most = [0; CPUS_MAX.len()];
-        while self.t < until {
-            self.play(self.t + 100);
+        while self.now < until {
+            self.run_until(self.now + 100);
             for (team, active) in self.active_jobs().into_iter().enumerate() {
                 most[team] = most[team].max(active);
                 if active > most_jobs(team) {
-                    self.rule(format!("backlog: {active} jobs of team {team}"));
+                    self.violation(format!("backlog: {active} jobs of team {team}"));
                 }
             }
         }
@@ -106,13 +106,13 @@
 
 impl World {
     fn accepted(&self, jobs: std::ops::Range<u64>) -> usize {
-        let told = |u: &&User| jobs.contains(&u.job.0) && u.told != Told::Nothing;
-        self.users.iter().filter(told).count()
+        let observed = |u: &&User| jobs.contains(&u.job.0) && u.observed != Observed::Unknown;
+        self.users.iter().filter(observed).count()
     }
 
     fn check(&mut self, seed: u64) {
-        self.broken.truncate(5);
-        assert!(self.broken.is_empty(), "seed {seed}: {:#?}", self.broken);
+        self.violations.truncate(5);
+        assert!(self.violations.is_empty(), "seed {seed}: {:#?}", self.violations);
     }
 }
 
@@ -134,7 +134,7 @@
 #[test]
 fn without_allotments_the_flood_is_accepted() {
     let mut w = World::with(SmallRng::seed_from_u64(1), flood(30_000));
-    w.play(40_000);
+    w.run_until(40_000);
     assert!(w.active_jobs()[1] > most_jobs(1));
 }
 
@@ -146,9 +146,9 @@
         for n in 0..10 {
             let leader = w.leader();
             leader.into_iter().for_each(|leader| w.end(leader, [20, 400, 3_000][n % 3]));
-            w.play_within_bounds(w.t + 9_000);
+            w.play_within_bounds(w.now + 9_000);
         }
-        w.play_within_bounds(w.t + 300_000);
+        w.play_within_bounds(w.now + 300_000);
         w.check_end();
         w.check(seed);
     }
@@ -161,17 +161,17 @@
     for seed in 0..6 {
         let mut w = flooded(seed);
         w.play_within_bounds(30_200);
-        w.late_writes = Partly { until: w.t + 60_000, share: 0.3, other: seed % 2 == 0 };
+        w.late_writes = Partly { until: w.now + 60_000, share: 0.3, other: seed % 2 == 0 };
         for n in 0..6 {
             let controller = (n + seed as usize) % CONTROLLERS;
-            w.controllers[controller].freezes_until = w.t + 14_000;
-            w.play_within_bounds(w.t + 6_000);
+            w.controllers[controller].freezes_until = w.now + 14_000;
+            w.play_within_bounds(w.now + 6_000);
         }
-        w.quiet(30_000);
-        w.play_within_bounds(w.t + 300_000);
+        w.extend_faults(30_000);
+        w.play_within_bounds(w.now + 300_000);
         w.check_end();
         w.check(seed);
-        assert!(w.met.contains_key("late write lost") || w.met.contains_key("answer lost"));
+        assert!(w.moments.contains_key("late write lost") || w.moments.contains_key("answer lost"));
     }
 }
 
@@ -184,9 +184,9 @@
         w.play_within_bounds(30_300);
         for n in 0..12 {
             w.end(n % CONTROLLERS, 20);
-            w.play_within_bounds(w.t + 1_500);
+            w.play_within_bounds(w.now + 1_500);
         }
-        w.play_within_bounds(w.t + 330_000);
+        w.play_within_bounds(w.now + 330_000);
         w.check_end();
         w.check(seed);
     }
@@ -198,7 +198,7 @@
         let mut w = flooded(seed);
         w.play_within_bounds(30_400);
         w.outage(6_000);
-        w.play_within_bounds(w.t + 330_000);
+        w.play_within_bounds(w.now + 330_000);
         w.check_end();
         w.check(seed);
     }
@@ -210,10 +210,10 @@
         let mut w = World::new(seed);
         w.services_only_where_known();
         w.allot();
-        w.run(1 + (seed % 2) as u32, DAY);
+        w.run(1 + (seed % 2) as u32, DAY_MS);
         // A day may end before the last task of an unlucky job; the rules hold all the same.
         w.check(seed);
-        assert!(w.started > 50, "seed {seed}: nothing_ran ({})", w.started);
+        assert!(w.tasks_started > 50, "seed {seed}: nothing_ran ({})", w.tasks_started);
     }
 }
 
@@ -224,14 +224,14 @@
     for seed in 0..4 {
         let mut w = World::with(SmallRng::seed_from_u64(seed), flood(30_000));
         w.controllers[0].next_configuration.policy = policy();
-        w.boot(0);
-        w.play(30_500);
+        w.start_controller(0);
+        w.run_until(30_500);
         for n in 0..8 {
             let leader = w.leader();
             leader.into_iter().for_each(|leader| w.end(leader, [20, 3_000][n % 2]));
-            w.play(w.t + 9_000);
+            w.run_until(w.now + 9_000);
         }
-        w.play(w.t + 300_000);
+        w.run_until(w.now + 300_000);
         w.check_end();
         w.check(seed);
     }
@@ -248,10 +248,10 @@
     for controller in 0..CONTROLLERS {
         let admission = AdmissionPolicy { backlog_s: 600.0, class_least };
         w.controllers[controller].next_configuration.policy.admission = Some(admission);
-        w.boot(controller);
+        w.start_controller(controller);
     }
-    w.play(240_000);
-    assert!(w.broken.is_empty(), "{:#?}", w.broken);
+    w.run_until(240_000);
+    assert!(w.violations.is_empty(), "{:#?}", w.violations);
     let done = |jobs: std::ops::Range<u64>| {
         let of_class = w.users.iter().filter(|u| jobs.contains(&u.job.0));
         of_class.map(|u| u.done.len()).sum::<usize>()
--- a/crates/basaltrail-core/tests/simulation/simulated/checks.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/checks.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-/// What a leader ordered begins within so long: a worker takes an answer for [`PATIENCE`], may
+/// What a leader ordered begins within so long: a worker takes an answer for [`REPLY_TIMEOUT_MS`], may
 /// hang for the rest of its lease, and then has the image.
-const BEGINS: u64 = LEASE + 3_000;
+const STARTS_WITHIN_MS: u64 = LEASE_MS + 3_000;
 
 impl World {
     /// The rules that a task can break by starting.
     pub(super) fn check_start(&mut self, m: usize, user: usize, key: (TaskId, Attempt)) {
-        self.started += 1;
-        self.users[user].begun.get_or_insert(self.t);
+        self.tasks_started += 1;
+        self.users[user].first_started.get_or_insert(self.now);
         let task = key.0;
         let u = &self.users[user];
         let w = &self.workers[m];
@@ -48,7 +48,7 @@
             }
         }
         for b in bad {
-            self.rule(b);
+            self.violation(b);
         }
     }
 
@@ -56,7 +56,7 @@
     /// it ordered may still begin.
     fn limit_in_force(&self, team: usize) -> f64 {
         let limits = self.controllers.iter().flat_map(|controller| {
-            let late = |(ended, _): &&(u64, Configuration)| self.t <= *ended + BEGINS;
+            let late = |(ended, _): &&(u64, Configuration)| self.now <= *ended + STARTS_WITHIN_MS;
             let earlier = controller.earlier.iter().filter(late).map(|(_, earlier)| earlier);
             earlier.chain([&controller.configuration])
         });
@@ -66,37 +66,39 @@
     pub(super) fn check_cancelled(&mut self) {
         let mut bad = Vec::new();
         for u in &self.users {
-            if let Told::Cancelled(at) = u.told {
+            if let Observed::Cancelled(at) = u.observed {
                 for (m, w) in self.workers.iter().enumerate() {
                     let here = w.tasks.iter().any(|(k, r)| k.0.job == u.job && Self::on_machine(r));
-                    if here && self.t > at + CANCEL {
+                    if here && self.now > at + CANCEL_MS {
                         bad.push((at, format!("ran_cancelled: {} on {m}", u.job)));
                     }
                 }
             }
         }
-        for (told, what) in bad {
-            self.rule_of_cancelled(told, what);
+        for (observed, what) in bad {
+            self.violation_after_cancellation(observed, what);
         }
     }
 
     /// With every trouble over for so long, each job that is not over was spoken of.
-    pub(super) fn check_known(&mut self) {
-        let quiet = self.quiet_at;
-        let silent = |u: &&User| u.told == Told::Accepted && u.at < quiet && u.answered < quiet;
+    pub(super) fn check_forgotten(&mut self) {
+        let faults_over = self.faults_over_at;
+        let silent = |u: &&User| {
+            u.observed == Observed::Accepted && u.at < faults_over && u.last_answered < faults_over
+        };
         let bad: Vec<JobId> = self.users.iter().filter(silent).map(|u| u.job).collect();
         for job in bad {
-            self.rule(format!("forgotten: no answer about {job} since {quiet} ms"));
+            self.violation(format!("forgotten: no answer about {job} since {faults_over} ms"));
         }
     }
 
     pub(super) fn check_end(&mut self) {
         for u in &self.users {
-            if let (None, Told::Done | Told::Accepted) = (u.begun, u.told) {
-                self.broken.push(format!("job {} never began", u.job));
+            if let (None, Observed::Done | Observed::Accepted) = (u.first_started, u.observed) {
+                self.violations.push(format!("job {} never began", u.job));
             }
-            if u.told == Told::Nothing || u.told == Told::Accepted {
-                self.broken.push(format!(
+            if u.observed == Observed::Unknown || u.observed == Observed::Accepted {
+                self.violations.push(format!(
                     "job {} never ended: {} of {}",
                     u.job,
                     u.done.len(),
@@ -110,8 +112,8 @@
 impl World {
     /// Once the troubles are over, no job is left waiting while a machine that fits has room
     /// and its team is under its limit.
-    pub(super) fn check_left(&mut self) {
-        let t = self.t;
+    pub(super) fn check_unscheduled(&mut self) {
+        let t = self.now;
         let mut used = [0.0; CPUS_MAX.len()];
         let mut rooms = Vec::new();
         let mut placed: BTreeMap<JobId, u32> = BTreeMap::new();
@@ -119,27 +121,29 @@
             self.users.iter().map(|u| (u.job, &u.spec)).collect();
         let team = |s: &JobSpec| s.team[1..].parse::<usize>().unwrap();
         for w in self.workers.iter().filter(|w| w.alive && t >= w.up_at) {
-            let mut room = CPUS;
-            let held = |r: &Running| !matches!(r.state, TaskState::Exited(_));
+            let mut room = MACHINE_CPUS;
+            let held = |r: &SimulatedTask| !matches!(r.state, TaskState::Exited(_));
             for (k, _) in w.tasks.iter().filter(|(_, r)| held(r)) {
                 let spec = specs[&k.0.job];
                 room -= spec.cpus;
                 used[team(spec)] += spec.cpus;
                 *placed.entry(k.0.job).or_default() += 1;
             }
-            let away = [w.hangs_until, w.deaf_until, w.mute_until].into_iter().any(|u| t < u);
-            if !away && !w.faulty && w.taken_at.is_none() {
+            let away = [w.hung_until, w.downlink_lost_until, w.uplink_lost_until]
+                .into_iter()
+                .any(|u| t < u);
+            if !away && !w.faulty && w.reclaimed_at.is_none() {
                 rooms.push((w.zone, w.spot, room));
             }
         }
-        let quiet = self.quiet_at;
+        let faults_over = self.faults_over_at;
         let mut bad = Vec::new();
         for u in &mut self.users {
             let s = &u.spec;
-            let waits = t > quiet
-                && u.told == Told::Accepted
+            let waits = t > faults_over
+                && u.observed == Observed::Accepted
                 && u.cancel_at.is_none_or(|c| t < c)
-                && !u.broken
+                && !u.faulty_job
                 && u.done.len() < s.tasks as usize
                 // Of a service each replica counts.
                 && placed.get(&u.job).is_none_or(|n| s.is_service() && *n < s.tasks)
@@ -150,14 +154,14 @@
                         && (s.spot || !spot)
                         && s.zone.as_deref().is_none_or(|z| z == ZONES[*zone])
                 });
-            u.left_since = waits.then(|| u.left_since.unwrap_or(t));
-            if u.left_since.is_some_and(|since| t > since + LEFT) {
-                u.left_since = None;
+            u.unscheduled_since = waits.then(|| u.unscheduled_since.unwrap_or(t));
+            if u.unscheduled_since.is_some_and(|since| t > since + SCHEDULED_WITHIN_MS) {
+                u.unscheduled_since = None;
                 bad.push(u.job);
             }
         }
         for job in bad {
-            self.rule(format!("left waiting: {job}"));
+            self.violation(format!("left waiting: {job}"));
         }
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
@@ -13,78 +13,81 @@
 impl World {
     pub(super) fn step(&mut self, i: usize, input: Input) {
         let c = &mut self.controllers[i];
-        let now = ((self.t - c.born) as f64 * c.drift) as u64;
+        let now = ((self.now - c.born) as f64 * c.drift) as u64;
         let Some(controller) = c.process.as_mut() else { return };
-        let effects = controller.step(now, self.t as i64, input);
+        let effects = controller.step(now, self.now as i64, input);
         let epoch = c.epoch;
-        if c.freezes_until > self.t {
+        if c.freezes_until > self.now {
             c.frozen_until = std::mem::take(&mut c.freezes_until);
         }
         // What is built in the step in which it comes to stand goes out when it goes on.
-        let goes = self.t.max(c.frozen_until);
-        let island = c.island_until;
+        let goes = self.now.max(c.frozen_until);
+        let island = c.isolated_until;
         for e in effects {
             match e {
                 Effect::Answer { req, answer } => {
-                    let Some(asker) = self.reqs.remove(&req) else { continue };
+                    let Some(asker) = self.requesters.remove(&req) else { continue };
                     let at = goes + self.delay();
                     match asker {
-                        Asker::Worker(who, n) => {
-                            if self.controllers[i].version.acts_on_old_word() {
-                                self.old_word_at = Some(goes);
+                        Requester::Worker(who, n) => {
+                            if self.controllers[i].version.renews_on_stale_jobs() {
+                                self.stale_renewal_at = Some(goes);
                             }
                             let at = self.between(i, who, at);
                             let sent = self.workers[who].agent_epoch;
-                            self.send(at, usize::MAX, 0, Msg::Orders(who, sent, n, answer));
+                            self.send(at, usize::MAX, 0, Message::Commands(who, sent, n, answer));
                         }
-                        Asker::User(_, q) if at > q.until => {}
+                        Requester::User(_, q) if at > q.until => {}
                         _ if goes < island => {}
-                        _ => self.send(at, usize::MAX, 0, Msg::Answer(asker, answer)),
+                        _ => self.send(at, usize::MAX, 0, Message::Answer(asker, answer)),
                     }
                 }
                 Effect::Store { op, call, timeout_ms } => {
                     let unknown = Input::Store { op, reply: StoreReply::Unknown };
-                    self.send(self.t + timeout_ms, i, epoch, Msg::Input(unknown));
+                    self.send(self.now + timeout_ms, i, epoch, Message::Input(unknown));
                     let mut at = goes + self.delay();
                     if !within(&call, self.controllers[i].configuration.limits) {
-                        self.rule(format!("node {i} wrote beyond its limits: {call:?}"));
+                        self.violation(format!("node {i} wrote beyond its limits: {call:?}"));
                     }
                     // A transaction is carried out twice; nobody hears of the second.
                     if matches!(call, StoreRequest::Transaction { .. }) && self.copied() {
-                        let at = self.t + self.rng.random_range(5..30_000);
-                        self.send(at, i, epoch, Msg::State(CallId(u64::MAX), call.clone()));
+                        let at = self.now + self.rng.random_range(5..30_000);
+                        self.send(at, i, epoch, Message::Store(CallId(u64::MAX), call.clone()));
                     }
-                    if let Some((until, held)) = self.controllers[i].state_cut {
+                    if let Some((until, held)) = self.controllers[i].store_cut {
                         if !held {
                             continue;
                         }
                         at = at.max(until + self.delay()); // carried out late
                     }
-                    self.send(at, i, epoch, Msg::State(op, call));
+                    self.send(at, i, epoch, Message::Store(op, call));
                 }
                 Effect::Cloud { op, call, timeout_ms } => {
                     self.send(
-                        self.t + timeout_ms,
+                        self.now + timeout_ms,
                         i,
                         epoch,
-                        Msg::Input(Input::Cloud { op, reply: CloudReply::Failed }),
+                        Message::Input(Input::Cloud { op, reply: CloudReply::Failed }),
                     );
                     // Now and then a rental or release is carried out much later.
-                    let late =
-                        if self.t < FAULTS_END && self.rng.random_bool(0.05) { 30_000 } else { 0 };
+                    let late = if self.now < FAULTS_END_MS && self.rng.random_bool(0.05) {
+                        30_000
+                    } else {
+                        0
+                    };
                     if self.copied() {
-                        let at = self.t + self.rng.random_range(5..30_000);
-                        self.send(at, i, epoch, Msg::Cloud(CallId(u64::MAX), call.clone()));
+                        let at = self.now + self.rng.random_range(5..30_000);
+                        self.send(at, i, epoch, Message::Cloud(CallId(u64::MAX), call.clone()));
                     }
                     let at = goes.max(island) + 20 + self.delay() + late;
-                    self.send(at, i, epoch, Msg::Cloud(op, call));
+                    self.send(at, i, epoch, Message::Cloud(op, call));
                 }
                 Effect::Peers { progress } => self.tell_peers(i, goes, &progress),
                 Effect::Log(LogEvent::Heartbeat(HeartbeatEvent::RenewalViolation {
                     machine,
                     task,
                 })) => {
-                    self.rule(format!(
+                    self.violation(format!(
                         "node {i}: an answer without the knowledge it takes: {machine} {task:?}"
                     ));
                 }
@@ -95,7 +98,7 @@
 
     /// What a leader tells its peers reaches those that no cut keeps from it.
     fn tell_peers(&mut self, from: usize, at: u64, progress: &[Progress]) {
-        let apart = |c: &SimulatedController| c.island_until > at || c.state_cut.is_some();
+        let apart = |c: &SimulatedController| c.isolated_until > at || c.store_cut.is_some();
         for to in (0..CONTROLLERS).filter(|to| *to != from) {
             let zones = self.zone_cut.is_some() && to % 2 != from % 2;
             if zones || apart(&self.controllers[from]) || apart(&self.controllers[to]) {
@@ -103,7 +106,7 @@
             }
             let epoch = self.controllers[to].epoch;
             let input = Input::Peer { progress: progress.to_vec() };
-            self.send(at + 5, to, epoch, Msg::Input(input));
+            self.send(at + 5, to, epoch, Message::Input(input));
         }
     }
 
@@ -117,56 +120,56 @@
         }
     }
 
-    pub(super) fn state(&mut self, i: usize, epoch: u64, op: CallId, call: StoreRequest) {
-        let down = self.t < self.store.down_until || self.t < self.controllers[i].refused_until;
-        let shut = down || (self.controllers[i].state_cut.is_some() && op != CallId(u64::MAX));
+    pub(super) fn store_request(&mut self, i: usize, epoch: u64, op: CallId, call: StoreRequest) {
+        let down = self.now < self.store.down_until || self.now < self.controllers[i].refused_until;
+        let shut = down || (self.controllers[i].store_cut.is_some() && op != CallId(u64::MAX));
         if let StoreRequest::Watch { prefix, after, wait_ms } = call {
             // Watches that are open wait; a new one is refused.
             if down {
                 let input = Input::Store { op, reply: StoreReply::Refused };
-                return self.send(self.t + 2, i, epoch, Msg::Input(input));
+                return self.send(self.now + 2, i, epoch, Message::Input(input));
             }
-            if prefix == records::JOBS_PREFIX && self.t < self.controllers[i].watch_lost_until {
-                return self.meet("watch lost");
+            if prefix == records::JOBS_PREFIX && self.now < self.controllers[i].watches_lost_until {
+                return self.record_moment("watch lost");
             }
-            self.store.watches.push((i, epoch, op, prefix, after, self.t + wait_ms));
+            self.store.watches.push((i, epoch, op, prefix, after, self.now + wait_ms));
             return self.watch();
         }
         let changes = matches!(&call, StoreRequest::Transaction { puts, deletes, .. } if puts.len() + deletes.len() > 0);
         let late = self.late_writes;
-        if changes && !shut && op != CallId(u64::MAX) && self.t < late.until {
+        if changes && !shut && op != CallId(u64::MAX) && self.now < late.until {
             let hit = self.rng.random_bool(late.share);
             if hit && late.other {
-                if matches!(self.store.carry_out(self.t, &call), StoreReply::Committed { .. }) {
-                    self.meet("answer lost");
+                if matches!(self.store.carry_out(self.now, &call), StoreReply::Committed { .. }) {
+                    self.record_moment("answer lost");
                 }
                 return self.watch();
             } else if hit {
-                let at = self.t + self.rng.random_range(2_000..12_000);
-                return self.send(at, i, epoch, Msg::State(CallId(u64::MAX), call));
+                let at = self.now + self.rng.random_range(2_000..12_000);
+                return self.send(at, i, epoch, Message::Store(CallId(u64::MAX), call));
             }
         }
-        let reply = if down { StoreReply::Refused } else { self.store.carry_out(self.t, &call) };
+        let reply = if down { StoreReply::Refused } else { self.store.carry_out(self.now, &call) };
         // A copy may come after the limits fell of what an earlier version wrote before.
         let late = op == CallId(u64::MAX) && within(&call, LIMITS);
         if reply == StoreReply::Rejected && !late {
-            self.rule(format!("wrote more than the service takes: {call:?}"));
+            self.violation(format!("wrote more than the service takes: {call:?}"));
         }
         if op == CallId(u64::MAX) && matches!(reply, StoreReply::Committed { .. }) {
-            self.meet("late write won");
+            self.record_moment("late write won");
         } else if op == CallId(u64::MAX) && matches!(reply, StoreReply::Conflict { .. }) {
-            self.meet("late write lost");
+            self.record_moment("late write lost");
         }
-        let at = self.t + self.delay() + self.slow_state;
-        let lost = self.t < FAULTS_END && self.rng.random_bool(0.01);
-        if !lost && self.controllers[i].state_cut.is_none() {
-            self.send(at, i, epoch, Msg::Input(Input::Store { op, reply }));
+        let at = self.now + self.delay() + self.store_delay_ms;
+        let lost = self.now < FAULTS_END_MS && self.rng.random_bool(0.01);
+        if !lost && self.controllers[i].store_cut.is_none() {
+            self.send(at, i, epoch, Message::Input(Input::Store { op, reply }));
         }
         self.watch();
     }
 
     pub(super) fn watch(&mut self) {
-        let t = self.t;
+        let t = self.now;
         if t < self.store.down_until {
             return;
         }
@@ -174,7 +177,7 @@
         for (i, epoch, op, prefix, after, until) in watches {
             let events = self.store.news(&prefix, after);
             let shut =
-                self.controllers[i].state_cut.is_some() || t < self.controllers[i].refused_until;
+                self.controllers[i].store_cut.is_some() || t < self.controllers[i].refused_until;
             if shut || (events.is_empty() && t < until) {
                 if t < until + 60_000 {
                     self.store.watches.push((i, epoch, op, prefix, after, until));
@@ -183,15 +186,15 @@
             }
             let reply = StoreReply::Events { revision: self.store.revision, events };
             let at = t + self.delay();
-            self.send(at, i, epoch, Msg::Input(Input::Store { op, reply }));
+            self.send(at, i, epoch, Message::Input(Input::Store { op, reply }));
         }
     }
 
-    pub(super) fn cloud(&mut self, i: usize, epoch: u64, op: CallId, call: CloudRequest) {
+    pub(super) fn cloud_request(&mut self, i: usize, epoch: u64, op: CallId, call: CloudRequest) {
         let reply = match call {
             CloudRequest::Types => CloudReply::Types(vec![MachineType {
                 name: "x".into(),
-                cpus: CPUS,
+                cpus: MACHINE_CPUS,
                 gpus: 0.0,
                 memory_gb: 64.0,
                 cache_gb: 50.0,
@@ -214,10 +217,11 @@
                     let n = (count as usize).min(3usize.saturating_sub(have));
                     let mut ids = Vec::new();
                     for _ in 0..n {
-                        let trouble = z == self.boot_trouble.0 && self.t < self.boot_trouble.1;
-                        let boot = if self.rng.random_bool(if trouble { 0.4 } else { 0.02 }) {
-                            DAY // never
-                        } else if self.quick_boots {
+                        let trouble =
+                            z == self.slow_provisioning.0 && self.now < self.slow_provisioning.1;
+                        let boot_ms = if self.rng.random_bool(if trouble { 0.4 } else { 0.02 }) {
+                            DAY_MS // never
+                        } else if self.fast_provisioning {
                             self.rng.random_range(300..2_000)
                         } else if trouble {
                             self.rng.random_range(20_000..50_000)
@@ -226,7 +230,7 @@
                         } else {
                             self.rng.random_range(5_000..12_000)
                         };
-                        let up_at = self.t + boot;
+                        let up_at = self.now + boot_ms;
                         ids.push(machine(self.workers.len()));
                         self.workers.push(Worker {
                             zone: z,
@@ -239,17 +243,17 @@
                             renewed: up_at,
                             tasks: BTreeMap::new(),
                             to: self.rng.random_range(0..CONTROLLERS),
-                            waiting: None,
-                            next_report: up_at,
-                            hangs_until: 0,
-                            mute_until: 0,
-                            deaf_until: 0,
-                            rented: self.t,
+                            awaiting_reply: None,
+                            next_heartbeat: up_at,
+                            hung_until: 0,
+                            uplink_lost_until: 0,
+                            downlink_lost_until: 0,
+                            provisioned_at: self.now,
                             died: None,
                             gone: None,
                             faulty: self.rng.random_bool(0.04),
-                            taken_at: None,
-                            noticed: false,
+                            reclaimed_at: None,
+                            reclaim_announced: false,
                         });
                     }
                     if n == 0 {
@@ -263,15 +267,15 @@
             CloudRequest::Terminate(ids) => {
                 for (m, w) in self.workers.iter_mut().enumerate() {
                     if ids.contains(&machine(m)) {
-                        w.end(self.t);
+                        w.end(self.now);
                     }
                 }
                 CloudReply::Terminated
             }
             CloudRequest::List { .. } => {
                 // It tells of any time within two lags, so it may be older than the last one.
-                let t = self.t.saturating_sub(self.rng.random_range(0..=2 * LIST_LAG));
-                let there = |w: &Worker| w.rented <= t && w.gone.is_none_or(|g| g > t);
+                let t = self.now.saturating_sub(self.rng.random_range(0..=2 * LIST_LAG_MS));
+                let there = |w: &Worker| w.provisioned_at <= t && w.gone.is_none_or(|g| g > t);
                 let seen = self.workers.iter().enumerate().filter(|(_, w)| there(w));
                 let machines = seen
                     .map(|(m, w)| ListedMachine {
@@ -287,13 +291,13 @@
                         } else {
                             ListedState::Booting
                         },
-                        age_s: (t - w.rented) as f64 / 1000.0,
+                        age_s: (t - w.provisioned_at) as f64 / 1000.0,
                     })
                     .collect();
                 CloudReply::Listed { machines, more: false }
             }
         };
-        let at = self.t + 20 + self.delay();
-        self.send(at, i, epoch, Msg::Input(Input::Cloud { op, reply }));
+        let at = self.now + 20 + self.delay();
+        self.send(at, i, epoch, Message::Input(Input::Cloud { op, reply }));
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/days.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/days.rs
@@ -4,27 +4,33 @@
 
 #[test]
 fn the_rules_hold_over_seeded_days_of_faults() {
-    let mut started = 0;
+    let mut tasks_started = 0;
     for seed in 0..48 {
         let mut w = World::new(seed);
         w.services_only_where_known();
         // One trouble at a time, then two: pairs are what a design forgets.
-        w.run(1 + (seed % 3).min(1) as u32, DAY);
+        w.run(1 + (seed % 3).min(1) as u32, DAY_MS);
         w.check_end();
-        w.broken.truncate(5);
-        assert!(w.broken.is_empty(), "seed {seed}: {:#?}", w.broken);
-        assert!(w.started > 50, "seed {seed}: nothing_ran ({})", w.started);
-        started += w.started;
+        w.violations.truncate(5);
+        assert!(w.violations.is_empty(), "seed {seed}: {:#?}", w.violations);
+        assert!(w.tasks_started > 50, "seed {seed}: nothing_ran ({})", w.tasks_started);
+        tasks_started += w.tasks_started;
     }
-    println!("tasks started: {started}");
+    println!("tasks started: {tasks_started}");
 }
 
 /// What a seeded day comes to: a sum over all that was written to the store, the tasks started and
 /// stopped, the messages sent, and the state of the random numbers, which every message draws on.
 fn outcome_of_day(seed: u64) -> u64 {
     let mut world = World::new(seed);
-    world.run(1 + (seed % 3).min(1) as u32, DAY);
-    let counts = [world.started, world.stopped, world.n, world.store.revision, world.rng.random()];
+    world.run(1 + (seed % 3).min(1) as u32, DAY_MS);
+    let counts = [
+        world.tasks_started,
+        world.tasks_stopped,
+        world.messages_sent,
+        world.store.revision,
+        world.rng.random(),
+    ];
     let values = world.store.keys.iter().flat_map(|(key, kept)| [key.as_str(), &kept.value]);
     let bytes =
         counts.iter().flat_map(|count| count.to_le_bytes()).chain(values.flat_map(str::bytes));
@@ -74,12 +80,17 @@
     let few = users.iter().filter(|u| u.job.0 >= 9000).count();
     let mut w = World::with(SmallRng::seed_from_u64(1), users);
     w.run(0, 300_000);
-    assert!(w.broken.is_empty(), "{:#?}", w.broken);
-    let waiting = w.users.iter().filter(|u| u.at < 240_000 && u.told == Told::Accepted).count();
-    assert!(waiting > 20, "no overload: {waiting} jobs wait");
+    assert!(w.violations.is_empty(), "{:#?}", w.violations);
+    let awaiting_reply =
+        w.users.iter().filter(|u| u.at < 240_000 && u.observed == Observed::Accepted).count();
+    assert!(awaiting_reply > 20, "no overload: {awaiting_reply} jobs wait");
     for u in &w.users[..few] {
-        let begun = u.begun.map(|b| b - u.at);
-        assert!(begun.is_some_and(|b| b <= 240_000), "{} began after {begun:?} ms", u.job);
+        let first_started = u.first_started.map(|b| b - u.at);
+        assert!(
+            first_started.is_some_and(|b| b <= 240_000),
+            "{} began after {first_started:?} ms",
+            u.job
+        );
     }
 }
 
@@ -115,8 +126,10 @@
         User::new(1002, narrow, 30_000, None),
     ];
     let mut w = World::with(SmallRng::seed_from_u64(1), users);
-    (w.long, w.quiet_at) = (true, 0);
+    (w.long_tasks, w.faults_over_at) = (true, 0);
     w.run(0, 200_000);
-    assert!(w.broken.is_empty(), "{:#?}", w.broken);
-    assert!(w.users[1].begun.is_some() && w.users[2].begun.is_some_and(|b| b < 60_000));
+    assert!(w.violations.is_empty(), "{:#?}", w.violations);
+    assert!(
+        w.users[1].first_started.is_some() && w.users[2].first_started.is_some_and(|b| b < 60_000)
+    );
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/limits.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/limits.rs
@@ -30,7 +30,7 @@
 
 fn world(seed: u64, users: Vec<User>) -> World {
     let mut w = World::with(SmallRng::seed_from_u64(seed), users);
-    w.long = true;
+    w.long_tasks = true;
     w
 }
 
@@ -47,28 +47,28 @@
     for seed in 0..6 {
         let users = vec![User::new(1000, long_job(1, 60), 2_000, None)];
         let mut w = world(seed, users);
-        w.play(60_000);
+        w.run_until(60_000);
         let before = used_by(&w, "t1");
         assert!(before > 30.0, "seed {seed}: {before} CPUs in use");
         let lowered = 12.0;
         for controller in 0..CONTROLLERS {
             w.controllers[controller].next_configuration.cpus_max[1] = lowered;
             w.end(controller, 400);
-            w.play(w.t + 6_000);
+            w.run_until(w.now + 6_000);
         }
-        w.stopped = 0;
-        let all_lowered = w.t + 12_000;
-        w.play(all_lowered);
-        let started = w.started;
+        w.tasks_stopped = 0;
+        let all_lowered = w.now + 12_000;
+        w.run_until(all_lowered);
+        let tasks_started = w.tasks_started;
         while used_by(&w, "t1") > lowered {
-            w.play(w.t + 20);
-            assert!(w.t < 300_000, "seed {seed}: it never fell");
+            w.run_until(w.now + 20);
+            assert!(w.now < 300_000, "seed {seed}: it never fell");
         }
-        assert_eq!(w.started, started, "seed {seed}: started above the limit");
-        assert_eq!(w.stopped, 0, "seed {seed}: stopped for the limit");
-        w.play(w.t + 150_000);
-        assert!(w.started > started, "seed {seed}: nothing starts below the limit");
-        assert!(w.broken.is_empty(), "seed {seed}: {:#?}", w.broken);
+        assert_eq!(w.tasks_started, tasks_started, "seed {seed}: started above the limit");
+        assert_eq!(w.tasks_stopped, 0, "seed {seed}: stopped for the limit");
+        w.run_until(w.now + 150_000);
+        assert!(w.tasks_started > tasks_started, "seed {seed}: nothing starts below the limit");
+        assert!(w.violations.is_empty(), "seed {seed}: {:#?}", w.violations);
     }
 }
 
@@ -79,22 +79,22 @@
     for seed in 0..8 {
         let mut w = World::new(seed);
         w.services_only_where_known();
-        w.play(20_000);
+        w.run_until(20_000);
         for (round, limits) in [[12.0, 30.0], [24.0, 16.0], [8.0, 40.0]].into_iter().enumerate() {
             for controller in 0..CONTROLLERS {
                 let next = &mut w.controllers[controller].next_configuration;
                 (next.cpus_max[0], next.cpus_max[1]) = (limits[0], limits[1]);
                 w.end(controller, [20, 400, 3_000][(controller + round) % 3]);
                 w.fault();
-                w.play(w.t + 9_000);
+                w.run_until(w.now + 9_000);
                 let leader = w.leader();
                 leader.into_iter().for_each(|leader| w.end(leader, 100));
-                w.play(w.t + 4_000);
+                w.run_until(w.now + 4_000);
             }
         }
-        w.broken.truncate(5);
-        assert!(w.broken.is_empty(), "seed {seed}: {:#?}", w.broken);
-        assert!(w.started > 20, "seed {seed}: {} started", w.started);
+        w.violations.truncate(5);
+        assert!(w.violations.is_empty(), "seed {seed}: {:#?}", w.violations);
+        assert!(w.tasks_started > 20, "seed {seed}: {} started", w.tasks_started);
     }
 }
 
@@ -104,27 +104,27 @@
 const GUARANTEE_LEASES: f64 = 2.0;
 const BEGUN_LEASES: u64 = 3;
 /// When the job is submitted: no task of the others ends within the bound.
-const ASKED: u64 = 35_000;
+const SUBMITTED_AT_MS: u64 = 35_000;
 
 #[test]
 fn a_team_within_its_guarantee_does_not_wait_for_long_work_of_others() {
     let unsaved = |team, tasks| JobSpec { checkpoint_s: 0.0, ..long_job(team, tasks) };
     for seed in 0..6 {
         let guests = (0..4).map(|i| User::new(1000 + i, unsaved(2, 40), 2_000, None));
-        let guaranteed = User::new(2000, unsaved(0, 6), ASKED, None);
+        let guaranteed = User::new(2000, unsaved(0, 6), SUBMITTED_AT_MS, None);
         let mut w = world(seed, guests.chain([guaranteed]).collect());
         for controller in 0..CONTROLLERS {
             w.controllers[controller].next_configuration.policy.guarantee_leases =
                 Some(GUARANTEE_LEASES);
-            w.boot(controller);
+            w.start_controller(controller);
         }
-        w.play(ASKED);
+        w.run_until(SUBMITTED_AT_MS);
         let taken = used_by(&w, "t2");
         assert!(taken >= 80.0, "seed {seed}: the others hold {taken} CPUs");
-        w.play(ASKED + BEGUN_LEASES * LEASE);
-        let begun = used_by(&w, "t0");
-        assert_eq!(begun, 12.0, "seed {seed}: CPUs of the team within its guarantee");
+        w.run_until(SUBMITTED_AT_MS + BEGUN_LEASES * LEASE_MS);
+        let first_started = used_by(&w, "t0");
+        assert_eq!(first_started, 12.0, "seed {seed}: CPUs of the team within its guarantee");
         assert!(used_by(&w, "t2") <= 96.0 - 12.0);
-        assert!(w.broken.is_empty(), "seed {seed}: {:#?}", w.broken);
+        assert!(w.violations.is_empty(), "seed {seed}: {:#?}", w.violations);
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/mod.rs
@@ -21,26 +21,26 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-const LEASE: u64 = 10_000;
-const REPORT: u64 = 1_000;
-const CANCEL: u64 = 30_000;
-const LIST_LAG: u64 = 3_000;
+const LEASE_MS: u64 = 10_000;
+const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
+const CANCEL_MS: u64 = 30_000;
+const LIST_LAG_MS: u64 = 3_000;
 /// What a worker waits for a response.
-const PATIENCE: u64 = 4_000;
-const CPUS: f64 = 8.0;
+const REPLY_TIMEOUT_MS: u64 = 4_000;
+const MACHINE_CPUS: f64 = 8.0;
 const CONTROLLERS: usize = 3;
 const ZONES: [&str; 2] = ["a", "b"];
 /// The last team is a guest: no guarantee and no limit.
 const CPUS_MAX: [f64; 3] = [24.0, 40.0, f64::INFINITY];
 /// Once the troubles are over, a job is spoken of within this.
-const KNOWN: u64 = 75_000;
+const ANSWERED_WITHIN_MS: u64 = 75_000;
 /// How long a job may wait while a machine has room for it.
-const LEFT: u64 = 90_000;
+const SCHEDULED_WITHIN_MS: u64 = 90_000;
 /// A cancellation that was told is known to whoever starts tasks after so long: a watch, its
 /// patience, and what a worker takes of an answer that was held up.
-const HEARD: u64 = 13_000;
-const FAULTS_END: u64 = 160_000;
-const DAY: u64 = 420_000;
+const CANCELLATION_KNOWN_WITHIN_MS: u64 = 13_000;
+const FAULTS_END_MS: u64 = 160_000;
+const DAY_MS: u64 = 420_000;
 
 /// What a value and a transaction may hold: as the version in production has it, and as the
 /// state service will have it from some moment on.
@@ -81,15 +81,15 @@
             .collect(),
         teams: (0..CPUS_MAX.len()).map(team).collect(),
         objectives: vec![Objective::Finished { class: "c".into(), within_s: 60.0 }],
-        heartbeat_interval_ms: REPORT,
-        lease_ms: LEASE,
-        cancel_ms: CANCEL,
+        heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
+        lease_ms: LEASE_MS,
+        cancel_ms: CANCEL_MS,
         store_rps: 120.0,
         write_rps: 40.0,
         value_bytes: limits.0,
         transaction_ops: limits.1,
         cloud_rps: 5.0,
-        list_lag_ms: LIST_LAG,
+        list_lag_ms: LIST_LAG_MS,
         memory_mb: 56.0,
         max_machines: 5_000,
         incarnation,
@@ -98,7 +98,7 @@
 }
 
 #[derive(Clone)]
-struct Kept {
+struct StoredValue {
     value: String,
     mod_revision: u64,
     lease_id: Option<u64>,
@@ -107,7 +107,7 @@
 /// The state service.
 #[derive(Default)]
 struct Store {
-    keys: BTreeMap<String, Kept>,
+    keys: BTreeMap<String, StoredValue>,
     revision: u64,
     log: Vec<(u64, WatchEvent)>,
     leases: BTreeMap<u64, (u64, u64)>, // life, end
@@ -118,11 +118,11 @@
 }
 
 #[derive(Clone, Debug)]
-struct Running {
+struct SimulatedTask {
     state: TaskState,
     /// When the present state is over.
     until: u64,
-    progress_until: u64,
+    run_ends_at: u64,
 }
 
 /// One machine and its worker.
@@ -135,16 +135,16 @@
     sequence: u64,
     token: FencingToken,
     renewed: u64,
-    tasks: BTreeMap<(TaskId, Attempt), Running>,
+    tasks: BTreeMap<(TaskId, Attempt), SimulatedTask>,
     to: usize,
-    waiting: Option<(u64, u64)>,
-    next_report: u64,
-    hangs_until: u64,
+    awaiting_reply: Option<(u64, u64)>,
+    next_heartbeat: u64,
+    hung_until: u64,
     /// Its reports reach no controller.
-    mute_until: u64,
+    uplink_lost_until: u64,
     /// Its reports arrive, answers to them do not.
-    deaf_until: u64,
-    rented: u64,
+    downlink_lost_until: u64,
+    provisioned_at: u64,
     /// When it stopped by itself: it stays listed.
     died: Option<u64>,
     /// When it was returned or taken: it is listed no more.
@@ -152,13 +152,13 @@
     /// Every task fails there.
     faulty: bool,
     /// When the cloud takes it back, and whether it says so before.
-    taken_at: Option<u64>,
-    noticed: bool,
+    reclaimed_at: Option<u64>,
+    reclaim_announced: bool,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Told {
-    Nothing,
+enum Observed {
+    Unknown,
     Accepted,
     Done,
     Cancelled(u64),
@@ -170,49 +170,49 @@
     at: u64,
     cancel_at: Option<u64>,
     /// Submitted with a mistake: its tasks fail everywhere.
-    broken: bool,
-    told: Told,
-    asked_to_cancel: bool,
+    faulty_job: bool,
+    observed: Observed,
+    cancel_requested: bool,
     done: BTreeSet<u32>,
-    asks: u64,
+    requests_sent: u64,
     /// Until when it waits for the answer to its request; what comes later nobody hears.
-    waits_until: u64,
+    request_deadline: u64,
     /// When a question about the job was last answered, and its first task began.
-    answered: u64,
-    begun: Option<u64>,
+    last_answered: u64,
+    first_started: Option<u64>,
     /// Since when nothing of it is on a machine though one has room for it.
-    left_since: Option<u64>,
+    unscheduled_since: Option<u64>,
 }
 
-enum Msg {
+enum Message {
     Tick,
     Input(Input),
-    State(CallId, StoreRequest),
+    Store(CallId, StoreRequest),
     Cloud(CallId, CloudRequest),
-    Heartbeat(MachineIdx, RequestId, Heartbeat),
-    Orders(MachineIdx, u64, u64, Answer),
+    Heartbeat(MachineIndex, RequestId, Heartbeat),
+    Commands(MachineIndex, u64, u64, Answer),
     User(usize),
-    Answer(Asker, Answer),
+    Answer(Requester, Answer),
 }
 
 /// Who waits for an answer.
 #[derive(Clone, Copy)]
-enum Asker {
+enum Requester {
     /// A worker, with the number of its report.
-    Worker(MachineIdx, u64),
-    User(usize, Question),
+    Worker(MachineIndex, u64),
+    User(usize, PendingRequest),
     /// Somebody who asks for a job that nobody submitted.
-    Stranger,
+    OfUnknownJob,
     /// Somebody whose job can never run.
-    Odd,
+    OfInvalidJob,
 }
 
 #[derive(Clone, Copy)]
-struct Question {
+struct PendingRequest {
     /// How long its user waits; what comes later nobody hears.
     until: u64,
     /// What the user had been told when it asked.
-    before: Told,
+    before: Observed,
     /// The user asks nothing else meanwhile.
     alone: bool,
 }
@@ -226,7 +226,7 @@
     other: bool,
 }
 
-type MachineIdx = usize;
+type MachineIndex = usize;
 
 struct SimulatedController {
     process: Option<Process>,
@@ -237,16 +237,16 @@
     born: u64,
     drift: f64,
     /// Cut off from the state service, and whether what is sent is held or lost.
-    state_cut: Option<(u64, bool)>,
+    store_cut: Option<(u64, bool)>,
     refused_until: u64,
     /// Watches of the jobs are lost: neither they nor their answers arrive.
-    watch_lost_until: u64,
+    watches_lost_until: u64,
     /// It stands still from its next step to then, with what it has built and not sent;
     /// its clocks run on.
     freezes_until: u64,
     frozen_until: u64,
     /// Cut off from the cloud and the users too.
-    island_until: u64,
+    isolated_until: u64,
     /// Cut off from the workers, and whether what is sent is held or lost.
     workers_cut: Option<(u64, bool)>,
     /// What its process goes by, and what it will when it starts again.
@@ -257,58 +257,58 @@
 }
 
 struct World {
-    t: u64,
-    n: u64,
+    now: u64,
+    messages_sent: u64,
     rng: SmallRng,
-    queue: BTreeMap<(u64, u64), (usize, u64, Msg)>,
+    queue: BTreeMap<(u64, u64), (usize, u64, Message)>,
     controllers: Vec<SimulatedController>,
     store: Store,
     workers: Vec<Worker>,
     requisitions: BTreeMap<String, Vec<MachineId>>,
     users: Vec<User>,
-    reqs: BTreeMap<RequestId, Asker>,
-    next_req: u64,
+    requesters: BTreeMap<RequestId, Requester>,
+    next_request: u64,
     zone_cut: Option<(u64, bool)>,
     /// Machines rented in a zone come late or never until then.
-    boot_trouble: (usize, u64),
+    slow_provisioning: (usize, u64),
     /// Users ask many times as often until then.
-    storm_until: u64,
+    poll_storm_until: u64,
     /// When whoever leads then comes to stand: the successor of one that did.
     next_freeze: u64,
     /// Transactions get no answer, and are carried out later, or at once.
     late_writes: Partly,
     /// Copies of reports come late, or when the next leader begins.
-    late_reports: Partly,
-    kept_reports: Vec<Heartbeat>,
+    late_heartbeats: Partly,
+    held_heartbeats: Vec<Heartbeat>,
     /// Jobs are cancelled as their last task ends.
     cancel_at_end: Partly,
     /// Users ask at all controllers, within milliseconds, what they have just been told.
-    looks_until: u64,
-    odd_until: u64,
+    read_back_until: u64,
+    invalid_requests_until: u64,
     /// What a process that starts may run.
     versions: Vec<Version>,
     /// When a process that may act on old word of jobs last answered a worker, and what came of it.
-    old_word_at: Option<u64>,
-    faults_of_production: Vec<String>,
+    stale_renewal_at: Option<u64>,
+    violations_of_earlier_versions: Vec<String>,
     /// Machines are up within two seconds.
-    quick_boots: bool,
+    fast_provisioning: bool,
     /// The state service answers so much later.
-    slow_state: u64,
+    store_delay_ms: u64,
     /// Tasks run for a minute and more.
-    long: bool,
+    long_tasks: bool,
     /// When each change of leader was seen: the controller that leads since, and its process.
     leaders: Vec<(u64, usize, u64)>,
     /// How often a moment came that a day is to bring about.
-    met: BTreeMap<&'static str, u64>,
+    moments: BTreeMap<&'static str, u64>,
     next_fault: u64,
     faults_at_once: u32,
     known: bool,
-    broken: Vec<String>,
-    started: u64,
+    violations: Vec<String>,
+    tasks_started: u64,
     /// Orders to stop a task whose job goes on.
-    stopped: u64,
+    tasks_stopped: u64,
     /// When the last trouble is over.
-    quiet_at: u64,
+    faults_over_at: u64,
 }
 
 fn machine(i: usize) -> MachineId {
--- a/crates/basaltrail-core/tests/simulation/simulated/store.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store.rs
@@ -61,9 +61,10 @@
                 let from = after.as_deref().unwrap_or("");
                 let mut keys =
                     self.keys.keys().filter(|k| k.starts_with(prefix) && k.as_str() > from);
-                let some: Vec<&String> = keys.by_ref().take((*limit).min(20) as usize).collect();
+                let for_share_of_workers: Vec<&String> =
+                    keys.by_ref().take((*limit).min(20) as usize).collect();
                 let more = keys.next().is_some();
-                let items = some.iter().filter_map(|k| self.item(k)).collect();
+                let items = for_share_of_workers.iter().filter_map(|k| self.item(k)).collect();
                 StoreReply::Page { items, more, revision: self.revision }
             }
             StoreRequest::Transaction { preconditions, puts, deletes } => {
@@ -88,7 +89,7 @@
                     self.revision += 1;
                 }
                 for p in puts {
-                    let k = Kept {
+                    let k = StoredValue {
                         value: p.value.clone(),
                         mod_revision: self.revision,
                         lease_id: p.lease_id,
--- a/crates/basaltrail-core/tests/simulation/simulated/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/workers.rs
@@ -11,35 +11,35 @@
 }
 
 impl World {
-    pub(super) fn on_machine(r: &Running) -> bool {
+    pub(super) fn on_machine(r: &SimulatedTask) -> bool {
         matches!(r.state, TaskState::Running | TaskState::Saving)
     }
 
     pub(super) fn workers(&mut self) {
         for m in 0..self.workers.len() {
-            let t = self.t;
+            let t = self.now;
             let w = &mut self.workers[m];
-            if w.taken_at.is_some_and(|at| t >= at) {
+            if w.reclaimed_at.is_some_and(|at| t >= at) {
                 w.end(t);
             }
             if !w.alive || t < w.up_at {
                 continue;
             }
-            if t > w.renewed + LEASE {
+            if t > w.renewed + LEASE_MS {
                 // The lease binds a hanging machine too: what it ran is over.
                 w.tasks.clear();
                 w.agent_epoch += 1;
                 w.renewed = t;
-                w.waiting = None;
-                w.next_report = t;
+                w.awaiting_reply = None;
+                w.next_heartbeat = t;
             }
-            if t < w.hangs_until {
+            if t < w.hung_until {
                 continue;
             }
-            if w.waiting.is_some_and(|(_, sent)| t > sent + PATIENCE) {
-                w.waiting = None;
+            if w.awaiting_reply.is_some_and(|(_, sent)| t > sent + REPLY_TIMEOUT_MS) {
+                w.awaiting_reply = None;
                 w.to = (w.to + 1) % CONTROLLERS;
-                w.next_report = t + 1_000;
+                w.next_heartbeat = t + 1_000;
             }
             let due: Vec<(TaskId, Attempt)> =
                 w.tasks.iter().filter(|(_, r)| r.until <= t).map(|(k, _)| *k).collect();
@@ -47,10 +47,10 @@
                 self.advance(m, key);
             }
             let w = &mut self.workers[m];
-            if w.waiting.is_none() && t >= w.next_report {
+            if w.awaiting_reply.is_none() && t >= w.next_heartbeat {
                 w.sequence += 1;
-                w.waiting = Some((w.sequence, t));
-                w.next_report = t + REPORT * 3 / 4 + (m as u64 * 37) % 500;
+                w.awaiting_reply = Some((w.sequence, t));
+                w.next_heartbeat = t + HEARTBEAT_INTERVAL_MS * 3 / 4 + (m as u64 * 37) % 500;
                 let heartbeat = Heartbeat {
                     machine: machine(m),
                     endpoint: format!("e{m}"),
@@ -61,8 +61,8 @@
                     sequence: w.sequence,
                     token: w.token,
                     reclaim_notice_s: w
-                        .taken_at
-                        .filter(|_| w.noticed)
+                        .reclaimed_at
+                        .filter(|_| w.reclaim_announced)
                         .map(|at| at.saturating_sub(t) as f64 / 1000.0),
                     tasks: w
                         .tasks
@@ -75,42 +75,42 @@
                         .collect(),
                 };
                 let to = w.to;
-                let mute = t < w.mute_until;
-                self.next_req += 1;
-                let req = RequestId(self.next_req);
+                let mute = t < w.uplink_lost_until;
+                self.next_request += 1;
+                let req = RequestId(self.next_request);
                 let at = t + self.delay();
                 let at = self.between(to, m, at);
                 if self.copied() {
                     // From seconds to well over a lease late, and answered to nobody.
-                    let at = t + self.rng.random_range(50..3 * LEASE);
+                    let at = t + self.rng.random_range(50..3 * LEASE_MS);
                     let input = Input::Heartbeat {
                         req: RequestId(0),
                         heartbeat: Box::new(heartbeat.clone()),
                     };
-                    self.send(at, to, 0, Msg::Input(input));
+                    self.send(at, to, 0, Message::Input(input));
                 }
-                let late = self.late_reports;
+                let late = self.late_heartbeats;
                 if t < late.until && self.rng.random_bool(late.share) {
                     if !late.other {
-                        let at = t + self.rng.random_range(2_000..3 * LEASE);
+                        let at = t + self.rng.random_range(2_000..3 * LEASE_MS);
                         let input = Input::Heartbeat {
                             req: RequestId(0),
                             heartbeat: Box::new(heartbeat.clone()),
                         };
-                        self.send(at, to, 0, Msg::Input(input));
-                    } else if self.kept_reports.len() < 4_000 {
-                        self.kept_reports.push(heartbeat.clone());
+                        self.send(at, to, 0, Message::Input(input));
+                    } else if self.held_heartbeats.len() < 4_000 {
+                        self.held_heartbeats.push(heartbeat.clone());
                     }
                 }
                 if !mute {
-                    self.send(at, to, 0, Msg::Heartbeat(m, req, heartbeat));
+                    self.send(at, to, 0, Message::Heartbeat(m, req, heartbeat));
                 }
             }
         }
     }
 
     pub(super) fn advance(&mut self, m: usize, key: (TaskId, Attempt)) {
-        let t = self.t;
+        let t = self.now;
         let Some(r) = self.workers[m].tasks.get_mut(&key) else { return };
         r.until = u64::MAX;
         let task = key.0;
@@ -118,7 +118,7 @@
         match r.state {
             TaskState::Fetching => {
                 r.state = TaskState::Running;
-                r.until = r.progress_until.max(t + 1);
+                r.until = r.run_ends_at.max(t + 1);
                 if self.users[user].done.contains(&task.index) {
                     r.until = t;
                 }
@@ -126,7 +126,7 @@
             }
             TaskState::Running => {
                 let service = self.users[user].spec.is_service();
-                let bad = self.users[user].broken || self.workers[m].faulty;
+                let bad = self.users[user].faulty_job || self.workers[m].faulty;
                 let fails = (bad || self.rng.random_bool(0.02))
                     && !self.users[user].done.contains(&task.index);
                 let why = if fails { ExitReason::Error } else { ExitReason::Done };
@@ -136,45 +136,45 @@
                     let last = u.done.len() == u.spec.tasks as usize;
                     let late = self.cancel_at_end;
                     if last && t < late.until && self.rng.random_bool(late.share) {
-                        self.meet("cancelled at its end");
+                        self.record_moment("cancelled at its end");
                         self.cancel(user);
                     }
                 }
                 self.workers[m].tasks.get_mut(&key).unwrap().state = TaskState::Exited(why);
-                self.workers[m].next_report = t;
+                self.workers[m].next_heartbeat = t;
             }
             TaskState::Saving => {
                 r.state = TaskState::Exited(ExitReason::Stopped);
-                self.workers[m].next_report = t;
+                self.workers[m].next_heartbeat = t;
             }
             TaskState::Exited(_) => {}
         }
     }
 
     pub(super) fn commands(&mut self, m: usize, agent_epoch: u64, sequence: u64, answer: Answer) {
-        let t = self.t;
+        let t = self.now;
         let w = &mut self.workers[m];
         if !w.alive {
             return;
         }
-        let Some((waiting, sent)) = w.waiting else { return };
+        let Some((awaiting_reply, sent)) = w.awaiting_reply else { return };
         // Late responses and those of an earlier agent epoch are dropped.
-        let lost = t > sent + PATIENCE || t < w.hangs_until || t < w.deaf_until;
-        if waiting != sequence || agent_epoch != w.agent_epoch || lost {
+        let lost = t > sent + REPLY_TIMEOUT_MS || t < w.hung_until || t < w.downlink_lost_until;
+        if awaiting_reply != sequence || agent_epoch != w.agent_epoch || lost {
             return;
         }
-        w.waiting = None;
+        w.awaiting_reply = None;
         let (token, commands) = match answer {
             Answer::Commands { token, commands } => (token, commands),
             Answer::NotLeader { leader } => {
                 let named = leader.and_then(|l| l[1..].parse().ok()).filter(|n| *n != w.to);
-                w.next_report = t + if named.is_some() { 100 } else { 1_000 };
+                w.next_heartbeat = t + if named.is_some() { 100 } else { 1_000 };
                 w.to = named.unwrap_or((w.to + 1) % CONTROLLERS);
                 return;
             }
             _ => {
                 w.to = (w.to + 1) % CONTROLLERS;
-                w.next_report = t + 1_000;
+                w.next_heartbeat = t + 1_000;
                 return;
             }
         };
@@ -182,7 +182,7 @@
             return;
         }
         if token > w.token {
-            w.next_report = w.next_report.min(t + 500);
+            w.next_heartbeat = w.next_heartbeat.min(t + 500);
         }
         w.token = token;
         w.renewed = w.renewed.max(sent);
@@ -195,16 +195,16 @@
                     }
                     let user = self.users.iter().position(|u| u.job == task.job);
                     let Some(user) = user else {
-                        self.rule(format!("started a task of no job: {task:?}"));
+                        self.violation(format!("started a task of no job: {task:?}"));
                         continue;
                     };
-                    if let Told::Cancelled(at) = self.users[user].told {
-                        self.met
+                    if let Observed::Cancelled(at) = self.users[user].observed {
+                        self.moments
                             .entry("start after a cancellation")
                             .and_modify(|n| *n += 1)
                             .or_default();
-                        if t > at + HEARD {
-                            self.rule_of_cancelled(
+                        if t > at + CANCELLATION_KNOWN_WITHIN_MS {
+                            self.violation_after_cancellation(
                                 at,
                                 format!("started {task:?}, cancelled at {at}"),
                             );
@@ -225,27 +225,28 @@
                         .any(|(k, r)| k.0 == task && !matches!(r.state, TaskState::Exited(_)));
                     let state = if here {
                         TaskState::Exited(ExitReason::Busy)
-                    } else if used + spec.cpus > CPUS + 1e-9 {
+                    } else if used + spec.cpus > MACHINE_CPUS + 1e-9 {
                         TaskState::Exited(ExitReason::NoRoom)
                     } else {
                         TaskState::Fetching
                     };
                     let until = t + self.rng.random_range(200..2_500);
-                    let run = if self.long { 60_000..110_000 } else { 2_000..25_000 };
-                    let progress_until = until + self.rng.random_range(run);
+                    let run = if self.long_tasks { 60_000..110_000 } else { 2_000..25_000 };
+                    let run_ends_at = until + self.rng.random_range(run);
                     // Few replicas end by themselves.
                     let lasts = self.users[user].spec.is_service()
-                        && !self.users[user].broken
+                        && !self.users[user].faulty_job
                         && !self.workers[m].faulty
                         && self.rng.random_bool(0.9);
-                    let progress_until = if lasts { u64::MAX } else { progress_until };
+                    let run_ends_at = if lasts { u64::MAX } else { run_ends_at };
                     let w = &mut self.workers[m];
-                    w.tasks.insert((task, attempt), Running { state, until, progress_until });
+                    w.tasks.insert((task, attempt), SimulatedTask { state, until, run_ends_at });
                 }
                 TaskCommand::Stop { task, attempt, grace_s } => {
                     let user = self.users.iter().find(|u| u.job == task.job);
-                    let goes_on = |u: &&User| u.cancel_at.is_none() && u.told == Told::Accepted;
-                    self.stopped += u64::from(user.is_some_and(|u| goes_on(&u)));
+                    let goes_on =
+                        |u: &&User| u.cancel_at.is_none() && u.observed == Observed::Accepted;
+                    self.tasks_stopped += u64::from(user.is_some_and(|u| goes_on(&u)));
                     if let (Some(r), Some(u)) = (w.tasks.get_mut(&(task, attempt)), user) {
                         let saves = u.spec.checkpoint_s > 0.0 && grace_s >= u.spec.save_s;
                         match r.state {
@@ -260,7 +261,7 @@
                     }
                 }
                 TaskCommand::Forget { task, attempt } => {
-                    let exited = |r: &Running| matches!(r.state, TaskState::Exited(_));
+                    let exited = |r: &SimulatedTask| matches!(r.state, TaskState::Exited(_));
                     if w.tasks.get(&(task, attempt)).is_some_and(exited) {
                         w.tasks.remove(&(task, attempt));
                     }
--- a/crates/basaltrail-core/tests/simulation/simulated/world.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/world.rs
@@ -9,15 +9,15 @@
             spec,
             at,
             cancel_at,
-            broken: false,
-            told: Told::Nothing,
-            asked_to_cancel: false,
+            faulty_job: false,
+            observed: Observed::Unknown,
+            cancel_requested: false,
             done: BTreeSet::new(),
-            asks: 0,
-            waits_until: 0,
-            answered: 0,
-            begun: None,
-            left_since: None,
+            requests_sent: 0,
+            request_deadline: 0,
+            last_answered: 0,
+            first_started: None,
+            unscheduled_since: None,
         }
     }
 }
@@ -28,7 +28,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let users = (0..40)
             .map(|i| {
-                let at = rng.random_range(2_000..FAULTS_END + 20_000);
+                let at = rng.random_range(2_000..FAULTS_END_MS + 20_000);
                 let team = rng.random_range(0..CPUS_MAX.len());
                 let spec = JobSpec {
                     kind: JobKind::Array,
@@ -64,9 +64,9 @@
                     user.cancel_at = Some(at + rng.random_range(60_000..180_000));
                 }
                 if rng.random_bool(0.08) {
-                    user.broken = true;
+                    user.faulty_job = true;
                 }
-                if user.broken && !user.spec.is_service() {
+                if user.faulty_job && !user.spec.is_service() {
                     user.cancel_at = Some(at + rng.random_range(20_000..120_000));
                 }
                 user
@@ -83,8 +83,8 @@
     /// A world in which each process that starts runs one of these versions.
     fn of_versions(rng: SmallRng, users: Vec<User>, versions: &[Version]) -> Self {
         let mut w = World {
-            t: 0,
-            n: 0,
+            now: 0,
+            messages_sent: 0,
             rng,
             queue: BTreeMap::new(),
             controllers: (0..CONTROLLERS)
@@ -95,12 +95,12 @@
                     epoch: 0,
                     born: 0,
                     drift: 1.0 + [0.0005, -0.0005, 0.0][i],
-                    state_cut: None,
+                    store_cut: None,
                     refused_until: 0,
-                    watch_lost_until: 0,
+                    watches_lost_until: 0,
                     freezes_until: 0,
                     frozen_until: 0,
-                    island_until: 0,
+                    isolated_until: 0,
                     workers_cut: None,
                     configuration: Configuration::default(),
                     next_configuration: Configuration::default(),
@@ -111,39 +111,39 @@
             workers: Vec::new(),
             requisitions: BTreeMap::new(),
             users,
-            reqs: BTreeMap::new(),
-            next_req: 0,
+            requesters: BTreeMap::new(),
+            next_request: 0,
             zone_cut: None,
-            boot_trouble: (0, 0),
-            storm_until: 0,
+            slow_provisioning: (0, 0),
+            poll_storm_until: 0,
             next_freeze: u64::MAX,
             late_writes: Partly::default(),
-            late_reports: Partly::default(),
-            kept_reports: Vec::new(),
+            late_heartbeats: Partly::default(),
+            held_heartbeats: Vec::new(),
             cancel_at_end: Partly::default(),
-            looks_until: 0,
-            odd_until: 0,
+            read_back_until: 0,
+            invalid_requests_until: 0,
             versions: versions.to_vec(),
-            old_word_at: None,
-            faults_of_production: Vec::new(),
-            quick_boots: false,
-            slow_state: 0,
-            long: false,
+            stale_renewal_at: None,
+            violations_of_earlier_versions: Vec::new(),
+            fast_provisioning: false,
+            store_delay_ms: 0,
+            long_tasks: false,
             leaders: Vec::new(),
-            met: BTreeMap::new(),
+            moments: BTreeMap::new(),
             next_fault: u64::MAX,
             faults_at_once: 0,
             known: false,
-            broken: Vec::new(),
-            started: 0,
-            stopped: 0,
-            quiet_at: FAULTS_END,
+            violations: Vec::new(),
+            tasks_started: 0,
+            tasks_stopped: 0,
+            faults_over_at: FAULTS_END_MS,
         };
         for i in 0..CONTROLLERS {
-            w.boot(i);
+            w.start_controller(i);
         }
         for i in 0..w.users.len() {
-            w.send(w.users[i].at, usize::MAX, 0, Msg::User(i));
+            w.send(w.users[i].at, usize::MAX, 0, Message::User(i));
         }
         w
     }
@@ -164,14 +164,14 @@
         for i in 0..CONTROLLERS {
             if self.controllers[i].version != version {
                 self.controllers[i].next_version = version;
-                self.boot(i);
+                self.start_controller(i);
             }
         }
     }
 
-    pub(super) fn send(&mut self, at: u64, controller: usize, epoch: u64, msg: Msg) {
-        self.n += 1;
-        self.queue.insert((at, self.n), (controller, epoch, msg));
+    pub(super) fn send(&mut self, at: u64, controller: usize, epoch: u64, msg: Message) {
+        self.messages_sent += 1;
+        self.queue.insert((at, self.messages_sent), (controller, epoch, msg));
     }
 
     pub(super) fn delay(&mut self) -> u64 {
@@ -184,10 +184,10 @@
 
     /// Whether a message comes once more, later: while there are troubles.
     pub(super) fn copied(&mut self) -> bool {
-        self.t < FAULTS_END && self.rng.random_bool(0.03)
+        self.now < FAULTS_END_MS && self.rng.random_bool(0.03)
     }
 
-    pub(super) fn boot(&mut self, i: usize) {
+    pub(super) fn start_controller(&mut self, i: usize) {
         let incarnation = self.rng.random();
         if self.versions.len() > 1 {
             let drawn = self.rng.random_range(0..self.versions.len());
@@ -195,119 +195,122 @@
         }
         let c = &mut self.controllers[i];
         c.epoch += 1;
-        c.born = self.t;
+        c.born = self.now;
         let before = std::mem::replace(&mut c.configuration, c.next_configuration.clone());
-        c.earlier.push((self.t, before));
+        c.earlier.push((self.now, before));
         c.version = c.next_version;
         let settings = settings(i, incarnation, &c.configuration);
         c.process = Some(Process::start(c.version, settings, incarnation));
         let epoch = c.epoch;
-        self.send(self.t, i, epoch, Msg::Tick);
+        self.send(self.now, i, epoch, Message::Tick);
     }
 
-    pub(super) fn rule(&mut self, what: String) {
-        self.broken.push(format!("{} ms: {what}", self.t));
+    pub(super) fn violation(&mut self, what: String) {
+        self.violations.push(format!("{} ms: {what}", self.now));
     }
 
     pub(super) fn run(&mut self, faults_at_once: u32, until: u64) {
         self.faults_at_once = faults_at_once;
         self.next_fault = 15_000;
-        self.play(until);
+        self.run_until(until);
     }
 
-    /// A task of a job whose user was told at `told` that it is cancelled is there, or starts.
+    /// A task of a job whose user was told at `observed` that it is cancelled is there, or starts.
     /// The version in production may act on old word of jobs when it is back in its right after
     /// an outage; what it did then is not held against the present one.
-    pub(super) fn rule_of_cancelled(&mut self, told: u64, what: String) {
-        if self.old_word_at.is_some_and(|at| at >= told) {
-            self.faults_of_production.push(format!("{} ms: {what}", self.t));
+    pub(super) fn violation_after_cancellation(&mut self, observed: u64, what: String) {
+        if self.stale_renewal_at.is_some_and(|at| at >= observed) {
+            self.violations_of_earlier_versions.push(format!("{} ms: {what}", self.now));
         } else {
-            self.rule(what);
+            self.violation(what);
         }
     }
 
     /// Whether a moment came.
-    pub(super) fn meet(&mut self, moment: &'static str) {
-        *self.met.entry(moment).or_default() += 1;
+    pub(super) fn record_moment(&mut self, moment: &'static str) {
+        *self.moments.entry(moment).or_default() += 1;
     }
 
-    pub(super) fn play(&mut self, until: u64) {
-        while self.t < until {
-            let world = self.t + 20;
+    pub(super) fn run_until(&mut self, until: u64) {
+        while self.now < until {
+            let world = self.now + 20;
             while let Some(e) = self.queue.first_entry().filter(|e| e.key().0 < world) {
                 let at = e.key().0;
                 let (controller, epoch, msg) = e.remove();
-                self.t = self.t.max(at);
+                self.now = self.now.max(at);
                 self.deliver(controller, epoch, msg);
             }
-            self.t = world;
+            self.now = world;
             self.heal();
-            if self.t >= self.store.down_until {
-                self.store.expire(self.t);
+            if self.now >= self.store.down_until {
+                self.store.expire(self.now);
             }
             self.watch();
             self.workers();
             self.check_cancelled();
-            self.note_leader();
-            if self.t.is_multiple_of(1_000) {
-                self.check_left();
+            self.record_leader();
+            if self.now.is_multiple_of(1_000) {
+                self.check_unscheduled();
             }
-            if self.t >= self.next_freeze {
+            if self.now >= self.next_freeze {
                 self.next_freeze = u64::MAX;
-                let until = self.t + self.rng.random_range(2_000..15_000);
+                let until = self.now + self.rng.random_range(2_000..15_000);
                 if let Some(i) = self.leader() {
                     self.controllers[i].freezes_until = until;
-                    self.quiet_at = self.quiet_at.max(until);
+                    self.faults_over_at = self.faults_over_at.max(until);
                 }
             }
-            if self.t >= self.next_fault && self.t < FAULTS_END {
+            if self.now >= self.next_fault && self.now < FAULTS_END_MS {
                 for _ in 0..self.faults_at_once {
                     self.fault();
                 }
-                self.next_fault = self.t + self.rng.random_range(3_000..20_000);
+                self.next_fault = self.now + self.rng.random_range(3_000..20_000);
             }
-            if !self.known && self.t >= FAULTS_END && self.t >= self.quiet_at + KNOWN {
+            if !self.known
+                && self.now >= FAULTS_END_MS
+                && self.now >= self.faults_over_at + ANSWERED_WITHIN_MS
+            {
                 self.known = true;
-                self.check_known();
+                self.check_forgotten();
             }
         }
     }
 
-    pub(super) fn deliver(&mut self, controller: usize, epoch: u64, msg: Msg) {
-        let to_node = matches!(msg, Msg::Tick | Msg::Input(_) | Msg::Heartbeat(..));
-        if to_node && self.t < self.controllers[controller].frozen_until {
+    pub(super) fn deliver(&mut self, controller: usize, epoch: u64, msg: Message) {
+        let to_node = matches!(msg, Message::Tick | Message::Input(_) | Message::Heartbeat(..));
+        if to_node && self.now < self.controllers[controller].frozen_until {
             return self.send(self.controllers[controller].frozen_until, controller, epoch, msg);
         }
         match msg {
-            Msg::Tick => {
+            Message::Tick => {
                 if self.controllers[controller].epoch != epoch {
                     return;
                 }
                 if self.controllers[controller].process.is_none() {
-                    return self.boot(controller);
+                    return self.start_controller(controller);
                 }
                 self.step(controller, Input::Tick);
-                self.send(self.t + 50, controller, epoch, Msg::Tick);
+                self.send(self.now + 50, controller, epoch, Message::Tick);
             }
-            Msg::Input(input) => {
+            Message::Input(input) => {
                 if epoch == 0 || self.controllers[controller].epoch == epoch {
                     self.step(controller, input);
                 }
             }
             // What a process sent is carried out even when it has ended since.
-            Msg::State(op, call) => self.state(controller, epoch, op, call),
-            Msg::Cloud(op, call) => self.cloud(controller, epoch, op, call),
-            Msg::Heartbeat(m, req, heartbeat) => {
+            Message::Store(op, call) => self.store_request(controller, epoch, op, call),
+            Message::Cloud(op, call) => self.cloud_request(controller, epoch, op, call),
+            Message::Heartbeat(m, req, heartbeat) => {
                 if self.controllers[controller].process.is_some() {
-                    self.reqs.insert(req, Asker::Worker(m, heartbeat.sequence));
+                    self.requesters.insert(req, Requester::Worker(m, heartbeat.sequence));
                     self.step(controller, Input::Heartbeat { req, heartbeat: Box::new(heartbeat) });
                 }
             }
-            Msg::Orders(m, agent_epoch, sequence, answer) => {
+            Message::Commands(m, agent_epoch, sequence, answer) => {
                 self.commands(m, agent_epoch, sequence, answer)
             }
-            Msg::User(i) => self.user(i),
-            Msg::Answer(asker, answer) => self.answer(asker, answer),
+            Message::User(i) => self.user(i),
+            Message::Answer(asker, answer) => self.answer(asker, answer),
         }
     }
 }
--- a/crates/basaltrail-core/tests/simulation/versions.rs
+++ b/crates/basaltrail-core/tests/simulation/versions.rs
@@ -17,7 +17,7 @@
     pub const PRODUCTION: &[Version] = &[Version::Current];
 
     /// Whether it may start or renew tasks by what it knew of jobs before an outage.
-    pub fn acts_on_old_word(self) -> bool {
+    pub fn renews_on_stale_jobs(self) -> bool {
         match self {
             Version::Current => false,
         }
--- a/tests/mixed-versions/tests/versions/mod.rs
+++ b/tests/mixed-versions/tests/versions/mod.rs
@@ -25,7 +25,7 @@
     pub const PRODUCTION: &[Version] = &[Version::E26460f, Version::V9b39f4b];
 
     /// Whether it may start or renew tasks by what it knew of jobs before an outage.
-    pub fn acts_on_old_word(self) -> bool {
+    pub fn renews_on_stale_jobs(self) -> bool {
         self == Version::E26460f
     }
 
