--- a/crates/basaltrail-core/tests/simulation/simulated/allotments.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/allotments.rs
@@ -1,6 +1,7 @@
 //! Days on which allotments bind: what is accepted stays within each team's bound, whatever
 //! fails, and what was accepted is kept.
 
+use super::world::array_job;
 use super::*;
 use basaltrail_core::admission::{Planner, TeamLoad};
 
@@ -31,7 +32,7 @@
 }
 
 impl World {
-    fn allot(&mut self) {
+    fn turn_quotas_on(&mut self) {
         for controller in 0..CONTROLLERS {
             self.controllers[controller].next_configuration.policy = policy();
             self.start_controller(controller);
@@ -68,27 +69,7 @@
 }
 
 fn job(team: usize, tasks: u32) -> JobSpec {
-    JobSpec {
-        kind: JobKind::Array,
-        class: "c".into(),
-        team: format!("t{team}"),
-        priority: Priority::Normal,
-        tasks,
-        cpus: 1.0,
-        gpus: 0.0,
-        memory_gb: 1.0,
-        types: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        image: "i0".into(),
-        image_gb: 1.0,
-        estimate_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
-    }
+    JobSpec { estimate_s: 1.0, ..array_job(team, tasks) }
 }
 
 /// A flood of one team within seconds, and a few jobs of another.
@@ -100,7 +81,7 @@
 
 fn flooded(seed: u64) -> World {
     let mut w = World::with(SmallRng::seed_from_u64(seed), flood(30_000));
-    w.allot();
+    w.turn_quotas_on();
     w
 }
 
@@ -157,11 +138,12 @@
 /// A controller stands still with acceptances that it has built and not sent, and goes on after the
 /// leader has moved its allotment; transactions come late, twice or without an answer.
 #[test]
-fn the_bound_holds_with_nodes_that_stand_still_and_writes_that_come_late() {
+fn the_bound_holds_with_frozen_controllers_and_late_writes() {
     for seed in 0..6 {
         let mut w = flooded(seed);
         w.play_within_bounds(30_200);
-        w.late_writes = Partly { until: w.now + 60_000, share: 0.3, other: seed % 2 == 0 };
+        w.late_writes =
+            LateWrites { until: w.now + 60_000, share: 0.3, answer_lost: seed % 2 == 0 };
         for n in 0..6 {
             let controller = (n + seed as usize) % CONTROLLERS;
             w.controllers[controller].freezes_until = w.now + 14_000;
@@ -178,7 +160,7 @@
 /// A controller ends with a part of its allotment used, and is back at once: as another process, which
 /// accepts nothing before it has an allotment of its own.
 #[test]
-fn the_bound_holds_as_nodes_end_and_are_back_at_once() {
+fn the_bound_holds_as_controllers_restart_at_once() {
     for seed in 0..4 {
         let mut w = flooded(seed);
         w.play_within_bounds(30_300);
@@ -209,7 +191,7 @@
     for seed in 100..116 {
         let mut w = World::new(seed);
         w.services_only_where_known();
-        w.allot();
+        w.turn_quotas_on();
         w.run(1 + (seed % 2) as u32, DAY_MS);
         // A day may end before the last task of an unlucky job; the rules hold all the same.
         w.check(seed);
--- a/crates/basaltrail-core/tests/simulation/simulated/checks.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/checks.rs
@@ -109,59 +109,96 @@
     }
 }
 
+/// What a machine that works has left.
+struct FreeMachine {
+    zone: usize,
+    spot: bool,
+    cpus: f64,
+}
+
+/// What runs where, as the world knows it.
+struct Occupancy {
+    used_by_team: [f64; CPUS_MAX.len()],
+    tasks_of_job: BTreeMap<JobId, u32>,
+    free: Vec<FreeMachine>,
+}
+
+fn team_of(spec: &JobSpec) -> usize {
+    spec.team[1..].parse().expect("teams are numbered")
+}
+
 impl World {
-    /// Once the troubles are over, no job is left waiting while a machine that fits has room
-    /// and its team is under its limit.
-    pub(super) fn check_unscheduled(&mut self) {
-        let t = self.now;
-        let mut used = [0.0; CPUS_MAX.len()];
-        let mut rooms = Vec::new();
-        let mut placed: BTreeMap<JobId, u32> = BTreeMap::new();
+    fn occupancy(&self) -> Occupancy {
+        let now = self.now;
+        let mut used_by_team = [0.0; CPUS_MAX.len()];
+        let mut tasks_of_job: BTreeMap<JobId, u32> = BTreeMap::new();
+        let mut free = Vec::new();
         let specs: BTreeMap<JobId, &JobSpec> =
-            self.users.iter().map(|u| (u.job, &u.spec)).collect();
-        let team = |s: &JobSpec| s.team[1..].parse::<usize>().unwrap();
-        for w in self.workers.iter().filter(|w| w.alive && t >= w.up_at) {
-            let mut room = MACHINE_CPUS;
-            let held = |r: &SimulatedTask| !matches!(r.state, TaskState::Exited(_));
-            for (k, _) in w.tasks.iter().filter(|(_, r)| held(r)) {
-                let spec = specs[&k.0.job];
-                room -= spec.cpus;
-                used[team(spec)] += spec.cpus;
-                *placed.entry(k.0.job).or_default() += 1;
+            self.users.iter().map(|user| (user.job, &user.spec)).collect();
+        for worker in self.workers.iter().filter(|w| w.alive && now >= w.up_at) {
+            let mut cpus = MACHINE_CPUS;
+            let is_live = |task: &SimulatedTask| !matches!(task.state, TaskState::Exited(_));
+            for (key, _) in worker.tasks.iter().filter(|(_, task)| is_live(task)) {
+                let spec = specs[&key.0.job];
+                cpus -= spec.cpus;
+                used_by_team[team_of(spec)] += spec.cpus;
+                *tasks_of_job.entry(key.0.job).or_default() += 1;
             }
-            let away = [w.hung_until, w.downlink_lost_until, w.uplink_lost_until]
-                .into_iter()
-                .any(|u| t < u);
-            if !away && !w.faulty && w.reclaimed_at.is_none() {
-                rooms.push((w.zone, w.spot, room));
+            let unreachable =
+                [worker.hung_until, worker.downlink_lost_until, worker.uplink_lost_until]
+                    .into_iter()
+                    .any(|until| now < until);
+            if !unreachable && !worker.faulty && worker.reclaimed_at.is_none() {
+                free.push(FreeMachine { zone: worker.zone, spot: worker.spot, cpus });
             }
         }
-        let faults_over = self.faults_over_at;
-        let mut bad = Vec::new();
-        for u in &mut self.users {
-            let s = &u.spec;
-            let waits = t > faults_over
-                && u.observed == Observed::Accepted
-                && u.cancel_at.is_none_or(|c| t < c)
-                && !u.faulty_job
-                && u.done.len() < s.tasks as usize
-                // Of a service each replica counts.
-                && placed.get(&u.job).is_none_or(|n| s.is_service() && *n < s.tasks)
-                && !(s.one_zone || s.spread) | !placed.contains_key(&u.job)
-                && used[team(s)] + s.cpus <= CPUS_MAX[team(s)] + 1e-9
-                && rooms.iter().any(|(zone, spot, room)| {
-                    *room + 1e-9 >= s.cpus
-                        && (s.spot || !spot)
-                        && s.zone.as_deref().is_none_or(|z| z == ZONES[*zone])
-                });
-            u.unscheduled_since = waits.then(|| u.unscheduled_since.unwrap_or(t));
-            if u.unscheduled_since.is_some_and(|since| t > since + SCHEDULED_WITHIN_MS) {
-                u.unscheduled_since = None;
-                bad.push(u.job);
+        Occupancy { used_by_team, tasks_of_job, free }
+    }
+
+    /// Once the faults are over, no job is left waiting while a machine that fits has room and
+    /// its team is under its limit.
+    pub(super) fn check_unscheduled(&mut self) {
+        let now = self.now;
+        let occupancy = self.occupancy();
+        let faults_over = now > self.faults_over_at;
+        let mut left_waiting = Vec::new();
+        for user in &mut self.users {
+            let waits = faults_over && user.could_run(now, &occupancy);
+            user.unscheduled_since = waits.then(|| user.unscheduled_since.unwrap_or(now));
+            if user.unscheduled_since.is_some_and(|since| now > since + SCHEDULED_WITHIN_MS) {
+                user.unscheduled_since = None;
+                left_waiting.push(user.job);
             }
         }
-        for job in bad {
+        for job in left_waiting {
             self.violation(format!("left waiting: {job}"));
         }
     }
 }
+
+impl User {
+    /// Whether a task waits though a machine has room for it and its team may have it.
+    fn could_run(&self, now: u64, occupancy: &Occupancy) -> bool {
+        let spec = &self.spec;
+        let placed = occupancy.tasks_of_job.get(&self.job);
+        let unfinished = self.observed == Observed::Accepted
+            && self.cancel_at.is_none_or(|cancel_at| now < cancel_at)
+            && !self.faulty_job
+            && self.done.len() < spec.tasks as usize;
+        // Of a service each replica counts.
+        let waits = placed.is_none_or(|tasks| spec.is_service() && *tasks < spec.tasks);
+        let free_of_other_zones = !(spec.one_zone || spec.spread) || placed.is_none();
+        let team = team_of(spec);
+        let within_limit = occupancy.used_by_team[team] + spec.cpus <= CPUS_MAX[team] + 1e-9;
+        let fits = |machine: &FreeMachine| {
+            machine.cpus + 1e-9 >= spec.cpus
+                && (spec.spot || !machine.spot)
+                && spec.zone.as_deref().is_none_or(|zone| zone == ZONES[machine.zone])
+        };
+        unfinished
+            && waits
+            && free_of_other_zones
+            && within_limit
+            && occupancy.free.iter().any(fits)
+    }
+}
--- a/crates/basaltrail-core/tests/simulation/simulated/days.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/days.rs
@@ -1,5 +1,6 @@
 //! Days of seeded faults, and of overload.
 
+use super::world::array_job;
 use super::*;
 
 #[test]
@@ -51,27 +52,7 @@
 }
 
 fn overload_spec(tasks: u32, cpus: f64, priority: Priority) -> JobSpec {
-    JobSpec {
-        kind: JobKind::Array,
-        class: "c".into(),
-        team: "t1".into(),
-        priority,
-        tasks,
-        cpus,
-        gpus: 0.0,
-        memory_gb: 1.0,
-        types: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        image: "i0".into(),
-        image_gb: 1.0,
-        estimate_s: 10.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
-    }
+    JobSpec { priority, cpus, ..array_job(1, tasks) }
 }
 
 /// Plays an overload of a team by the `many` and asks that the `few` begin in time.
--- a/crates/basaltrail-core/tests/simulation/simulated/limits.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/limits.rs
@@ -1,30 +1,17 @@
 //! Teams' limits and guarantees: what a leader counts holds whoever leads, whatever the settings
 //! of the controllers say meanwhile.
 
+use super::world::array_job;
 use super::*;
 
 /// A job of many tasks that run for a minute or two.
 fn long_job(team: usize, tasks: u32) -> JobSpec {
     JobSpec {
-        kind: JobKind::Array,
-        class: "c".into(),
-        team: format!("t{team}"),
-        priority: Priority::Normal,
-        tasks,
         cpus: 2.0,
-        gpus: 0.0,
-        memory_gb: 1.0,
-        types: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        image: "i0".into(),
-        image_gb: 1.0,
         estimate_s: 80.0,
         checkpoint_s: 5.0,
         save_s: 2.0,
-        deadline_s: None,
+        ..array_job(team, tasks)
     }
 }
 
--- a/crates/basaltrail-core/tests/simulation/simulated/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/mod.rs
@@ -4,12 +4,14 @@
 
 mod allotments;
 mod checks;
+mod cloud;
 mod controllers;
 mod days;
 mod limits;
 mod meetings;
 mod rolls;
 mod store;
+mod store_requests;
 mod troubles;
 mod users;
 mod workers;
@@ -113,7 +115,7 @@
     leases: BTreeMap<u64, (u64, u64)>, // life, end
     next_lease_id: u64,
     down_until: u64,
-    watches: Vec<(usize, u64, CallId, String, u64, u64)>,
+    watches: Vec<OpenWatch>,
     limits: (usize, usize),
 }
 
@@ -217,13 +219,40 @@
     alone: bool,
 }
 
-/// A trouble for a share of something.
+/// A share of the transactions gets no answer.
 #[derive(Clone, Copy, Default)]
-struct Partly {
+struct LateWrites {
     until: u64,
     share: f64,
-    /// Of transactions: only the answer is lost. Of reports: kept for the next leader.
-    other: bool,
+    /// Only the answer is lost; the others are carried out late.
+    answer_lost: bool,
+}
+
+/// Of a share of the heartbeats a copy comes late.
+#[derive(Clone, Copy, Default)]
+struct LateHeartbeats {
+    until: u64,
+    share: f64,
+    /// The copies are kept for the next leader.
+    for_next_leader: bool,
+}
+
+/// A share of the jobs is cancelled as the last task ends.
+#[derive(Clone, Copy, Default)]
+struct CancelAtEnd {
+    until: u64,
+    share: f64,
+}
+
+/// A watch that the store has not answered yet.
+struct OpenWatch {
+    controller: usize,
+    epoch: u64,
+    op: CallId,
+    prefix: String,
+    after: u64,
+    /// When it is answered though nothing has changed.
+    until: u64,
 }
 
 type MachineIndex = usize;
@@ -276,12 +305,12 @@
     /// When whoever leads then comes to stand: the successor of one that did.
     next_freeze: u64,
     /// Transactions get no answer, and are carried out later, or at once.
-    late_writes: Partly,
+    late_writes: LateWrites,
     /// Copies of reports come late, or when the next leader begins.
-    late_heartbeats: Partly,
+    late_heartbeats: LateHeartbeats,
     held_heartbeats: Vec<Heartbeat>,
     /// Jobs are cancelled as their last task ends.
-    cancel_at_end: Partly,
+    cancel_at_end: CancelAtEnd,
     /// Users ask at all controllers, within milliseconds, what they have just been told.
     read_back_until: u64,
     invalid_requests_until: u64,
--- a/crates/basaltrail-core/tests/simulation/simulated/rolls.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/rolls.rs
@@ -81,8 +81,9 @@
 #[test]
 fn limits_fall_in_an_outage_after_an_upgrade_among_troubles() {
     days(0..6, |w| {
-        w.late_writes = Partly { until: w.now + 30_000, share: 0.3, other: false };
-        w.late_heartbeats = Partly { until: w.now + 30_000, share: 0.5, other: true };
+        w.late_writes = LateWrites { until: w.now + 30_000, share: 0.3, answer_lost: false };
+        w.late_heartbeats =
+            LateHeartbeats { until: w.now + 30_000, share: 0.5, for_next_leader: true };
         w.roll(1, 4_000, |w, first| {
             let until = w.now + LEASE_MS;
             match first {
--- a/crates/basaltrail-core/tests/simulation/simulated/troubles.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/troubles.rs
@@ -28,16 +28,7 @@
                 let m = self.rng.random_range(0..self.workers.len());
                 self.die(m);
             }
-            10 => {
-                // Spot machines are taken back in a wave, some without a word before.
-                for w in self.workers.iter_mut().filter(|w| w.spot && w.reclaimed_at.is_none()) {
-                    if self.rng.random_bool(0.5) {
-                        w.reclaimed_at = Some(t + self.rng.random_range(2_000..9_000));
-                        w.reclaim_announced = self.rng.random_bool(0.7);
-                        w.next_heartbeat = w.next_heartbeat.min(t + 500);
-                    }
-                }
-            }
+            10 => self.reclaim_spot_machines(),
             11 => self.controllers[controller].freezes_until = long_tasks,
             12 => {
                 let zone = self.rng.random_range(0..2);
@@ -56,14 +47,19 @@
                 self.controllers[controller].freezes_until = long_tasks;
                 self.next_freeze = t + self.rng.random_range(4_000..9_000);
             }
-            18 => self.late_writes = Partly { until: long_tasks, share: 0.4, other: held },
-            19 => self.late_heartbeats = Partly { until: long_tasks, share: 0.6, other: held },
+            18 => {
+                self.late_writes = LateWrites { until: long_tasks, share: 0.4, answer_lost: held }
+            }
+            19 => {
+                self.late_heartbeats =
+                    LateHeartbeats { until: long_tasks, share: 0.6, for_next_leader: held }
+            }
             20 => self.for_share_of_workers(0.4, |w| w.uplink_lost_until = long_tasks),
             21 => {
                 let hang = self.rng.random_range(0..14_000);
                 self.cancel_now(6, hang);
             }
-            22 => self.cancel_at_end = Partly { until: long_tasks, share: 0.5, other: false },
+            22 => self.cancel_at_end = CancelAtEnd { until: long_tasks, share: 0.5 },
             23 => self.invalid_requests_until = long_tasks,
             24 => self.read_back_until = long_tasks,
             25 => {
@@ -78,6 +74,18 @@
         self.faults_over_at = self.faults_over_at.max(long_tasks).max(self.store.down_until);
     }
 
+    /// Spot machines are reclaimed in a wave, some without a notice.
+    fn reclaim_spot_machines(&mut self) {
+        let now = self.now;
+        for w in self.workers.iter_mut().filter(|w| w.spot && w.reclaimed_at.is_none()) {
+            if self.rng.random_bool(0.5) {
+                w.reclaimed_at = Some(now + self.rng.random_range(2_000..9_000));
+                w.reclaim_announced = self.rng.random_bool(0.7);
+                w.next_heartbeat = w.next_heartbeat.min(now + 500);
+            }
+        }
+    }
+
     /// The state service is out for all. After it all leases have their full time again.
     pub(super) fn outage(&mut self, spell: u64) {
         self.store.down_until = self.now + spell;
--- a/crates/basaltrail-core/tests/simulation/simulated/users.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/users.rs
@@ -107,81 +107,46 @@
         self.send(self.now + 1, controller, 0, Message::Input(input));
     }
 
-    pub(super) fn answer(&mut self, asker: Requester, answer: Answer) {
+    /// An answer arrives.
+    pub(super) fn answer(&mut self, requester: Requester, answer: Answer) {
         let known = matches!(answer, Answer::Job { .. } | Answer::Created { .. });
-        let (i, q) = match asker {
-            Requester::User(i, q) => (i, q),
+        let (i, request) = match requester {
+            Requester::User(i, request) => (i, request),
             Requester::OfUnknownJob if known => return self.violation("invented".into()),
             Requester::OfInvalidJob if known => {
-                return self.violation("accepted what can never run".into())
+                return self.violation("accepted what can never run".into());
             }
             Requester::OfInvalidJob if matches!(answer, Answer::Unschedulable(_)) => {
-                return self.record_moment("422")
+                return self.record_moment("422");
             }
             _ => return,
         };
-        let t = self.now;
-        let u = &mut self.users[i];
-        if q.alone {
-            u.request_deadline = t;
+        let now = self.now;
+        let user = &mut self.users[i];
+        if request.alone {
+            user.request_deadline = now;
         }
-        let now = u.observed;
         if known {
-            u.last_answered = t;
+            user.last_answered = now;
         }
-        let mut bad = None;
-        match answer {
-            Answer::Created { .. } => {
-                if q.before != Observed::Unknown {
-                    bad = Some("went_back: a known job was accepted anew");
-                }
-                u.observed = if now == Observed::Unknown { Observed::Accepted } else { now };
-            }
-            Answer::Job { view, .. } => match (view, now) {
-                (JobStatus::Done, Observed::Cancelled(_)) => {
-                    bad = Some("went_back: cancelled, then done")
-                }
-                (JobStatus::Done, _) => {
-                    if u.done.len() < u.spec.tasks as usize {
-                        bad = Some("not_done");
-                    }
-                    u.observed = Observed::Done;
-                }
-                (JobStatus::Cancelled, Observed::Done) => {
-                    bad = Some("went_back: done, then cancelled")
-                }
-                (JobStatus::Cancelled, Observed::Cancelled(_)) => {}
-                (JobStatus::Cancelled, _) => {
-                    if !u.cancel_requested {
-                        bad = Some("went_back: cancelled by nobody");
-                    }
-                    u.observed = Observed::Cancelled(t);
-                }
-                _ if matches!(q.before, Observed::Done | Observed::Cancelled(_)) => {
-                    bad = Some("went_back: ended, then alive")
-                }
-                (_, Observed::Unknown) => u.observed = Observed::Accepted,
-                _ => {}
-            },
-            Answer::NotFound if q.before != Observed::Unknown => bad = Some("forgotten: 404"),
-            Answer::Invalid(_) | Answer::Unschedulable(_) => bad = Some("forgotten: refused"),
-            _ => {}
-        }
-        let observed = u.observed;
-        if let Some(b) = bad {
-            let job = self.users[i].job;
-            self.violation(format!("{b}: {job}"));
-        }
-        if !q.alone && known && q.before != Observed::Unknown {
+        let before = user.observed;
+        let judged = user.judge(request, &answer, now);
+        let observed = user.observed;
+        if let Err(broken) = judged {
+            let job = user.job;
+            self.violation(format!("{broken}: {job}"));
+        }
+        if !request.alone && known && request.before != Observed::Unknown {
             self.record_moment("looked");
         }
-        if observed != now {
-            if matches!(observed, Observed::Cancelled(_)) {
-                self.record_cancellation(i);
-            }
-            if t < self.read_back_until {
-                self.read_back(i);
-            }
+        if observed == before {
+            return;
+        }
+        if matches!(observed, Observed::Cancelled(_)) {
+            self.record_cancellation(i);
+        }
+        if now < self.read_back_until {
+            self.read_back(i);
         }
     }
 
@@ -218,6 +183,62 @@
     }
 }
 
+impl User {
+    /// Takes what an answer says; an error names the rule that the answer breaks.
+    fn judge(
+        &mut self,
+        request: PendingRequest,
+        answer: &Answer,
+        now: u64,
+    ) -> Result<(), &'static str> {
+        match answer {
+            Answer::Created { .. } => {
+                if self.observed == Observed::Unknown {
+                    self.observed = Observed::Accepted;
+                }
+                match request.before {
+                    Observed::Unknown => Ok(()),
+                    _ => Err("went_back: a known job was accepted anew"),
+                }
+            }
+            Answer::Job { view, .. } => self.judge_status(request, *view, now),
+            Answer::NotFound if request.before != Observed::Unknown => Err("forgotten: 404"),
+            Answer::Invalid(_) | Answer::Unschedulable(_) => Err("forgotten: refused"),
+            _ => Ok(()),
+        }
+    }
+
+    fn judge_status(
+        &mut self,
+        request: PendingRequest,
+        status: JobStatus,
+        now: u64,
+    ) -> Result<(), &'static str> {
+        match (status, self.observed) {
+            (JobStatus::Done, Observed::Cancelled(_)) => Err("went_back: cancelled, then done"),
+            (JobStatus::Done, _) => {
+                self.observed = Observed::Done;
+                let all_done = self.done.len() >= self.spec.tasks as usize;
+                all_done.then_some(()).ok_or("not_done")
+            }
+            (JobStatus::Cancelled, Observed::Done) => Err("went_back: done, then cancelled"),
+            (JobStatus::Cancelled, Observed::Cancelled(_)) => Ok(()),
+            (JobStatus::Cancelled, _) => {
+                self.observed = Observed::Cancelled(now);
+                self.cancel_requested.then_some(()).ok_or("went_back: cancelled by nobody")
+            }
+            _ if matches!(request.before, Observed::Done | Observed::Cancelled(_)) => {
+                Err("went_back: ended, then alive")
+            }
+            (_, Observed::Unknown) => {
+                self.observed = Observed::Accepted;
+                Ok(())
+            }
+            _ => Ok(()),
+        }
+    }
+}
+
 #[derive(Clone, Copy, PartialEq)]
 enum RequestKind {
     Submit,
--- a/crates/basaltrail-core/tests/simulation/simulated/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/workers.rs
@@ -1,272 +1,315 @@
-//! Machines and their workers.
+//! Machines and the agents on them: heartbeats, tasks, and what they do with commands.
 
 use super::*;
 
+/// Milliseconds that a task takes to save its progress.
+const SAVING_MS: u64 = 2_000;
+/// Milliseconds after which an agent asks another controller.
+const RETRY_MS: u64 = 1_000;
+/// Milliseconds after which an agent follows a hint to the leader.
+const FOLLOW_HINT_MS: u64 = 100;
+/// Milliseconds until an agent that has seen a new leader's token sends its next heartbeat.
+const NEW_TOKEN_MS: u64 = 500;
+/// Heartbeats that are held back for the next leader.
+const HELD_HEARTBEATS_MOST: usize = 4_000;
+
 impl Worker {
-    pub(super) fn end(&mut self, t: u64) {
+    pub(super) fn end(&mut self, now: u64) {
         self.alive = false;
         self.tasks.clear();
-        self.gone.get_or_insert(t);
+        self.gone.get_or_insert(now);
+    }
+
+    /// The lease binds a hung machine too: what it ran is over.
+    fn expire_lease(&mut self, now: u64) {
+        self.tasks.clear();
+        self.agent_epoch += 1;
+        self.renewed = now;
+        self.awaiting_reply = None;
+        self.next_heartbeat = now;
+    }
+
+    /// Asks the next controller, a while from now.
+    fn turn_to_next_controller(&mut self, now: u64) {
+        self.to = (self.to + 1) % CONTROLLERS;
+        self.next_heartbeat = now + RETRY_MS;
+    }
+
+    /// What it reports now.
+    fn heartbeat(&self, index: usize, now: u64) -> Heartbeat {
+        let seconds_left = |at: u64| at.saturating_sub(now) as f64 / 1000.0;
+        let status = |((task, attempt), simulated): (&(TaskId, Attempt), &SimulatedTask)| {
+            TaskStatus { task: *task, attempt: *attempt, state: simulated.state }
+        };
+        Heartbeat {
+            machine: machine(index),
+            endpoint: format!("e{index}"),
+            machine_type: "x".into(),
+            zone: ZONES[self.zone].into(),
+            spot: self.spot,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+            token: self.token,
+            reclaim_notice_s: self
+                .reclaimed_at
+                .filter(|_| self.reclaim_announced)
+                .map(seconds_left),
+            tasks: self.tasks.iter().map(status).collect(),
+        }
+    }
+
+    /// A task that is started again here, or for which there is no room, exits at once.
+    fn state_of_start(&self, task: TaskId, used_cpus: f64, cpus: f64) -> TaskState {
+        let is_live = |simulated: &SimulatedTask| !matches!(simulated.state, TaskState::Exited(_));
+        if self.tasks.iter().any(|(key, simulated)| key.0 == task && is_live(simulated)) {
+            TaskState::Exited(ExitReason::Busy)
+        } else if used_cpus + cpus > MACHINE_CPUS + 1e-9 {
+            TaskState::Exited(ExitReason::NoRoom)
+        } else {
+            TaskState::Fetching
+        }
     }
 }
 
 impl World {
-    pub(super) fn on_machine(r: &SimulatedTask) -> bool {
-        matches!(r.state, TaskState::Running | TaskState::Saving)
+    pub(super) fn on_machine(simulated: &SimulatedTask) -> bool {
+        matches!(simulated.state, TaskState::Running | TaskState::Saving)
     }
 
+    /// What every machine does by now.
     pub(super) fn workers(&mut self) {
-        for m in 0..self.workers.len() {
-            let t = self.now;
-            let w = &mut self.workers[m];
-            if w.reclaimed_at.is_some_and(|at| t >= at) {
-                w.end(t);
+        for index in 0..self.workers.len() {
+            let now = self.now;
+            let worker = &mut self.workers[index];
+            if worker.reclaimed_at.is_some_and(|at| now >= at) {
+                worker.end(now);
             }
-            if !w.alive || t < w.up_at {
+            if !worker.alive || now < worker.up_at {
                 continue;
             }
-            if t > w.renewed + LEASE_MS {
-                // The lease binds a hanging machine too: what it ran is over.
-                w.tasks.clear();
-                w.agent_epoch += 1;
-                w.renewed = t;
-                w.awaiting_reply = None;
-                w.next_heartbeat = t;
+            if now > worker.renewed + LEASE_MS {
+                worker.expire_lease(now);
             }
-            if t < w.hung_until {
+            if now < worker.hung_until {
                 continue;
             }
-            if w.awaiting_reply.is_some_and(|(_, sent)| t > sent + REPLY_TIMEOUT_MS) {
-                w.awaiting_reply = None;
-                w.to = (w.to + 1) % CONTROLLERS;
-                w.next_heartbeat = t + 1_000;
+            if worker.awaiting_reply.is_some_and(|(_, sent)| now > sent + REPLY_TIMEOUT_MS) {
+                worker.awaiting_reply = None;
+                worker.turn_to_next_controller(now);
             }
+            let is_due =
+                |(_, simulated): &(&(TaskId, Attempt), &SimulatedTask)| simulated.until <= now;
             let due: Vec<(TaskId, Attempt)> =
-                w.tasks.iter().filter(|(_, r)| r.until <= t).map(|(k, _)| *k).collect();
+                worker.tasks.iter().filter(is_due).map(|(key, _)| *key).collect();
             for key in due {
-                self.advance(m, key);
+                self.advance(index, key);
             }
-            let w = &mut self.workers[m];
-            if w.awaiting_reply.is_none() && t >= w.next_heartbeat {
-                w.sequence += 1;
-                w.awaiting_reply = Some((w.sequence, t));
-                w.next_heartbeat = t + HEARTBEAT_INTERVAL_MS * 3 / 4 + (m as u64 * 37) % 500;
-                let heartbeat = Heartbeat {
-                    machine: machine(m),
-                    endpoint: format!("e{m}"),
-                    machine_type: "x".into(),
-                    zone: ZONES[w.zone].into(),
-                    spot: w.spot,
-                    agent_epoch: w.agent_epoch,
-                    sequence: w.sequence,
-                    token: w.token,
-                    reclaim_notice_s: w
-                        .reclaimed_at
-                        .filter(|_| w.reclaim_announced)
-                        .map(|at| at.saturating_sub(t) as f64 / 1000.0),
-                    tasks: w
-                        .tasks
-                        .iter()
-                        .map(|((task, attempt), r)| TaskStatus {
-                            task: *task,
-                            attempt: *attempt,
-                            state: r.state,
-                        })
-                        .collect(),
-                };
-                let to = w.to;
-                let mute = t < w.uplink_lost_until;
-                self.next_request += 1;
-                let req = RequestId(self.next_request);
-                let at = t + self.delay();
-                let at = self.between(to, m, at);
-                if self.copied() {
-                    // From seconds to well over a lease late, and answered to nobody.
-                    let at = t + self.rng.random_range(50..3 * LEASE_MS);
-                    let input = Input::Heartbeat {
-                        req: RequestId(0),
-                        heartbeat: Box::new(heartbeat.clone()),
-                    };
-                    self.send(at, to, 0, Message::Input(input));
-                }
-                let late = self.late_heartbeats;
-                if t < late.until && self.rng.random_bool(late.share) {
-                    if !late.other {
-                        let at = t + self.rng.random_range(2_000..3 * LEASE_MS);
-                        let input = Input::Heartbeat {
-                            req: RequestId(0),
-                            heartbeat: Box::new(heartbeat.clone()),
-                        };
-                        self.send(at, to, 0, Message::Input(input));
-                    } else if self.held_heartbeats.len() < 4_000 {
-                        self.held_heartbeats.push(heartbeat.clone());
-                    }
-                }
-                if !mute {
-                    self.send(at, to, 0, Message::Heartbeat(m, req, heartbeat));
-                }
+            let worker = &self.workers[index];
+            if worker.awaiting_reply.is_none() && now >= worker.next_heartbeat {
+                self.send_heartbeat(index);
+            }
+        }
+    }
+
+    fn send_heartbeat(&mut self, index: usize) {
+        let now = self.now;
+        let worker = &mut self.workers[index];
+        worker.sequence += 1;
+        worker.awaiting_reply = Some((worker.sequence, now));
+        worker.next_heartbeat = now + HEARTBEAT_INTERVAL_MS * 3 / 4 + (index as u64 * 37) % 500;
+        let heartbeat = worker.heartbeat(index, now);
+        let to = worker.to;
+        let uplink_lost = now < worker.uplink_lost_until;
+        self.next_request += 1;
+        let req = RequestId(self.next_request);
+        let at = now + self.delay();
+        let at = self.between(to, index, at);
+        if self.copied() {
+            // From milliseconds to well over a lease late, and answered to nobody.
+            let late = self.rng.random_range(50..3 * LEASE_MS);
+            self.send_copy_of_heartbeat(to, late, &heartbeat);
+        }
+        let late = self.late_heartbeats;
+        if now < late.until && self.rng.random_bool(late.share) {
+            if !late.for_next_leader {
+                let late = self.rng.random_range(2_000..3 * LEASE_MS);
+                self.send_copy_of_heartbeat(to, late, &heartbeat);
+            } else if self.held_heartbeats.len() < HELD_HEARTBEATS_MOST {
+                self.held_heartbeats.push(heartbeat.clone());
             }
         }
+        if !uplink_lost {
+            self.send(at, to, 0, Message::Heartbeat(index, req, heartbeat));
+        }
+    }
+
+    fn send_copy_of_heartbeat(&mut self, to: usize, late: u64, heartbeat: &Heartbeat) {
+        let heartbeat = Box::new(heartbeat.clone());
+        let input = Input::Heartbeat { req: RequestId(0), heartbeat };
+        self.send(self.now + late, to, 0, Message::Input(input));
     }
 
-    pub(super) fn advance(&mut self, m: usize, key: (TaskId, Attempt)) {
-        let t = self.now;
-        let Some(r) = self.workers[m].tasks.get_mut(&key) else { return };
-        r.until = u64::MAX;
+    /// The present state of a task is over.
+    pub(super) fn advance(&mut self, index: usize, key: (TaskId, Attempt)) {
+        let now = self.now;
+        let Some(simulated) = self.workers[index].tasks.get_mut(&key) else { return };
+        simulated.until = u64::MAX;
         let task = key.0;
-        let user = self.users.iter().position(|u| u.job == task.job).unwrap();
-        match r.state {
+        let user = self.users.iter().position(|u| u.job == task.job).expect("a user's job");
+        match simulated.state {
             TaskState::Fetching => {
-                r.state = TaskState::Running;
-                r.until = r.run_ends_at.max(t + 1);
+                simulated.state = TaskState::Running;
+                simulated.until = simulated.run_ends_at.max(now + 1);
                 if self.users[user].done.contains(&task.index) {
-                    r.until = t;
+                    simulated.until = now;
                 }
-                self.check_start(m, user, key);
-            }
-            TaskState::Running => {
-                let service = self.users[user].spec.is_service();
-                let bad = self.users[user].faulty_job || self.workers[m].faulty;
-                let fails = (bad || self.rng.random_bool(0.02))
-                    && !self.users[user].done.contains(&task.index);
-                let why = if fails { ExitReason::Error } else { ExitReason::Done };
-                if !fails && !service {
-                    self.users[user].done.insert(task.index);
-                    let u = &self.users[user];
-                    let last = u.done.len() == u.spec.tasks as usize;
-                    let late = self.cancel_at_end;
-                    if last && t < late.until && self.rng.random_bool(late.share) {
-                        self.record_moment("cancelled at its end");
-                        self.cancel(user);
-                    }
-                }
-                self.workers[m].tasks.get_mut(&key).unwrap().state = TaskState::Exited(why);
-                self.workers[m].next_heartbeat = t;
+                self.check_start(index, user, key);
             }
+            TaskState::Running => self.end_run(index, user, key),
             TaskState::Saving => {
-                r.state = TaskState::Exited(ExitReason::Stopped);
-                self.workers[m].next_heartbeat = t;
+                simulated.state = TaskState::Exited(ExitReason::Stopped);
+                self.workers[index].next_heartbeat = now;
             }
             TaskState::Exited(_) => {}
         }
     }
 
-    pub(super) fn commands(&mut self, m: usize, agent_epoch: u64, sequence: u64, answer: Answer) {
-        let t = self.now;
-        let w = &mut self.workers[m];
-        if !w.alive {
-            return;
+    /// A task has run for its time: it fails, or is done.
+    fn end_run(&mut self, index: usize, user: usize, key: (TaskId, Attempt)) {
+        let task = key.0;
+        let service = self.users[user].spec.is_service();
+        let faulty = self.users[user].faulty_job || self.workers[index].faulty;
+        let fails =
+            (faulty || self.rng.random_bool(0.02)) && !self.users[user].done.contains(&task.index);
+        let reason = if fails { ExitReason::Error } else { ExitReason::Done };
+        if !fails && !service {
+            self.users[user].done.insert(task.index);
+            let last = self.users[user].done.len() == self.users[user].spec.tasks as usize;
+            let fault = self.cancel_at_end;
+            if last && self.now < fault.until && self.rng.random_bool(fault.share) {
+                self.record_moment("cancelled at its end");
+                self.cancel(user);
+            }
         }
-        let Some((awaiting_reply, sent)) = w.awaiting_reply else { return };
+        let simulated = self.workers[index].tasks.get_mut(&key).expect("it runs here");
+        simulated.state = TaskState::Exited(reason);
+        self.workers[index].next_heartbeat = self.now;
+    }
+
+    /// An answer to a heartbeat arrives.
+    pub(super) fn commands(&mut self, index: usize, epoch: u64, sequence: u64, answer: Answer) {
+        let now = self.now;
+        let worker = &mut self.workers[index];
+        let Some((awaited, sent)) = worker.awaiting_reply.filter(|_| worker.alive) else { return };
         // Late responses and those of an earlier agent epoch are dropped.
-        let lost = t > sent + REPLY_TIMEOUT_MS || t < w.hung_until || t < w.downlink_lost_until;
-        if awaiting_reply != sequence || agent_epoch != w.agent_epoch || lost {
+        let lost = now > sent + REPLY_TIMEOUT_MS
+            || now < worker.hung_until
+            || now < worker.downlink_lost_until;
+        if awaited != sequence || epoch != worker.agent_epoch || lost {
             return;
         }
-        w.awaiting_reply = None;
+        worker.awaiting_reply = None;
         let (token, commands) = match answer {
             Answer::Commands { token, commands } => (token, commands),
             Answer::NotLeader { leader } => {
-                let named = leader.and_then(|l| l[1..].parse().ok()).filter(|n| *n != w.to);
-                w.next_heartbeat = t + if named.is_some() { 100 } else { 1_000 };
-                w.to = named.unwrap_or((w.to + 1) % CONTROLLERS);
-                return;
-            }
-            _ => {
-                w.to = (w.to + 1) % CONTROLLERS;
-                w.next_heartbeat = t + 1_000;
+                let hint = leader.and_then(|name| name[1..].parse().ok());
+                let Some(hint) = hint.filter(|named| *named != worker.to) else {
+                    return worker.turn_to_next_controller(now);
+                };
+                worker.next_heartbeat = now + FOLLOW_HINT_MS;
+                worker.to = hint;
                 return;
             }
+            _ => return worker.turn_to_next_controller(now),
         };
-        if token < w.token {
+        if token < worker.token {
             return;
         }
-        if token > w.token {
-            w.next_heartbeat = w.next_heartbeat.min(t + 500);
+        if token > worker.token {
+            worker.next_heartbeat = worker.next_heartbeat.min(now + NEW_TOKEN_MS);
         }
-        w.token = token;
-        w.renewed = w.renewed.max(sent);
-        for o in commands {
-            let w = &mut self.workers[m];
-            match o {
-                TaskCommand::Start { task, attempt } => {
-                    if w.tasks.contains_key(&(task, attempt)) {
-                        continue;
-                    }
-                    let user = self.users.iter().position(|u| u.job == task.job);
-                    let Some(user) = user else {
-                        self.violation(format!("started a task of no job: {task:?}"));
-                        continue;
-                    };
-                    if let Observed::Cancelled(at) = self.users[user].observed {
-                        self.moments
-                            .entry("start after a cancellation")
-                            .and_modify(|n| *n += 1)
-                            .or_default();
-                        if t > at + CANCELLATION_KNOWN_WITHIN_MS {
-                            self.violation_after_cancellation(
-                                at,
-                                format!("started {task:?}, cancelled at {at}"),
-                            );
-                        }
-                    }
-                    let w = &mut self.workers[m];
-                    let spec = &self.users[user].spec;
-                    let used: f64 = w
-                        .tasks
-                        .iter()
-                        .filter(|(_, r)| !matches!(r.state, TaskState::Exited(_)))
-                        .filter_map(|(k, _)| self.users.iter().find(|u| u.job == k.0.job))
-                        .map(|u| u.spec.cpus)
-                        .sum();
-                    let here = w
-                        .tasks
-                        .iter()
-                        .any(|(k, r)| k.0 == task && !matches!(r.state, TaskState::Exited(_)));
-                    let state = if here {
-                        TaskState::Exited(ExitReason::Busy)
-                    } else if used + spec.cpus > MACHINE_CPUS + 1e-9 {
-                        TaskState::Exited(ExitReason::NoRoom)
-                    } else {
-                        TaskState::Fetching
-                    };
-                    let until = t + self.rng.random_range(200..2_500);
-                    let run = if self.long_tasks { 60_000..110_000 } else { 2_000..25_000 };
-                    let run_ends_at = until + self.rng.random_range(run);
-                    // Few replicas end by themselves.
-                    let lasts = self.users[user].spec.is_service()
-                        && !self.users[user].faulty_job
-                        && !self.workers[m].faulty
-                        && self.rng.random_bool(0.9);
-                    let run_ends_at = if lasts { u64::MAX } else { run_ends_at };
-                    let w = &mut self.workers[m];
-                    w.tasks.insert((task, attempt), SimulatedTask { state, until, run_ends_at });
-                }
-                TaskCommand::Stop { task, attempt, grace_s } => {
-                    let user = self.users.iter().find(|u| u.job == task.job);
-                    let goes_on =
-                        |u: &&User| u.cancel_at.is_none() && u.observed == Observed::Accepted;
-                    self.tasks_stopped += u64::from(user.is_some_and(|u| goes_on(&u)));
-                    if let (Some(r), Some(u)) = (w.tasks.get_mut(&(task, attempt)), user) {
-                        let saves = u.spec.checkpoint_s > 0.0 && grace_s >= u.spec.save_s;
-                        match r.state {
-                            TaskState::Running if saves => {
-                                r.state = TaskState::Saving;
-                                r.until = t + 2_000;
-                            }
-                            TaskState::Saving if grace_s > 0.0 => {}
-                            TaskState::Exited(_) => {}
-                            _ => r.state = TaskState::Exited(ExitReason::Stopped),
-                        }
-                    }
-                }
-                TaskCommand::Forget { task, attempt } => {
-                    let exited = |r: &SimulatedTask| matches!(r.state, TaskState::Exited(_));
-                    if w.tasks.get(&(task, attempt)).is_some_and(exited) {
-                        w.tasks.remove(&(task, attempt));
-                    }
+        worker.token = token;
+        worker.renewed = worker.renewed.max(sent);
+        for command in commands {
+            self.carry_out_command(index, command);
+        }
+    }
+
+    fn carry_out_command(&mut self, index: usize, command: TaskCommand) {
+        match command {
+            TaskCommand::Start { task, attempt } => self.start_task(index, task, attempt),
+            TaskCommand::Stop { task, attempt, grace_s } => {
+                self.stop_task(index, task, attempt, grace_s);
+            }
+            TaskCommand::Forget { task, attempt } => {
+                let tasks = &mut self.workers[index].tasks;
+                let exited = |task: &SimulatedTask| matches!(task.state, TaskState::Exited(_));
+                if tasks.get(&(task, attempt)).is_some_and(exited) {
+                    tasks.remove(&(task, attempt));
                 }
             }
         }
     }
+
+    fn start_task(&mut self, index: usize, task: TaskId, attempt: Attempt) {
+        let now = self.now;
+        if self.workers[index].tasks.contains_key(&(task, attempt)) {
+            return;
+        }
+        let Some(user) = self.users.iter().position(|u| u.job == task.job) else {
+            return self.violation(format!("started a task of no job: {task:?}"));
+        };
+        if let Observed::Cancelled(at) = self.users[user].observed {
+            self.moments.entry("start after a cancellation").and_modify(|n| *n += 1).or_default();
+            if now > at + CANCELLATION_KNOWN_WITHIN_MS {
+                let what = format!("started {task:?}, cancelled at {at}");
+                self.violation_after_cancellation(at, what);
+            }
+        }
+        let state = self.workers[index].state_of_start(
+            task,
+            self.used_cpus(index),
+            self.users[user].spec.cpus,
+        );
+        let until = now + self.rng.random_range(200..2_500);
+        let run = if self.long_tasks { 60_000..110_000 } else { 2_000..25_000 };
+        let run_ends_at = until + self.rng.random_range(run);
+        // Few replicas end by themselves.
+        let lasts = self.users[user].spec.is_service()
+            && !self.users[user].faulty_job
+            && !self.workers[index].faulty
+            && self.rng.random_bool(0.9);
+        let run_ends_at = if lasts { u64::MAX } else { run_ends_at };
+        let simulated = SimulatedTask { state, until, run_ends_at };
+        self.workers[index].tasks.insert((task, attempt), simulated);
+    }
+
+    /// CPUs of all tasks on a machine that have not exited.
+    fn used_cpus(&self, index: usize) -> f64 {
+        self.workers[index]
+            .tasks
+            .iter()
+            .filter(|(_, simulated)| !matches!(simulated.state, TaskState::Exited(_)))
+            .filter_map(|(key, _)| self.users.iter().find(|u| u.job == key.0.job))
+            .map(|u| u.spec.cpus)
+            .sum()
+    }
+
+    fn stop_task(&mut self, index: usize, task: TaskId, attempt: Attempt, grace_s: f64) {
+        let user = self.users.iter().find(|u| u.job == task.job);
+        let goes_on = |u: &User| u.cancel_at.is_none() && u.observed == Observed::Accepted;
+        self.tasks_stopped += u64::from(user.is_some_and(goes_on));
+        let simulated = self.workers[index].tasks.get_mut(&(task, attempt));
+        let (Some(simulated), Some(user)) = (simulated, user) else { return };
+        let saves = user.spec.checkpoint_s > 0.0 && grace_s >= user.spec.save_s;
+        match simulated.state {
+            TaskState::Running if saves => {
+                simulated.state = TaskState::Saving;
+                simulated.until = self.now + SAVING_MS;
+            }
+            TaskState::Saving if grace_s > 0.0 => {}
+            TaskState::Exited(_) => {}
+            _ => simulated.state = TaskState::Exited(ExitReason::Stopped),
+        }
+    }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/world.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/world.rs
@@ -22,56 +22,108 @@
     }
 }
 
+/// An array job of a team, with nothing special about it.
+pub(super) fn array_job(team: usize, tasks: u32) -> JobSpec {
+    JobSpec {
+        kind: JobKind::Array,
+        class: "c".into(),
+        team: format!("t{team}"),
+        priority: Priority::Normal,
+        tasks,
+        cpus: 1.0,
+        gpus: 0.0,
+        memory_gb: 1.0,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: true,
+        image: "i0".into(),
+        image_gb: 1.0,
+        estimate_s: 10.0,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+    }
+}
+
+/// Jobs of a day of faults, and how many of them, the last ones, are services.
+const JOBS: u64 = 40;
+const SERVICES: u64 = 6;
+
+/// A job of any sort; every draw of the random numbers stands in this order.
+fn random_user(rng: &mut SmallRng, i: u64) -> User {
+    let at = rng.random_range(2_000..FAULTS_END_MS + 20_000);
+    let team = rng.random_range(0..CPUS_MAX.len());
+    let spec = JobSpec {
+        priority: if rng.random_bool(0.5) { Priority::Normal } else { Priority::Low },
+        tasks: rng.random_range(1..14),
+        cpus: [1.0, 2.0, 4.0][rng.random_range(0..3)],
+        zone: rng.random_bool(0.1).then(|| "a".into()),
+        one_zone: rng.random_bool(0.15),
+        spread: rng.random_bool(0.15),
+        spot: rng.random_bool(0.7),
+        image: format!("i{}", i % 3),
+        checkpoint_s: if rng.random_bool(0.5) { 5.0 } else { 0.0 },
+        save_s: 2.0,
+        ..array_job(team, 1)
+    };
+    let cancel_at = rng.random_bool(0.2).then(|| at + rng.random_range(1_000..40_000));
+    let mut user = User::new(1000 + i, spec, at, cancel_at);
+    if i >= JOBS - SERVICES {
+        user.make_service(i);
+        user.cancel_at = Some(at + rng.random_range(60_000..180_000));
+    }
+    user.faulty_job = rng.random_bool(0.08);
+    if user.faulty_job && !user.spec.is_service() {
+        user.cancel_at = Some(at + rng.random_range(20_000..120_000));
+    }
+    user
+}
+
+impl User {
+    /// A service runs until it is cancelled.
+    fn make_service(&mut self, i: u64) {
+        self.spec.kind = JobKind::Service;
+        self.spec.estimate_s = 0.0;
+        self.spec.checkpoint_s = 0.0;
+        self.spec.tasks = self.spec.tasks.min(6);
+        self.spec.cpus = self.spec.cpus.min(2.0);
+        self.spec.priority = [Priority::Production, Priority::Normal][i as usize % 2];
+    }
+}
+
+/// How much faster than the world's the clock of each controller is.
+const CLOCK_DRIFTS: [f64; CONTROLLERS] = [0.0005, -0.0005, 0.0];
+
+impl SimulatedController {
+    fn new(clock_drift: f64) -> Self {
+        SimulatedController {
+            process: None,
+            version: Version::default(),
+            next_version: Version::default(),
+            epoch: 0,
+            born: 0,
+            drift: 1.0 + clock_drift,
+            store_cut: None,
+            refused_until: 0,
+            watches_lost_until: 0,
+            freezes_until: 0,
+            frozen_until: 0,
+            isolated_until: 0,
+            workers_cut: None,
+            configuration: Configuration::default(),
+            next_configuration: Configuration::default(),
+            earlier: Vec::new(),
+        }
+    }
+}
+
 impl World {
     /// Jobs of all sorts, for days of faults.
     pub(super) fn new(seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let users = (0..40)
-            .map(|i| {
-                let at = rng.random_range(2_000..FAULTS_END_MS + 20_000);
-                let team = rng.random_range(0..CPUS_MAX.len());
-                let spec = JobSpec {
-                    kind: JobKind::Array,
-                    class: "c".into(),
-                    team: format!("t{team}"),
-                    priority: if rng.random_bool(0.5) { Priority::Normal } else { Priority::Low },
-                    tasks: rng.random_range(1..14),
-                    cpus: [1.0, 2.0, 4.0][rng.random_range(0..3)],
-                    gpus: 0.0,
-                    memory_gb: 1.0,
-                    types: None,
-                    zone: rng.random_bool(0.1).then(|| "a".into()),
-                    one_zone: rng.random_bool(0.15),
-                    spread: rng.random_bool(0.15),
-                    spot: rng.random_bool(0.7),
-                    image: format!("i{}", i % 3),
-                    image_gb: 1.0,
-                    estimate_s: 10.0,
-                    checkpoint_s: if rng.random_bool(0.5) { 5.0 } else { 0.0 },
-                    save_s: 2.0,
-                    deadline_s: None,
-                };
-                let cancel = rng.random_bool(0.2).then(|| at + rng.random_range(1_000..40_000));
-                let mut user = User::new(1000 + i, spec, at, cancel);
-                if i >= 34 {
-                    // A service runs until it is called off.
-                    user.spec.kind = JobKind::Service;
-                    user.spec.estimate_s = 0.0;
-                    user.spec.checkpoint_s = 0.0;
-                    user.spec.tasks = user.spec.tasks.min(6);
-                    user.spec.cpus = user.spec.cpus.min(2.0);
-                    user.spec.priority = [Priority::Production, Priority::Normal][i as usize % 2];
-                    user.cancel_at = Some(at + rng.random_range(60_000..180_000));
-                }
-                if rng.random_bool(0.08) {
-                    user.faulty_job = true;
-                }
-                if user.faulty_job && !user.spec.is_service() {
-                    user.cancel_at = Some(at + rng.random_range(20_000..120_000));
-                }
-                user
-            })
-            .collect();
+        let users = (0..JOBS).map(|i| random_user(&mut rng, i)).collect();
         let mixed = Version::MIXED[seed as usize % Version::MIXED.len()];
         World::of_versions(rng, users, mixed)
     }
@@ -87,26 +139,7 @@
             messages_sent: 0,
             rng,
             queue: BTreeMap::new(),
-            controllers: (0..CONTROLLERS)
-                .map(|i| SimulatedController {
-                    process: None,
-                    version: Version::default(),
-                    next_version: Version::default(),
-                    epoch: 0,
-                    born: 0,
-                    drift: 1.0 + [0.0005, -0.0005, 0.0][i],
-                    store_cut: None,
-                    refused_until: 0,
-                    watches_lost_until: 0,
-                    freezes_until: 0,
-                    frozen_until: 0,
-                    isolated_until: 0,
-                    workers_cut: None,
-                    configuration: Configuration::default(),
-                    next_configuration: Configuration::default(),
-                    earlier: Vec::new(),
-                })
-                .collect(),
+            controllers: CLOCK_DRIFTS.into_iter().map(SimulatedController::new).collect(),
             store: Store { limits: LIMITS, ..Store::default() },
             workers: Vec::new(),
             requisitions: BTreeMap::new(),
@@ -117,10 +150,10 @@
             slow_provisioning: (0, 0),
             poll_storm_until: 0,
             next_freeze: u64::MAX,
-            late_writes: Partly::default(),
-            late_heartbeats: Partly::default(),
+            late_writes: LateWrites::default(),
+            late_heartbeats: LateHeartbeats::default(),
             held_heartbeats: Vec::new(),
-            cancel_at_end: Partly::default(),
+            cancel_at_end: CancelAtEnd::default(),
             read_back_until: 0,
             invalid_requests_until: 0,
             versions: versions.to_vec(),
