--- a/crates/basaltrail-admission/src/gate.rs
+++ b/crates/basaltrail-admission/src/gate.rs
@@ -1,6 +1,7 @@
 //! The controller's side: what it admits out of its allotments.
 
 use crate::allotment::Demand;
+use crate::revision::Revision;
 use crate::room::Room;
 use crate::view::View;
 use std::collections::BTreeMap;
@@ -55,12 +56,12 @@
     entry: usize,
     cost: Room,
     /// The mod revision of the allotment; none where allotments do not bind.
-    mod_revision: Option<u64>,
+    mod_revision: Option<Revision>,
 }
 
 impl Ticket {
     /// The team and the mod revision that its allotment must still have when the job is accepted.
-    pub fn condition(&self) -> Option<(&str, u64)> {
+    pub fn condition(&self) -> Option<(&str, Revision)> {
         self.mod_revision.map(|mod_revision| (self.demand.team.as_str(), mod_revision))
     }
 }
@@ -76,7 +77,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Spending {
-    mod_revision: u64,
+    mod_revision: Revision,
     used: Vec<Room>,
     /// An acceptance under this mod revision was refused: the allotment has moved on.
     moved: bool,
--- a/crates/basaltrail-admission/src/lib.rs
+++ b/crates/basaltrail-admission/src/lib.rs
@@ -9,11 +9,13 @@
 mod allotment;
 mod gate;
 mod planner;
+mod revision;
 mod room;
 mod view;
 
 pub use allotment::{Allotment, ClassRoom, Demand, OTHER_CLASSES};
 pub use gate::{Gate, Mode, Outcome, Reason, Refusal, Ticket};
 pub use planner::{Bounds, ClassLoad, Grant, Planner, TeamLoad, Written};
+pub use revision::Revision;
 pub use room::Room;
 pub use view::{Acceptance, Held, View};
--- a/crates/basaltrail-admission/src/planner.rs
+++ b/crates/basaltrail-admission/src/planner.rs
@@ -5,6 +5,7 @@
 //! the new one: until then its controller may use all that is left of it.
 
 use crate::allotment::{Allotment, ClassRoom, OTHER_CLASSES};
+use crate::revision::Revision;
 use crate::room::Room;
 use crate::view::{Held, View};
 use std::collections::BTreeMap;
@@ -71,8 +72,8 @@
 pub struct Grant {
     /// What it says.
     pub allotment: Allotment,
-    /// The mod revision that the record must still have; 0 if there is none.
-    pub replaces: u64,
+    /// The mod revision that the record must still have; [`Revision::NONE`] if there is none.
+    pub replaces: Revision,
 }
 
 /// What became of a write.
@@ -90,7 +91,7 @@
 /// replace. At most one of those that replace the same mod revision is carried out.
 #[derive(Clone, Debug)]
 struct Pending {
-    replaces: u64,
+    replaces: Revision,
     most: BTreeMap<String, Room>,
     /// It is not known what became of one of them: only a further write settles it.
     uncertain: bool,
@@ -104,7 +105,7 @@
     /// Jobs accepted of late, fading: by team, class and controller.
     demand: BTreeMap<(String, String, String), f64>,
     /// What each record was known to have spent at the last plan, with its mod revision.
-    seen: BTreeMap<(String, String), (u64, Vec<u32>)>,
+    seen: BTreeMap<(String, String), (Revision, Vec<u32>)>,
 }
 
 impl Planner {
@@ -151,7 +152,8 @@
 
     fn forget_what_arrived(&mut self, view: &View) {
         self.pending.retain(|(team, controller), pending| {
-            view.held(team, controller).map_or(0, |held| held.mod_revision) == pending.replaces
+            view.held(team, controller).map_or(Revision::NONE, |held| held.mod_revision)
+                == pending.replaces
         });
     }
 
@@ -252,7 +254,8 @@
             if !replace {
                 continue;
             }
-            let replaces = view.held(&team.team, controller).map_or(0, |held| held.mod_revision);
+            let replaces =
+                view.held(&team.team, controller).map_or(Revision::NONE, |held| held.mod_revision);
             let entry = |(at, load): (usize, &ClassLoad)| {
                 let room = targets[at].min(left[at]);
                 left[at] = left[at].minus(room);
--- a/crates/basaltrail-admission/src/view.rs
+++ b/crates/basaltrail-admission/src/view.rs
@@ -2,6 +2,7 @@
 //! under each. It is told of records in the order of their revisions.
 
 use crate::allotment::{Allotment, Demand};
+use crate::revision::Revision;
 use crate::room::Room;
 use std::collections::BTreeMap;
 
@@ -17,7 +18,7 @@
     /// What the job asks for.
     pub demand: Demand,
     /// The revision of the acceptance.
-    pub mod_revision: u64,
+    pub mod_revision: Revision,
 }
 
 /// An allotment, and what is known to have been accepted under it.
@@ -26,7 +27,7 @@
     /// The record.
     pub allotment: Allotment,
     /// Its mod revision.
-    pub mod_revision: u64,
+    pub mod_revision: Revision,
     /// Whether every acceptance under it was seen. If it was read from a list, jobs that have
     /// ended since are missing, and more counts as unspent than is.
     pub complete: bool,
@@ -58,7 +59,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Presence {
     incarnation: u64,
-    mod_revision: u64,
+    mod_revision: Revision,
 }
 
 /// See the module.
@@ -71,7 +72,7 @@
 
 impl View {
     /// A process tells that it is there.
-    pub fn learn_controller(&mut self, controller: &str, incarnation: u64, mod_revision: u64) {
+    pub fn learn_controller(&mut self, controller: &str, incarnation: u64, mod_revision: Revision) {
         let known = self.controllers.get(controller);
         let old = known.is_some_and(|presence| presence.mod_revision >= mod_revision);
         if !old && (known.is_some() || self.controllers.len() < NODES_MOST) {
@@ -84,7 +85,7 @@
     pub fn learn_allotment(
         &mut self,
         allotment: Allotment,
-        mod_revision: u64,
+        mod_revision: Revision,
         accepted: impl Iterator<Item = Acceptance>,
         complete: bool,
     ) {
@@ -105,7 +106,7 @@
     }
 
     /// A record of an allotment that cannot be read: whatever was known before is over.
-    pub fn lose_allotment(&mut self, team: &str, controller: &str, mod_revision: u64) {
+    pub fn lose_allotment(&mut self, team: &str, controller: &str, mod_revision: Revision) {
         let key = (team.to_string(), controller.to_string());
         if self.allotments.get(&key).is_some_and(|held| held.mod_revision < mod_revision) {
             self.allotments.remove(&key);
@@ -121,7 +122,7 @@
     }
 
     /// The present process of a controller, and the mod revision of its record.
-    pub fn presence(&self, controller: &str) -> Option<(u64, u64)> {
+    pub fn presence(&self, controller: &str) -> Option<(u64, Revision)> {
         self.controllers
             .get(controller)
             .map(|presence| (presence.incarnation, presence.mod_revision))
--- a/crates/basaltrail-admission/tests/gate.rs
+++ b/crates/basaltrail-admission/tests/gate.rs
@@ -19,7 +19,7 @@
 
 fn view(allotment: Allotment, mod_revision: u64) -> View {
     let mut view = View::default();
-    view.learn_allotment(allotment, mod_revision, std::iter::empty(), true);
+    view.learn_allotment(allotment, Revision(mod_revision), std::iter::empty(), true);
     view
 }
 
@@ -33,7 +33,7 @@
     let mut gate = Gate::new("n", 1, Mode::Allotted);
     for _ in 0..2 {
         let ticket = gate.admit(&view, demand("c")).unwrap();
-        assert_eq!(ticket.condition(), Some(("t", 5)));
+        assert_eq!(ticket.condition(), Some(("t", Revision(5))));
     }
     let refused = gate.admit(&view, demand("c")).unwrap_err();
     assert_eq!((refused.reason, refused.retry_after_s), (Reason::Full, 7));
@@ -80,9 +80,9 @@
     gate.moved(&ticket);
     assert!(!gate.is_current(&view, &ticket));
     assert_eq!(reason(gate.renew(&view, ticket.clone())), Reason::Moved);
-    view.learn_allotment(allotment(1, 1, 1_000.0), 9, std::iter::empty(), true);
+    view.learn_allotment(allotment(1, 1, 1_000.0), Revision(9), std::iter::empty(), true);
     let renewed = gate.renew(&view, ticket).unwrap();
-    assert_eq!(renewed.condition(), Some(("t", 9)));
+    assert_eq!(renewed.condition(), Some(("t", Revision(9))));
     assert_eq!(reason(gate.admit(&view, demand("c"))), Reason::Full);
 }
 
--- a/crates/basaltrail-admission/tests/model.rs
+++ b/crates/basaltrail-admission/tests/model.rs
@@ -44,7 +44,7 @@
     rng: SmallRng,
     t: u64,
     log: Vec<Record>,
-    mod_revisions: BTreeMap<String, u64>,
+    mod_revisions: BTreeMap<String, Revision>,
     controllers: Vec<Process>,
     leader: usize,
     leader_stamp: u64,
@@ -146,7 +146,7 @@
     fn read(&mut self, controller: usize) {
         let process = &mut self.controllers[controller];
         while process.read < self.log.len() {
-            let mod_revision = process.read as u64 + 1;
+            let mod_revision = Revision(process.read as u64 + 1);
             let earlier = &self.log[..process.read];
             match &self.log[process.read] {
                 Record::Controller { controller, incarnation } => {
@@ -217,7 +217,7 @@
                 let key = name(from.0);
                 let moved = self.fenced && self.mod_revisions.get(&key) != Some(&mod_revision);
                 if !moved && !self.jobs.contains_key(&id) {
-                    let mod_revision = self.log.len() as u64 + 1;
+                    let mod_revision = Revision(self.log.len() as u64 + 1);
                     let acceptance =
                         Acceptance { controller: key, demand: demand(class), mod_revision };
                     self.log.push(Record::Job { id, acceptance: acceptance.clone() });
@@ -238,11 +238,11 @@
             }
             Write::Allot { leader, grant } => {
                 let key = grant.allotment.controller.clone();
-                let mod_revision = self.mod_revisions.get(&key).copied().unwrap_or(0);
+                let mod_revision = self.mod_revisions.get(&key).copied().unwrap_or(Revision::NONE);
                 let done = leader == self.leader_stamp && mod_revision == grant.replaces;
                 if done {
                     self.log.push(Record::Allotment(grant.allotment.clone()));
-                    self.mod_revisions.insert(key, self.log.len() as u64);
+                    self.mod_revisions.insert(key, Revision(self.log.len() as u64));
                 }
                 if !unheard && leader == self.leader_stamp {
                     let outcome = if done { Written::Done } else { Written::Not };
--- a/crates/basaltrail-admission/tests/planner.rs
+++ b/crates/basaltrail-admission/tests/planner.rs
@@ -22,7 +22,7 @@
 fn controllers(count: usize) -> View {
     let mut view = View::default();
     for controller in 0..count {
-        view.learn_controller(&format!("n{controller}"), 1, controller as u64 + 1);
+        view.learn_controller(&format!("n{controller}"), 1, Revision(controller as u64 + 1));
     }
     view
 }
@@ -40,7 +40,12 @@
 fn arrive(view: &mut View, grants: &[Grant], mod_revision: u64) {
     for (n, grant) in grants.iter().enumerate() {
         let allotment = grant.allotment.clone();
-        view.learn_allotment(allotment, mod_revision + n as u64, std::iter::empty(), true);
+        view.learn_allotment(
+            allotment,
+            Revision(mod_revision + n as u64),
+            std::iter::empty(),
+            true,
+        );
     }
 }
 
@@ -101,7 +106,7 @@
         for n in 0..u64::from(used) {
             let demand =
                 Demand { team: "t".into(), class: "c".into(), cpus: 1.0, run_s: Some(1.0) };
-            let mod_revision = mod_revision - 50 + n % 50;
+            let mod_revision = Revision(mod_revision - 50 + n % 50);
             view.learn_acceptance(&Acceptance { controller: "n1".into(), demand, mod_revision });
         }
         grants = planner.plan(&view, &BOUNDS, &team);
@@ -119,10 +124,10 @@
     let first = planner.plan(&view, &BOUNDS, &team);
     first.iter().for_each(|grant| planner.written(grant, Written::Done));
     arrive(&mut view, &first, 10);
-    view.learn_controller("n1", 2, 50);
+    view.learn_controller("n1", 2, Revision(50));
     let second = planner.plan(&view, &BOUNDS, &team);
     assert_eq!(second.len(), 1);
-    assert_eq!((second[0].allotment.incarnation, second[0].replaces), (2, 11));
+    assert_eq!((second[0].allotment.incarnation, second[0].replaces), (2, Revision(11)));
 }
 
 /// One controller's record holds much that it has not used; it and another's are replaced at once.
@@ -144,8 +149,8 @@
             classes: vec![class("c", jobs), class(OTHER_CLASSES, 0)],
         }
     };
-    view.learn_allotment(held("n0", 140), 10, std::iter::empty(), true);
-    view.learn_allotment(held("n1", 0), 11, std::iter::empty(), true);
+    view.learn_allotment(held("n0", 140), Revision(10), std::iter::empty(), true);
+    view.learn_allotment(held("n1", 0), Revision(11), std::iter::empty(), true);
     let team = [load("t", &[("c", 0)])];
     let bound = Planner::bound(&BOUNDS, &team[0], 20.0, 2).jobs;
     let grants = Planner::default().plan(&view, &BOUNDS, &team);
@@ -162,7 +167,7 @@
     let mut granted = Room::default();
     let mut bound = 0;
     for controller in 0..16 {
-        view.learn_controller(&format!("n{controller:02}"), 1, controller + 1);
+        view.learn_controller(&format!("n{controller:02}"), 1, Revision(controller + 1));
         let grants = planner.plan(&view, &BOUNDS, &team);
         grants.iter().for_each(|grant| planner.written(grant, Written::Done));
         granted = granted.plus(sum(&grants, "t", OTHER_CLASSES));
@@ -180,8 +185,8 @@
     first.iter().for_each(|grant| planner.written(grant, Written::Done));
     arrive(&mut view, &first, 10);
     assert!(planner.plan(&view, &BOUNDS, &team).is_empty());
-    view.learn_controller("n1", 1, 50);
+    view.learn_controller("n1", 1, Revision(50));
     let second = planner.plan(&view, &BOUNDS, &team);
     assert_eq!(second.len(), 1);
-    assert_eq!((second[0].allotment.controller.as_str(), second[0].replaces), ("n1", 11));
+    assert_eq!((second[0].allotment.controller.as_str(), second[0].replaces), ("n1", Revision(11)));
 }
--- a/crates/basaltrail-core/src/controller/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -72,9 +72,9 @@
     }
 
     /// What must still be so when the job is accepted.
-    pub(super) fn condition(&self, new: &NewJob) -> Option<(String, u64)> {
+    pub(super) fn condition(&self, new: &NewJob) -> Option<Precondition> {
         let (team, mod_revision) = new.ticket.condition()?;
-        Some((allotment_key(team, &self.controller), mod_revision))
+        Some(Precondition::new(allotment_key(team, &self.controller), mod_revision))
     }
 
     pub(super) fn settle(&mut self, new: &NewJob, outcome: Outcome) {
@@ -83,7 +83,7 @@
 
     /// Whether an acceptance failed since its allotment has moved on.
     pub(super) fn conflicts(&mut self, new: &NewJob, failed: &[String]) -> bool {
-        let moved = self.condition(new).is_some_and(|(key, _)| failed.contains(&key));
+        let moved = self.condition(new).is_some_and(|p| failed.contains(&p.key));
         if moved {
             self.gate.moved(&new.ticket);
         }
@@ -168,10 +168,10 @@
             .job_cache
             .admission
             .presence(controller)
-            .map_or(0, |(_, mod_revision)| mod_revision);
+            .map_or(Revision::NONE, |(_, mod_revision)| mod_revision);
         let key = controller_key(controller);
         let op = StoreRequest::Transaction {
-            preconditions: vec![(key.clone(), mod_revision)],
+            preconditions: vec![Precondition::new(key.clone(), mod_revision)],
             puts: vec![PutRequest { key, value: encode(&record), lease_id: None }],
             deletes: Vec::new(),
         };
@@ -200,7 +200,7 @@
         }
     }
 
-    fn lose_allotment(&mut self, key: &str, mod_revision: u64) {
+    fn lose_allotment(&mut self, key: &str, mod_revision: Revision) {
         for team in &self.cfg.teams {
             for controller in self.job_cache.admission.controller_names() {
                 if allotment_key(&team.name, &controller) == key {
--- a/crates/basaltrail-core/src/controller/admission_tests.rs
+++ b/crates/basaltrail-core/src/controller/admission_tests.rs
@@ -3,8 +3,8 @@
 use crate::settings::{AdmissionPolicy, Policy, Team};
 use basaltrail_admission::ClassRoom;
 
-const ACTIVE_STAMP: u64 = 9;
-const ALLOTMENT_STAMP: u64 = 5;
+const ACTIVE_STAMP: Revision = Revision(9);
+const ALLOTMENT_STAMP: Revision = Revision(5);
 
 fn controller(policy: Option<AdmissionPolicy>) -> Controller {
     let team =
@@ -13,7 +13,7 @@
     let policy = Policy { admission: policy, ..base.policy.clone() };
     let cfg = Settings { teams: vec![team], policy, ..base };
     let mut controller = Controller::new(Arc::new(cfg), 1);
-    controller.job_watch.page(1);
+    controller.job_watch.page(Revision(1));
     controller.job_watch.listed(0);
     controller.types = MachineTypes::of(vec![a_type()]);
     controller
@@ -66,7 +66,7 @@
         panic!("not sent")
     };
     assert!(
-        preconditions.contains(&(allotment_key("t", "n0"), ALLOTMENT_STAMP)),
+        preconditions.contains(&Precondition::new(allotment_key("t", "n0"), ALLOTMENT_STAMP)),
         "{preconditions:?}"
     );
     let record: JobRecord = decode(&puts[0].value).unwrap();
@@ -83,11 +83,11 @@
     let effects = controller.step(1_100, 0, Input::Store { op: txn.unwrap().0, reply });
     assert!(!effects.iter().any(|e| matches!(e, Effect::Answer { .. })), "{effects:?}");
     assert_eq!(controller.requests.moved.len(), 1);
-    controller.apply(&KeyValue { mod_revision: 12, ..allotment(1, 9) });
+    controller.apply(&KeyValue { mod_revision: Revision(12), ..allotment(1, 9) });
     let effects = controller.step(1_200, 0, Input::Tick);
     let names = |e: &Effect| match e {
         Effect::Store { call: StoreRequest::Transaction { preconditions, .. }, .. } => {
-            preconditions.contains(&(allotment_key("t", "n0"), 12))
+            preconditions.contains(&Precondition::new(allotment_key("t", "n0"), Revision(12)))
         }
         _ => false,
     };
@@ -128,9 +128,7 @@
                 op,
                 call: StoreRequest::Transaction { preconditions, puts, .. },
                 ..
-            } if puts.is_empty()
-                && preconditions.iter().any(|(key, _)| *key == active_key(JobId(7))) =>
-            {
+            } if puts.is_empty() && preconditions.iter().any(|p| p.key == active_key(JobId(7))) => {
                 Some(*op)
             }
             _ => None,
@@ -163,7 +161,7 @@
 #[test]
 fn a_node_whose_acceptances_were_lost_asks_for_another_allotment() {
     let mut controller = controller(Some(AdmissionPolicy::default()));
-    controller.job_cache.admission.learn_controller("n0", 1, 2);
+    controller.job_cache.admission.learn_controller("n0", 1, Revision(2));
     controller.apply(&allotment(1, 1));
     let (txn, _) = submit(&mut controller, 7, a_job(1, true));
     let lost = Input::Store { op: txn.unwrap().0, reply: StoreReply::Unknown };
@@ -172,14 +170,14 @@
     assert!(txn.is_none(), "the allotment is used up");
     let announces = |e: &Effect| match e {
         Effect::Store { call: StoreRequest::Transaction { preconditions, puts, .. }, .. } => {
-            preconditions.contains(&(controller_key("n0"), 2))
+            preconditions.contains(&Precondition::new(controller_key("n0"), Revision(2)))
                 && puts.iter().any(|p| p.key == controller_key("n0"))
         }
         _ => false,
     };
     assert!(effects.iter().any(announces), "{effects:?}");
     // The leader takes the record for a wish, since it is newer than the allotment.
-    controller.job_cache.admission.learn_controller("n0", 1, 11);
+    controller.job_cache.admission.learn_controller("n0", 1, Revision(11));
     let held = controller.job_cache.admission.held("t", "n0").unwrap();
     assert!(controller.job_cache.admission.asks_again(held));
 }
--- a/crates/basaltrail-core/src/controller/client_requests.rs
+++ b/crates/basaltrail-core/src/controller/client_requests.rs
@@ -75,8 +75,8 @@
                 self.requests.submits.insert(0, new);
                 break;
             }
-            preconditions.push((active_key(new.job), 0));
-            preconditions.push((final_key(new.job), 0));
+            preconditions.push(Precondition::absent(active_key(new.job)));
+            preconditions.push(Precondition::absent(final_key(new.job)));
             if let Some(condition) = self.admission.condition(&new) {
                 if !preconditions.contains(&condition) {
                     preconditions.push(condition);
@@ -211,7 +211,7 @@
             return self.busy(asks, 1, "too many changes");
         }
         let op = StoreRequest::Transaction {
-            preconditions: vec![(active_key(job), mod_revision)],
+            preconditions: vec![Precondition::new(active_key(job), mod_revision)],
             puts: vec![PutRequest {
                 key: final_key(job),
                 value: encode(&JobOutcome::Cancelled),
--- a/crates/basaltrail-core/src/controller/heartbeats.rs
+++ b/crates/basaltrail-core/src/controller/heartbeats.rs
@@ -99,7 +99,7 @@
         self.calls.log(HeartbeatEvent::Summary(HeartbeatSummary {
             token: self.election.leader_term().map_or(FencingToken(0), |term| term.token),
             holds_valid_lease: self.election.holds_valid_lease(self.now),
-            jobs_revision: self.job_watch.revision().unwrap_or(0),
+            jobs_revision: self.job_watch.revision().unwrap_or(Revision::NONE),
             jobs_age_ms: self.job_watch.as_of().map(|as_of| self.now - as_of),
             counters,
         }));
--- a/crates/basaltrail-core/src/controller/inspection.rs
+++ b/crates/basaltrail-core/src/controller/inspection.rs
@@ -12,7 +12,7 @@
         let report = LimitsReport {
             controller: self.cfg.controller.clone(),
             leader: self.election.leader_hint().map(str::to_string),
-            revision: self.job_watch.revision().unwrap_or(0),
+            revision: self.job_watch.revision().unwrap_or(Revision::NONE),
             allotted: self.admission.binds(),
             teams: teams.collect(),
         };
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -282,7 +282,7 @@
         }
     }
 
-    fn watch_jobs(&mut self, kind: WatchKind, after: u64, wait_ms: Ms, timeout_ms: Ms) {
+    fn watch_jobs(&mut self, kind: WatchKind, after: Revision, wait_ms: Ms, timeout_ms: Ms) {
         let op = StoreRequest::Watch { prefix: JOBS_PREFIX.into(), after, wait_ms };
         self.calls.state(Purpose::WatchJobs { sent: self.now, kind }, op, timeout_ms);
     }
@@ -336,7 +336,7 @@
                 {
                     self.types.sent();
                     let op = StoreRequest::Transaction {
-                        preconditions: vec![(MACHINE_TYPES_KEY.into(), mod_revision)],
+                        preconditions: vec![Precondition::new(MACHINE_TYPES_KEY, mod_revision)],
                         puts: vec![PutRequest {
                             key: MACHINE_TYPES_KEY.into(),
                             value,
--- a/crates/basaltrail-core/src/controller/request_queue.rs
+++ b/crates/basaltrail-core/src/controller/request_queue.rs
@@ -137,17 +137,17 @@
         &mut self,
         job_cache: &JobCache,
         conditions: usize,
-    ) -> (Vec<Confirming>, Vec<(String, u64)>) {
+    ) -> (Vec<Confirming>, Vec<Precondition>) {
         let mut jobs = Vec::new();
         let mut preconditions = Vec::new();
         while preconditions.len() + 2 <= conditions {
             let Some(job) = self.check_order.pop_front() else { break };
             let asks = self.checks.remove(&job).unwrap_or_default();
             match job_cache.active.get(&job) {
-                Some(a) => preconditions.push((active_key(job), a.mod_revision)),
+                Some(a) => preconditions.push(Precondition::new(active_key(job), a.mod_revision)),
                 None => {
-                    preconditions.push((active_key(job), 0));
-                    preconditions.push((final_key(job), 0));
+                    preconditions.push(Precondition::absent(active_key(job)));
+                    preconditions.push(Precondition::absent(final_key(job)));
                 }
             }
             jobs.push(Confirming { job, asks, known: job_cache.active.contains_key(&job) });
--- a/crates/basaltrail-core/src/controller/request_queue_tests.rs
+++ b/crates/basaltrail-core/src/controller/request_queue_tests.rs
@@ -26,7 +26,7 @@
     let mut job_cache = JobCache::new(10);
     for job in [1, 2] {
         let record = JobRecord::new(0, a_job(4, false));
-        job_cache.put_active(JobId(job), job, record);
+        job_cache.put_active(JobId(job), Revision(job), record);
     }
     let mut requests = RequestQueue::default();
     let part = |job| [Progress { job: JobId(job), done: 1, running: 2 }];
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -260,7 +260,7 @@
         items: &[KeyValue],
         after: Option<&str>,
         more: bool,
-        revision: u64,
+        revision: Revision,
     ) {
         let from = after.unwrap_or(ACTIVE_JOBS_PREFIX);
         let to = items.last().filter(|_| more).map(|i| i.key.as_str());
@@ -279,7 +279,7 @@
             .copied()
             .collect();
         for job in gone {
-            self.job_cache.remove_active(job, revision + 1);
+            self.job_cache.remove_active(job, Revision(revision.0 + 1));
         }
     }
 
--- a/crates/basaltrail-core/src/controller/tests.rs
+++ b/crates/basaltrail-core/src/controller/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_node_that_is_alone_without_the_state_service_is_not_ready() {
     let mut n = Controller::new(Arc::new(settings()), 1);
-    n.job_watch.page(1);
+    n.job_watch.page(Revision(1));
     n.job_watch.listed(0);
     n.types = MachineTypes::of(vec![a_type()]);
     n.state_ok = 10_000;
--- a/crates/basaltrail-core/src/election.rs
+++ b/crates/basaltrail-core/src/election.rs
@@ -11,17 +11,17 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Holder {
     record: LeaderRecord,
-    mod_revision: u64,
-    lease_id: Option<u64>,
+    mod_revision: Revision,
+    lease_id: Option<LeaseId>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct View {
     holder: Option<Holder>,
     term: FencingToken,
-    term_mod_revision: u64,
+    term_mod_revision: Revision,
     primary_zone: Option<String>,
-    revision: u64,
+    revision: Revision,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -34,8 +34,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaderTerm {
     pub token: FencingToken,
-    pub mod_revision: u64,
-    lease_id: u64,
+    pub mod_revision: Revision,
+    lease_id: LeaseId,
     lease_valid_until: Ms,
 }
 
@@ -45,9 +45,9 @@
     List,
     Watch,
     Grant { sent: Ms },
-    Take { lease_id: u64, granted: Ms, token: FencingToken },
+    Take { lease_id: LeaseId, granted: Ms, token: FencingToken },
     Extend { sent: Ms },
-    Revoke { lease_id: u64 },
+    Revoke { lease_id: LeaseId },
 }
 
 pub struct Election {
@@ -64,7 +64,7 @@
     acting: bool,
     extending: bool,
     /// A lease just granted, and when it was asked for.
-    pending: Option<(u64, Ms)>,
+    pending: Option<(LeaseId, Ms)>,
     next_list: Ms,
     next_act: Ms,
     next_revoke: Ms,
@@ -130,8 +130,8 @@
     }
 
     /// The last term that this controller knows of, and the revision at which it was read.
-    pub fn seen(&self) -> (FencingToken, u64) {
-        self.view.as_ref().map_or((FencingToken(0), 0), |v| (v.term, v.revision))
+    pub fn seen(&self) -> (FencingToken, Revision) {
+        self.view.as_ref().map_or((FencingToken(0), Revision::NONE), |v| (v.term, v.revision))
     }
 
     pub fn step_down(&mut self, now: Ms) {
@@ -232,7 +232,7 @@
     }
 
     /// Takes an answer; gives a lease that must be ended, if there is one.
-    pub fn answer(&mut self, now: Ms, call: Call, reply: StoreReply) -> Option<u64> {
+    pub fn answer(&mut self, now: Ms, call: Call, reply: StoreReply) -> Option<LeaseId> {
         let pause = self.ttl / 20;
         match (call, reply) {
             (Call::List, StoreReply::Page { items, revision, .. }) => {
@@ -340,7 +340,10 @@
             allots: self.allots,
         };
         let op = StoreRequest::Transaction {
-            preconditions: vec![(LEADER_KEY.into(), 0), (TERM_KEY.into(), v.term_mod_revision)],
+            preconditions: vec![
+                Precondition::absent(LEADER_KEY),
+                Precondition::new(TERM_KEY, v.term_mod_revision),
+            ],
             puts: vec![
                 PutRequest {
                     key: LEADER_KEY.into(),
--- a/crates/basaltrail-core/src/events.rs
+++ b/crates/basaltrail-core/src/events.rs
@@ -5,7 +5,7 @@
 
 use crate::jobs::watch::WatchKind;
 use crate::lease_renewal::{AnswerCounters, Refusal};
-use crate::model::{FencingToken, JobId, MachineId, Ms, TaskId};
+use crate::model::{AgentEpoch, FencingToken, JobId, MachineId, Ms, Revision, TaskId};
 use basaltrail_admission::Reason;
 
 /// Name of [`HeartbeatEvent::RenewalViolation`] in a log line. Checks of the logs read it.
@@ -116,7 +116,7 @@
         /// The last term that was read.
         term: FencingToken,
         /// The store's revision at which it was read.
-        revision: u64,
+        revision: Revision,
     },
     /// How the machines are used, once a scheduling round.
     Round(RoundSummary),
@@ -296,7 +296,7 @@
     /// All active jobs were listed.
     Listed {
         /// The store's revision of the list.
-        revision: u64,
+        revision: Revision,
         /// Active jobs.
         active: usize,
         /// Milliseconds from the first request to the last answer.
@@ -305,7 +305,7 @@
     /// A watch of the jobs was answered.
     WatchAnswered {
         /// The store's revision up to which changes are known.
-        revision: u64,
+        revision: Revision,
         /// Changes that it told of.
         events: usize,
         /// Which of the two watches it was.
@@ -344,7 +344,7 @@
         /// The machine.
         machine: MachineId,
         /// Epoch of the worker's agent.
-        agent_epoch: u64,
+        agent_epoch: AgentEpoch,
         /// Number of the heartbeat in its epoch.
         sequence: u64,
         /// The fencing token that the worker showed.
@@ -366,7 +366,7 @@
     /// Whether this controller holds a valid leader lease.
     pub holds_valid_lease: bool,
     /// The store's revision up to which jobs are known; 0 if none is.
-    pub jobs_revision: u64,
+    pub jobs_revision: Revision,
     /// Milliseconds since that was read, if it was.
     pub jobs_age_ms: Option<Ms>,
     /// The answers, counted.
--- a/crates/basaltrail-core/src/inspection.rs
+++ b/crates/basaltrail-core/src/inspection.rs
@@ -1,5 +1,7 @@
 //! What a controller tells operators of limits, use, backlog and allotments.
 
+use crate::model::Revision;
+
 /// What one class of a team has here.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassReport {
@@ -39,7 +41,7 @@
     /// The controller that leads, as far as is known here.
     pub leader: Option<String>,
     /// The revision up to which jobs and allotments are known here.
-    pub revision: u64,
+    pub revision: Revision,
     /// Whether allotments bind.
     pub allotted: bool,
     /// Every team of the settings.
--- a/crates/basaltrail-core/src/io.rs
+++ b/crates/basaltrail-core/src/io.rs
@@ -8,32 +8,53 @@
 pub struct KeyValue {
     pub key: String,
     pub value: String,
-    pub mod_revision: u64,
-    pub lease_id: Option<u64>,
+    pub mod_revision: Revision,
+    pub lease_id: Option<LeaseId>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
     Put(KeyValue),
-    Delete { key: String, mod_revision: u64 },
+    Delete { key: String, mod_revision: Revision },
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct PutRequest {
     pub key: String,
     pub value: String,
-    pub lease_id: Option<u64>,
+    pub lease_id: Option<LeaseId>,
+}
+
+/// What must be so for a transaction to be carried out: a key has not been changed since it was read.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Precondition {
+    /// The key.
+    pub key: String,
+    /// Its mod revision; [`Revision::NONE`] if it must not exist.
+    pub mod_revision: Revision,
+}
+
+impl Precondition {
+    /// The key still has this mod revision.
+    pub fn new(key: impl Into<String>, mod_revision: Revision) -> Self {
+        Precondition { key: key.into(), mod_revision }
+    }
+
+    /// The key does not exist.
+    pub fn absent(key: impl Into<String>) -> Self {
+        Precondition::new(key, Revision::NONE)
+    }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreRequest {
     Get(String),
     List { prefix: String, after: Option<String>, limit: u32 },
-    Transaction { preconditions: Vec<(String, u64)>, puts: Vec<PutRequest>, deletes: Vec<String> },
+    Transaction { preconditions: Vec<Precondition>, puts: Vec<PutRequest>, deletes: Vec<String> },
     GrantLease { ttl_ms: u64 },
-    KeepAlive { lease_id: u64 },
-    RevokeLease { lease_id: u64 },
-    Watch { prefix: String, after: u64, wait_ms: u64 },
+    KeepAlive { lease_id: LeaseId },
+    RevokeLease { lease_id: LeaseId },
+    Watch { prefix: String, after: Revision, wait_ms: u64 },
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -43,21 +64,21 @@
     Page {
         items: Vec<KeyValue>,
         more: bool,
-        revision: u64,
+        revision: Revision,
     },
     Committed {
-        revision: u64,
+        revision: Revision,
     },
     Conflict {
         failed: Vec<String>,
     },
     LeaseGranted {
-        lease_id: u64,
+        lease_id: LeaseId,
     },
     /// An extend or revoke that was carried out.
     Ok,
     Events {
-        revision: u64,
+        revision: Revision,
         events: Vec<WatchEvent>,
     },
     Compacted,
--- a/crates/basaltrail-core/src/jobs/mod.rs
+++ b/crates/basaltrail-core/src/jobs/mod.rs
@@ -13,7 +13,7 @@
 /// An active job as the state service holds it.
 #[derive(Clone, Debug)]
 pub struct ActiveJob {
-    pub mod_revision: u64,
+    pub mod_revision: Revision,
     pub at: WallMs,
     pub spec: Arc<JobSpec>,
     /// The controller that accepted it out of its allotment.
@@ -56,7 +56,7 @@
         self.finals.get(&job).copied()
     }
 
-    pub fn put_active(&mut self, job: JobId, mod_revision: u64, record: JobRecord) {
+    pub fn put_active(&mut self, job: JobId, mod_revision: Revision, record: JobRecord) {
         if self.finals.contains_key(&job) {
             return;
         }
@@ -74,7 +74,7 @@
 
     /// An allotment was read, by a watch or from a list: a list does not tell of the jobs that
     /// were accepted under it and have ended.
-    pub fn put_allotment(&mut self, allotment: Allotment, mod_revision: u64, complete: bool) {
+    pub fn put_allotment(&mut self, allotment: Allotment, mod_revision: Revision, complete: bool) {
         let Allotment { team, controller, .. } = &allotment;
         let own = |job: &&ActiveJob| job.by.as_ref() == Some(controller) && job.spec.team == *team;
         let since: Vec<Acceptance> = self
@@ -102,7 +102,7 @@
     }
 
     /// The active entry is gone as of `mod revision`; how the job ended is told elsewhere.
-    pub fn remove_active(&mut self, job: JobId, mod_revision: u64) {
+    pub fn remove_active(&mut self, job: JobId, mod_revision: Revision) {
         if self.active.get(&job).is_some_and(|a| a.mod_revision < mod_revision) {
             self.active.remove(&job);
             self.changed.insert(job);
@@ -115,7 +115,7 @@
     pub id: JobId,
     pub spec: Arc<JobSpec>,
     pub team: usize,
-    pub mod_revision: u64,
+    pub mod_revision: Revision,
     pub at: WallMs,
     pub done: TaskSet,
     /// Completions known to be in the state service.
--- a/crates/basaltrail-core/src/jobs/watch.rs
+++ b/crates/basaltrail-core/src/jobs/watch.rs
@@ -4,7 +4,7 @@
 //! change. A second watch, which does not wait, overtakes one that hangs or that was opened
 //! before the controller's right began. What the calls tell stands in [`crate::jobs::Table`].
 
-use crate::model::Ms;
+use crate::model::{Ms, Revision};
 
 /// Which of the two watches is meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     /// What changed after a revision.
     Watch {
         /// The revision.
-        after: u64,
+        after: Revision,
     },
 }
 
@@ -44,10 +44,10 @@
 #[derive(Debug, Default)]
 pub struct JobWatch {
     loaded: bool,
-    revision: Option<u64>,
+    revision: Option<Revision>,
     as_of: Option<Ms>,
     /// The revision of the first page of a list that goes on.
-    list_revision: Option<u64>,
+    list_revision: Option<Revision>,
     waiting: Repeated,
     catch_up: Repeated,
 }
@@ -59,7 +59,7 @@
     }
 
     /// The revision up to which changes are known.
-    pub fn revision(&self) -> Option<u64> {
+    pub fn revision(&self) -> Option<Revision> {
         self.revision
     }
 
@@ -84,7 +84,7 @@
 
     /// The revision after which to catch up, if what is known is not fresh and no such call is
     /// on its way.
-    pub fn catch_up_due(&self, since: Ms, now: Ms, most: Ms) -> Option<u64> {
+    pub fn catch_up_due(&self, since: Ms, now: Ms, most: Ms) -> Option<Revision> {
         let due = self.catch_up.is_due(now) && !self.is_fresh(since, now, most);
         self.revision.filter(|_| due)
     }
@@ -102,7 +102,7 @@
     }
 
     /// A watch that was sent at `sent` told of every change up to a revision.
-    pub fn news(&mut self, revision: u64, sent: Ms) {
+    pub fn news(&mut self, revision: Revision, sent: Ms) {
         self.revision = self.revision.max(Some(revision));
         self.as_of = self.as_of.max(Some(sent));
     }
@@ -114,7 +114,7 @@
 
     /// A page of the list was read; gives the revision of its first page, from which the
     /// watch goes on.
-    pub fn page(&mut self, revision: u64) -> u64 {
+    pub fn page(&mut self, revision: Revision) -> Revision {
         *self.list_revision.get_or_insert(revision)
     }
 
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in_tests.rs
@@ -15,7 +15,7 @@
         holds_valid_lease: true,
         job_cache_is_fresh: true,
     };
-    let mut leader = Leader::new(&ctx, FencingToken(2), 1);
+    let mut leader = Leader::new(&ctx, FencingToken(2), Revision(1));
     for i in 0..8 {
         let zone = if i < 4 { "a" } else { "b" };
         let id = MachineId(format!("m-{i}").into());
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out_tests.rs
@@ -12,7 +12,7 @@
     let spec = a_job(9, false);
     let types = [a_type()];
     let mut job_cache = JobCache::new(10);
-    job_cache.put_active(JobId(1), 1, JobRecord::new(0, spec));
+    job_cache.put_active(JobId(1), Revision(1), JobRecord::new(0, spec));
     let ctx = Context {
         cfg: &cfg,
         types: &types,
@@ -22,7 +22,7 @@
         holds_valid_lease: true,
         job_cache_is_fresh: true,
     };
-    let mut leader = Leader::new(&ctx, FencingToken(2), 1);
+    let mut leader = Leader::new(&ctx, FencingToken(2), Revision(1));
     let kind = MachineKind { machine_type: "x".into(), zone: "a".into(), spot: false };
     assert_eq!(leader.lacking(&ctx, &[], &kind), 5);
     // Machines beyond the team's limit would come and go idle.
@@ -47,7 +47,7 @@
     let spec = a_job(100_000, true);
     let types = [a_type()];
     let mut job_cache = JobCache::new(10);
-    job_cache.put_active(JobId(1), 1, JobRecord::new(0, spec));
+    job_cache.put_active(JobId(1), Revision(1), JobRecord::new(0, spec));
     let ctx = Context {
         cfg: &cfg,
         types: &types,
@@ -57,7 +57,7 @@
         holds_valid_lease: true,
         job_cache_is_fresh: true,
     };
-    let mut leader = Leader::new(&ctx, FencingToken(2), 1);
+    let mut leader = Leader::new(&ctx, FencingToken(2), Revision(1));
     leader.plan(&ctx, &mut Calls::default());
     assert_eq!(leader.autoscaler.rental.asked(|_| true), 70);
 }
@@ -71,7 +71,7 @@
     let cfg = Settings { teams: vec![team], ..settings() };
     let types = [a_type()];
     let mut job_cache = JobCache::new(10);
-    job_cache.put_active(JobId(1), 1, JobRecord::new(0, a_job(9, true)));
+    job_cache.put_active(JobId(1), Revision(1), JobRecord::new(0, a_job(9, true)));
     let ctx = Context {
         cfg: &cfg,
         types: &types,
@@ -82,7 +82,7 @@
         job_cache_is_fresh: true,
     };
     let calls = &mut Calls::default();
-    let mut leader = Leader::new(&ctx, FencingToken(2), 1);
+    let mut leader = Leader::new(&ctx, FencingToken(2), Revision(1));
     leader.plan(&ctx, calls);
     assert_eq!(leader.autoscaler.rental.asked(|_| true), 5);
     let zone = leader.autoscaler.rental.pending[0].kind.zone.clone();
--- a/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
@@ -10,9 +10,9 @@
     let team = Team { name: "t".into(), cpus: 8.0, cpus_max: inf, gpus: 0.0, gpus_max: inf };
     let cfg = Settings { teams: vec![team], ..settings() };
     let mut job_cache = JobCache::new(10);
-    job_cache.put_active(JobId(1), 1, JobRecord::new(0, a_job(9, true)));
+    job_cache.put_active(JobId(1), Revision(1), JobRecord::new(0, a_job(9, true)));
     let gone = JobSpec { team: "gone".into(), ..a_job(9, true) };
-    job_cache.put_active(JobId(2), 2, JobRecord::new(0, gone));
+    job_cache.put_active(JobId(2), Revision(2), JobRecord::new(0, gone));
     let ctx = Context {
         cfg: &cfg,
         types: &[],
@@ -23,12 +23,12 @@
         job_cache_is_fresh: true,
     };
     let led = |value: &str| {
-        let mut leader = Leader::new(&ctx, FencingToken(2), 1);
+        let mut leader = Leader::new(&ctx, FencingToken(2), Revision(1));
         leader.failover.loading = Loading::Ledger;
         let item = KeyValue {
             key: LEDGER_KEY.into(),
             value: value.into(),
-            mod_revision: 3,
+            mod_revision: Revision(3),
             lease_id: None,
         };
         leader.load_answer(&ctx, &mut Calls::default(), StoreReply::KeyValue(item));
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -144,7 +144,7 @@
     /// The fencing token that it leads with.
     pub token: FencingToken,
     /// The mod revision of its record under the leader key.
-    pub mod_revision: u64,
+    pub mod_revision: Revision,
     /// When it was elected.
     pub since: Ms,
     /// Machines and jobs.
@@ -172,7 +172,7 @@
 
 impl Leader {
     /// A leader that knows the jobs and loads the rest.
-    pub fn new(ctx: &Context, token: FencingToken, mod_revision: u64) -> Self {
+    pub fn new(ctx: &Context, token: FencingToken, mod_revision: Revision) -> Self {
         let mut leader = Leader {
             token,
             mod_revision,
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -7,7 +7,7 @@
 /// A transaction that is filled up to the limits of the state service. One that passes
 /// them is refused for ever, since the same would be written again.
 struct Txn {
-    preconditions: Vec<(String, u64)>,
+    preconditions: Vec<Precondition>,
     puts: Vec<PutRequest>,
     deletes: Vec<String>,
     most: usize,
@@ -18,7 +18,7 @@
     /// What a key and its mod revision, or a change, take at the most beside the value.
     const FRAME: usize = 128;
 
-    fn new(condition: (String, u64), most: usize) -> Self {
+    fn new(condition: Precondition, most: usize) -> Self {
         Txn {
             preconditions: vec![condition],
             puts: Vec::new(),
@@ -36,15 +36,15 @@
                 && self.bytes + changes * 2 * Self::FRAME + bytes <= TXN_BYTES)
     }
 
-    fn put(&mut self, mod_revision: u64, key: String, value: String) {
+    fn put(&mut self, mod_revision: Revision, key: String, value: String) {
         self.bytes += 2 * Self::FRAME + value.len();
-        self.preconditions.push((key.clone(), mod_revision));
+        self.preconditions.push(Precondition::new(key.clone(), mod_revision));
         self.puts.push(PutRequest { key, value, lease_id: None });
     }
 
-    fn put_end(&mut self, job: JobId, mod_revision: u64) {
+    fn put_end(&mut self, job: JobId, mod_revision: Revision) {
         self.bytes += 3 * Self::FRAME;
-        self.preconditions.push((active_key(job), mod_revision));
+        self.preconditions.push(Precondition::new(active_key(job), mod_revision));
         self.deletes.push(active_key(job));
         self.puts.push(PutRequest {
             key: final_key(job),
@@ -79,7 +79,7 @@
         let mut f = PendingWrite::default();
         self.writer.parked.retain(|_, until| *until > now);
         let most = ctx.cfg.transaction_ops.max(2).min(self.writer.changes_most);
-        let mut t = Txn::new((LEADER_KEY.to_string(), self.mod_revision), most);
+        let mut t = Txn::new(Precondition::new(LEADER_KEY, self.mod_revision), most);
         let mut paid = |n: f64, class| calls.writes.take(now, n, class);
         for id in &self.writer.complete {
             let Some(j) = self.cluster.jobs.get(id).filter(|j| j.ended.is_none()) else { continue };
@@ -97,7 +97,8 @@
             f.ends.push(*id);
             t.put_end(*id, j.mod_revision);
         }
-        let mod_revision = |key: &str| self.writer.mod_revisions.get(key).copied().unwrap_or(0);
+        let mod_revision =
+            |key: &str| self.writer.mod_revisions.get(key).copied().unwrap_or(Revision::NONE);
         let shut = |key: &str| {
             self.writer.refresh.contains_key(key) || self.writer.parked.contains_key(key)
         };
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Default)]
 struct Kept {
     parts: BTreeMap<String, String>,
-    revision: u64,
+    revision: Revision,
 }
 
 impl Kept {
@@ -15,13 +15,13 @@
     }
 
     fn load(&self, ctx: &Context) -> Leader {
-        let mut leader = Leader::new(ctx, FencingToken(2), 1);
+        let mut leader = Leader::new(ctx, FencingToken(2), Revision(1));
         let calls = &mut Calls::default();
         let rows = |items| StoreReply::Page { items, more: false, revision: self.revision };
         let item = |(k, v): (&String, &String)| KeyValue {
             key: k.clone(),
             value: v.clone(),
-            mod_revision: 1,
+            mod_revision: Revision(1),
             lease_id: None,
         };
         leader.load_answer(ctx, calls, rows(self.parts.iter().map(item).collect()));
@@ -44,7 +44,7 @@
             return false;
         };
         assert!(puts.len() + deletes.len() <= ctx.cfg.transaction_ops);
-        self.revision += 1;
+        self.revision.0 += 1;
         for p in puts.into_iter().filter(|p| p.key.starts_with(MACHINE_REGISTRY_PREFIX)) {
             assert!(p.value.len() <= ctx.cfg.value_bytes, "{} holds {}", p.key, p.value.len());
             self.parts.insert(p.key, p.value);
--- a/crates/basaltrail-core/src/leader/persistence/mod.rs
+++ b/crates/basaltrail-core/src/leader/persistence/mod.rs
@@ -3,7 +3,7 @@
 pub mod flush;
 pub mod machine_registry;
 
-use crate::model::{JobId, Ms};
+use crate::model::{JobId, Ms, Revision};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What has to be written, and the transaction in flight. One is on its way at a time.
@@ -13,7 +13,7 @@
     /// Keys that were rejected alone, and until when they rest.
     pub(in crate::leader) parked: BTreeMap<String, Ms>,
     /// Mod revisions of the leader's own keys, as last read or written.
-    pub(in crate::leader) mod_revisions: HashMap<String, u64>,
+    pub(in crate::leader) mod_revisions: HashMap<String, Revision>,
     /// Keys whose mod revision has to be read again, and whether that is on its way.
     pub(in crate::leader) refresh: BTreeMap<String, bool>,
     /// Completions of ended jobs that are to be deleted.
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -56,7 +56,7 @@
         &mut self,
         cfg: &Settings,
         now: Ms,
-        (token, leader_stamp): (FencingToken, u64),
+        (token, leader_revision): (FencingToken, Revision),
         calls: &mut Calls,
     ) {
         let Some(first) = self.due.front().filter(|_| !self.in_flight && now >= self.not_before)
@@ -73,8 +73,9 @@
         }
         let grants: Vec<Grant> = self.due.drain(..count).collect();
         let key = |grant: &Grant| allotment_key(&grant.allotment.team, &grant.allotment.controller);
-        let mut preconditions = vec![(LEADER_KEY.to_string(), leader_stamp)];
-        preconditions.extend(grants.iter().map(|grant| (key(grant), grant.replaces)));
+        let mut preconditions = vec![Precondition::new(LEADER_KEY, leader_revision)];
+        preconditions
+            .extend(grants.iter().map(|grant| Precondition::new(key(grant), grant.replaces)));
         let put = |grant: &Grant| PutRequest {
             key: key(grant),
             value: encode(&grant.allotment),
--- a/crates/basaltrail-core/src/leader/scheduler/cycle_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle_tests.rs
@@ -20,7 +20,7 @@
         ..settings()
     };
     let mut job_cache = JobCache::new(10);
-    job_cache.put_active(JobId(1), 1, JobRecord::new(0, a_job(100, true)));
+    job_cache.put_active(JobId(1), Revision(1), JobRecord::new(0, a_job(100, true)));
     let ctx = Context {
         cfg: &cfg,
         types: &[],
@@ -30,7 +30,7 @@
         holds_valid_lease: true,
         job_cache_is_fresh: true,
     };
-    let mut leader = Leader::new(&ctx, FencingToken(2), 1);
+    let mut leader = Leader::new(&ctx, FencingToken(2), Revision(1));
     leader.scheduler.fleet_cpus = 1_000.0;
     assert!(leader.find_reach(&ctx, &[(0.0, 0.0); 2]).contains_key(&JobId(1)));
     leader.scheduler.fleet_cpus = 50.0;
--- a/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
@@ -16,7 +16,7 @@
         holds_valid_lease: true,
         job_cache_is_fresh: true,
     };
-    let mut leader = Leader::new(&at(0), FencingToken(2), 1);
+    let mut leader = Leader::new(&at(0), FencingToken(2), Revision(1));
     let spec = a_job(9, true);
     let id = MachineId("m-1".into());
     let mut m = Machine::new(id.clone(), "x", "a", true, 0);
@@ -70,8 +70,8 @@
     };
     let (cfg, types) = (Settings { teams: vec![team], ..settings() }, [a_type()]);
     let mut job_cache = JobCache::new(10);
-    job_cache.put_active(JobId(1), 1, JobRecord::new(0, a_job(99, true)));
-    job_cache.put_active(JobId(2), 2, JobRecord::new(0, service.clone()));
+    job_cache.put_active(JobId(1), Revision(1), JobRecord::new(0, a_job(99, true)));
+    job_cache.put_active(JobId(2), Revision(2), JobRecord::new(0, service.clone()));
     let now = 60_000;
     let ctx = Context {
         cfg: &cfg,
@@ -82,7 +82,7 @@
         holds_valid_lease: true,
         job_cache_is_fresh: true,
     };
-    let mut leader = Leader::new(&ctx, FencingToken(2), 1);
+    let mut leader = Leader::new(&ctx, FencingToken(2), Revision(1));
     // One replica runs in zone a, where no other may go.
     let kinds = [("m-1", "a", false), ("m-2", "b", true), ("m-3", "b", false), ("m-4", "a", false)];
     for (index, (name, zone, spot)) in kinds.into_iter().enumerate() {
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -25,7 +25,7 @@
         let mut job_cache = JobCache::new(10);
         for (i, spec) in jobs.iter().enumerate() {
             let id = i as u64 + 1;
-            job_cache.put_active(JobId(id), id + 10, JobRecord::new(0, spec.clone()));
+            job_cache.put_active(JobId(id), Revision(id + 10), JobRecord::new(0, spec.clone()));
         }
         let cfg = Settings { teams: vec![team(guarantee)], ..settings() };
         Bench { cfg, types: vec![a_type()], job_cache }
@@ -46,12 +46,13 @@
 
     /// A leader with so many machines in each zone, all of them heard just now.
     fn leads(&self, per_zone: usize, spot: bool) -> Leader {
-        let mut leader = Leader::new(&self.ctx(0), FencingToken(2), 1);
+        let mut leader = Leader::new(&self.ctx(0), FencingToken(2), Revision(1));
         leader.failover.loading = Loading::Complete;
         for i in 0..2 * per_zone {
             let id = MachineId(format!("m-{i:02}").into());
             let mut m = Machine::new(id.clone(), "x", ["a", "b"][i % 2], spot, 0);
-            (m.hears, m.durable, m.last_heartbeat, m.agent_epoch) = (true, true, Some(0), 1);
+            (m.hears, m.durable, m.last_heartbeat, m.agent_epoch) =
+                (true, true, Some(0), AgentEpoch(1));
             leader.cluster.machines.insert(id, m);
         }
         leader
@@ -193,7 +194,7 @@
         machine_type: "x".into(),
         zone: "a".into(),
         spot: false,
-        agent_epoch: 1,
+        agent_epoch: AgentEpoch(1),
         sequence: 1,
         token: FencingToken(2),
         reclaim_notice_s: Some(12.0),
--- a/crates/basaltrail-core/src/lease_renewal_tests.rs
+++ b/crates/basaltrail-core/src/lease_renewal_tests.rs
@@ -8,7 +8,7 @@
 
 fn job_cache() -> JobCache {
     let mut job_cache = JobCache::new(100);
-    job_cache.put_active(ACTIVE_JOBS_PREFIX, 1, JobRecord::new(0, a_job(4, true)));
+    job_cache.put_active(ACTIVE_JOBS_PREFIX, Revision(1), JobRecord::new(0, a_job(4, true)));
     job_cache.put_final(CANCELLED, JobOutcome::Cancelled);
     job_cache
 }
@@ -24,7 +24,7 @@
         machine_type: "x".into(),
         zone: "a".into(),
         spot: false,
-        agent_epoch: 1,
+        agent_epoch: AgentEpoch(1),
         sequence: 1,
         token: FencingToken(1),
         reclaim_notice_s: None,
--- a/crates/basaltrail-core/src/machines/mod.rs
+++ b/crates/basaltrail-core/src/machines/mod.rs
@@ -100,9 +100,9 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// Sessions below this one are surely over.
-    pub min_agent_epoch: u64,
+    pub min_agent_epoch: AgentEpoch,
     pub sequence: u64,
     /// The last moment at which an answer may have renewed its lease.
     pub renewed: Ms,
@@ -159,8 +159,8 @@
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
-            agent_epoch: 0,
-            min_agent_epoch: 0,
+            agent_epoch: AgentEpoch::NONE,
+            min_agent_epoch: AgentEpoch::NONE,
             sequence: 0,
             renewed: now,
             last_heartbeat: None,
@@ -258,8 +258,8 @@
     pub fn expire_lease(&mut self) -> Vec<TaskChange> {
         self.lease_expired = true;
         self.reconciled = true;
-        if self.agent_epoch > 0 {
-            self.min_agent_epoch = self.agent_epoch + 1;
+        if self.agent_epoch > AgentEpoch::NONE {
+            self.min_agent_epoch = self.agent_epoch.next();
         }
         self.images.clear();
         self.drop_all()
@@ -294,9 +294,9 @@
         let mut changes = Vec::new();
         // A worker without an answer waits for it and then asks another controller first.
         let back = self.last_heartbeat.is_some_and(|t| now < t + UNANSWERED_MS);
-        self.hears = back || !self.reconciled || self.agent_epoch == 0;
+        self.hears = back || !self.reconciled || self.agent_epoch == AgentEpoch::NONE;
         self.reconciled = true;
-        if r.agent_epoch > self.agent_epoch && self.agent_epoch > 0 {
+        if r.agent_epoch > self.agent_epoch && self.agent_epoch > AgentEpoch::NONE {
             changes = self.drop_all();
         }
         self.agent_epoch = r.agent_epoch;
--- a/crates/basaltrail-core/src/machines/types.rs
+++ b/crates/basaltrail-core/src/machines/types.rs
@@ -4,7 +4,7 @@
 //! other controllers, and processes that start while the cloud is out, can judge submissions.
 
 use crate::io::{CloudReply, StoreReply};
-use crate::model::{MachineType, Ms};
+use crate::model::{MachineType, Ms, Revision};
 use crate::store::records::{decode, encode};
 
 /// The call that is due.
@@ -17,7 +17,7 @@
         /// The value.
         value: String,
         /// The mod revision.
-        mod_revision: u64,
+        mod_revision: Revision,
     },
     /// Ask the cloud.
     AskCloud,
@@ -31,7 +31,7 @@
     kept_read: bool,
     in_flight: bool,
     not_before: Ms,
-    mod_revision: u64,
+    mod_revision: Revision,
     /// What is known differs from what is kept.
     changed: bool,
 }
@@ -86,7 +86,7 @@
             }
             StoreReply::NotFound => {
                 self.kept_read = true;
-                self.mod_revision = 0;
+                self.mod_revision = Revision::NONE;
             }
             _ => self.not_before = next,
         }
@@ -114,7 +114,7 @@
         let shape =
             |t: &MachineType| (t.name.clone(), t.cpus, t.gpus, t.memory_gb, t.zones.clone());
         let same = types.iter().map(shape).eq(self.known.iter().map(shape));
-        self.changed |= !same || self.mod_revision == 0;
+        self.changed |= !same || self.mod_revision == Revision::NONE;
         self.known = types;
     }
 }
--- a/crates/basaltrail-core/src/machines/types_tests.rs
+++ b/crates/basaltrail-core/src/machines/types_tests.rs
@@ -10,7 +10,7 @@
     StoreReply::KeyValue(KeyValue {
         key: MACHINE_TYPES_KEY.into(),
         value,
-        mod_revision: 3,
+        mod_revision: Revision(3),
         lease_id: None,
     })
 }
@@ -42,7 +42,7 @@
     let wider = MachineType { cpus: 64.0, ..a_type() };
     types.told(CloudReply::Types(vec![wider]), 70, 80);
     let due = types.call_due(80, ROOM, true);
-    assert!(matches!(due, Some(TypesCall::Keep { mod_revision: 3, .. })), "{due:?}");
+    assert!(matches!(due, Some(TypesCall::Keep { mod_revision: Revision(3), .. })), "{due:?}");
     types.written(&StoreReply::Conflict { failed: vec![MACHINE_TYPES_KEY.into()] });
     assert_eq!(types.call_due(80, ROOM, true), Some(TypesCall::ReadKept));
     types.read(StoreReply::NotFound, 0);
--- a/crates/basaltrail-core/src/model.rs
+++ b/crates/basaltrail-core/src/model.rs
@@ -1,6 +1,7 @@
 //! The terms of the field: jobs, tasks, attempts, machines, reports, orders.
 
 use basaltrail_admission::Demand;
+pub use basaltrail_admission::Revision;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
@@ -37,6 +38,31 @@
 )]
 pub struct FencingToken(pub u64);
 
+/// A lease of the key-value store (PROTOCOL: `loan`); keys put under it go when it expires.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct LeaseId(pub u64);
+
+impl fmt::Display for LeaseId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
+/// One life of a worker's agent (PROTOCOL: `tenure`): a larger one began later, and what ran in an
+/// earlier one is gone. Agents count from 1; 0 stands for none heard of yet.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct AgentEpoch(pub u64);
+
+impl AgentEpoch {
+    /// No agent has been heard of.
+    pub const NONE: AgentEpoch = AgentEpoch(0);
+
+    /// The one that follows.
+    pub fn next(self) -> Self {
+        AgentEpoch(self.0 + 1)
+    }
+}
+
 /// A machine's name as the cloud gave it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MachineId(pub Arc<str>);
@@ -186,7 +212,7 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     pub sequence: u64,
     pub token: FencingToken,
     pub reclaim_notice_s: Option<f64>,
--- a/crates/basaltrail-core/tests/scale.rs
+++ b/crates/basaltrail-core/tests/scale.rs
@@ -187,11 +187,11 @@
 
     fn item(&self, key: &str) -> Option<KeyValue> {
         let (value, mod_revision) = self.keys.get(key)?;
-        let lease_id = (key == records::LEADER_KEY).then_some(self.lease_id);
+        let lease_id = (key == records::LEADER_KEY).then_some(LeaseId(self.lease_id));
         Some(KeyValue {
             key: key.into(),
             value: value.clone(),
-            mod_revision: *mod_revision,
+            mod_revision: Revision(*mod_revision),
             lease_id,
         })
     }
@@ -202,7 +202,7 @@
             .filter(|(k, _)| k.starts_with(prefix))
             .map(|(k, r)| match self.item(k) {
                 Some(i) => WatchEvent::Put(i),
-                None => WatchEvent::Delete { key: k.clone(), mod_revision: *r },
+                None => WatchEvent::Delete { key: k.clone(), mod_revision: Revision(*r) },
             })
             .collect();
         events.reverse();
@@ -221,18 +221,20 @@
                 let some: Vec<String> = keys.take(limit as usize + 1).cloned().collect();
                 let more = some.len() > limit as usize;
                 let items = some.iter().take(limit as usize).filter_map(|k| self.item(k)).collect();
-                StoreReply::Page { items, more, revision: self.revision }
+                StoreReply::Page { items, more, revision: Revision(self.revision) }
             }
             StoreRequest::Transaction { preconditions, puts, deletes } => {
                 assert!(puts.len() + deletes.len() <= 12 && preconditions.len() <= 48);
                 assert!(puts.iter().all(|p| p.value.len() <= 4_096), "a value is too long");
-                let keys = preconditions.iter().map(|(k, _)| k.len() + 40).sum::<usize>();
+                let keys = preconditions.iter().map(|p| p.key.len() + 40).sum::<usize>();
                 let values = puts.iter().map(|p| p.key.len() + p.value.len() + 40).sum::<usize>();
                 self.count.largest = self.count.largest.max(keys + values + 60 * deletes.len());
                 self.count.writes += (puts.len() + deletes.len()) as u64;
                 let mod_revision = |k: &String| self.keys.get(k).map_or(0, |(_, s)| *s);
-                let bad = preconditions.iter().filter(|(k, s)| mod_revision(k) != *s);
-                let failed: Vec<String> = bad.map(|(k, _)| k.clone()).collect();
+                let bad = preconditions
+                    .iter()
+                    .filter(|p| Revision(mod_revision(&p.key)) != p.mod_revision);
+                let failed: Vec<String> = bad.map(|p| p.key.clone()).collect();
                 if failed.is_empty() {
                     self.revision += 1;
                     for p in puts {
@@ -243,17 +245,17 @@
                         self.keys.remove(&key);
                         self.log.push((key, self.revision));
                     }
-                    StoreReply::Committed { revision: self.revision }
+                    StoreReply::Committed { revision: Revision(self.revision) }
                 } else {
                     StoreReply::Conflict { failed }
                 }
             }
             StoreRequest::GrantLease { .. } => {
                 self.lease_id += 1;
-                StoreReply::LeaseGranted { lease_id: self.lease_id }
+                StoreReply::LeaseGranted { lease_id: LeaseId(self.lease_id) }
             }
             StoreRequest::RevokeLease { lease_id } => {
-                if lease_id == self.lease_id {
+                if lease_id == LeaseId(self.lease_id) {
                     self.revision += 1;
                     self.keys.remove(records::LEADER_KEY);
                     self.log.push((records::LEADER_KEY.into(), self.revision));
@@ -262,7 +264,7 @@
             }
             StoreRequest::KeepAlive { .. } => StoreReply::Ok,
             StoreRequest::Watch { prefix, after, wait_ms } => {
-                return self.watches.push((op, prefix, after, self.t + wait_ms));
+                return self.watches.push((op, prefix, after.0, self.t + wait_ms));
             }
         };
         self.answer(10, Input::Store { op, reply });
@@ -274,7 +276,7 @@
             if events.is_empty() && self.t < until {
                 self.watches.push((op, prefix, after, until));
             } else {
-                let reply = StoreReply::Events { revision: self.revision, events };
+                let reply = StoreReply::Events { revision: Revision(self.revision), events };
                 self.answer(5, Input::Store { op, reply });
             }
         }
@@ -343,7 +345,7 @@
             machine_type: "x".into(),
             zone: ["a", "b"][m % 2].into(),
             spot: false,
-            agent_epoch: 1,
+            agent_epoch: AgentEpoch(1),
             sequence: w.sequence,
             token: w.token,
             reclaim_notice_s: None,
--- a/crates/basaltrail-core/tests/simulation/simulated/cloud.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/cloud.rs
@@ -59,7 +59,7 @@
             spot,
             up_at,
             alive: true,
-            agent_epoch: 1,
+            agent_epoch: AgentEpoch(1),
             sequence: 0,
             token: FencingToken(0),
             renewed: up_at,
--- a/crates/basaltrail-core/tests/simulation/simulated/days.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/days.rs
@@ -29,7 +29,7 @@
         world.tasks_started,
         world.tasks_stopped,
         world.messages_sent,
-        world.store.revision,
+        world.store.revision.0,
         world.rng.random(),
     ];
     let values = world.store.keys.iter().flat_map(|(key, kept)| [key.as_str(), &kept.value]);
--- a/crates/basaltrail-core/tests/simulation/simulated/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/mod.rs
@@ -102,17 +102,17 @@
 #[derive(Clone)]
 struct StoredValue {
     value: String,
-    mod_revision: u64,
-    lease_id: Option<u64>,
+    mod_revision: Revision,
+    lease_id: Option<LeaseId>,
 }
 
 /// The state service.
 #[derive(Default)]
 struct Store {
     keys: BTreeMap<String, StoredValue>,
-    revision: u64,
-    log: Vec<(u64, WatchEvent)>,
-    leases: BTreeMap<u64, (u64, u64)>, // life, end
+    revision: Revision,
+    log: Vec<(Revision, WatchEvent)>,
+    leases: BTreeMap<LeaseId, (u64, u64)>, // life, end
     next_lease_id: u64,
     down_until: u64,
     watches: Vec<OpenWatch>,
@@ -133,7 +133,7 @@
     spot: bool,
     up_at: u64,
     alive: bool,
-    agent_epoch: u64,
+    agent_epoch: AgentEpoch,
     sequence: u64,
     token: FencingToken,
     renewed: u64,
@@ -192,7 +192,7 @@
     Store(CallId, StoreRequest),
     Cloud(CallId, CloudRequest),
     Heartbeat(MachineIndex, RequestId, Heartbeat),
-    Commands(MachineIndex, u64, u64, Answer),
+    Commands(MachineIndex, AgentEpoch, u64, Answer),
     User(usize),
     Answer(Requester, Answer),
 }
@@ -250,7 +250,7 @@
     epoch: u64,
     op: CallId,
     prefix: String,
-    after: u64,
+    after: Revision,
     /// When it is answered though nothing has changed.
     until: u64,
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/store.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Store {
-    pub(super) fn remove(&mut self, key: &str, revision: u64) {
+    pub(super) fn remove(&mut self, key: &str, revision: Revision) {
         if self.keys.remove(key).is_some() {
             self.log
                 .push((revision, WatchEvent::Delete { key: key.into(), mod_revision: revision }));
@@ -11,14 +11,14 @@
     }
 
     pub(super) fn expire(&mut self, t: u64) {
-        let over: Vec<u64> =
+        let over: Vec<LeaseId> =
             self.leases.iter().filter(|(_, (_, e))| *e <= t).map(|(l, _)| *l).collect();
         for lease_id in over {
             self.end(lease_id);
         }
     }
 
-    pub(super) fn end(&mut self, lease_id: u64) {
+    pub(super) fn end(&mut self, lease_id: LeaseId) {
         self.leases.remove(&lease_id);
         let keys: Vec<String> = self
             .keys
@@ -27,7 +27,7 @@
             .map(|(k, _)| k.clone())
             .collect();
         for key in keys {
-            self.revision += 1;
+            self.revision.0 += 1;
             self.remove(&key, self.revision);
         }
     }
@@ -42,7 +42,7 @@
         })
     }
 
-    pub(super) fn news(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
+    pub(super) fn news(&self, prefix: &str, after: Revision) -> Vec<WatchEvent> {
         let key = |e: &WatchEvent| match e {
             WatchEvent::Put(i) => i.key.clone(),
             WatchEvent::Delete { key, .. } => key.clone(),
@@ -76,17 +76,18 @@
                 if puts.iter().any(|p| p.lease_id.is_some_and(|l| !self.leases.contains_key(&l))) {
                     return StoreReply::Refused;
                 }
-                let mod_revision = |k: &String| self.keys.get(k).map_or(0, |k| k.mod_revision);
+                let mod_revision =
+                    |k: &String| self.keys.get(k).map_or(Revision::NONE, |k| k.mod_revision);
                 let failed: Vec<String> = preconditions
                     .iter()
-                    .filter(|(k, s)| mod_revision(k) != *s)
-                    .map(|(k, _)| k.clone())
+                    .filter(|p| mod_revision(&p.key) != p.mod_revision)
+                    .map(|p| p.key.clone())
                     .collect();
                 if !failed.is_empty() {
                     return StoreReply::Conflict { failed };
                 }
                 if !puts.is_empty() || !deletes.is_empty() {
-                    self.revision += 1;
+                    self.revision.0 += 1;
                 }
                 for p in puts {
                     let k = StoredValue {
@@ -106,8 +107,8 @@
             }
             StoreRequest::GrantLease { ttl_ms } => {
                 self.next_lease_id += 1;
-                self.leases.insert(self.next_lease_id, (*ttl_ms, t + ttl_ms));
-                StoreReply::LeaseGranted { lease_id: self.next_lease_id }
+                self.leases.insert(LeaseId(self.next_lease_id), (*ttl_ms, t + ttl_ms));
+                StoreReply::LeaseGranted { lease_id: LeaseId(self.next_lease_id) }
             }
             StoreRequest::KeepAlive { lease_id } => match self.leases.get_mut(lease_id) {
                 Some((life, end)) => {
--- a/crates/basaltrail-core/tests/simulation/simulated/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/workers.rs
@@ -23,7 +23,7 @@
     /// The lease binds a hung machine too: what it ran is over.
     fn expire_lease(&mut self, now: u64) {
         self.tasks.clear();
-        self.agent_epoch += 1;
+        self.agent_epoch.0 += 1;
         self.renewed = now;
         self.awaiting_reply = None;
         self.next_heartbeat = now;
@@ -197,7 +197,13 @@
     }
 
     /// An answer to a heartbeat arrives.
-    pub(super) fn commands(&mut self, index: usize, epoch: u64, sequence: u64, answer: Answer) {
+    pub(super) fn commands(
+        &mut self,
+        index: usize,
+        epoch: AgentEpoch,
+        sequence: u64,
+        answer: Answer,
+    ) {
         let now = self.now;
         let worker = &mut self.workers[index];
         let Some((awaited, sent)) = worker.awaiting_reply.filter(|_| worker.alive) else { return };
--- a/crates/basaltrail-core/tests/traces.rs
+++ b/crates/basaltrail-core/tests/traces.rs
@@ -68,7 +68,7 @@
 struct Trace {
     controller: Controller,
     t: u64,
-    keys: BTreeMap<String, (String, u64, Option<u64>)>,
+    keys: BTreeMap<String, (String, u64, Option<LeaseId>)>,
     revision: u64,
     lease_id: u64,
     state: &'static str,
@@ -115,7 +115,7 @@
         }
     }
 
-    fn put(&mut self, key: &str, value: Option<String>, lease_id: Option<u64>) {
+    fn put(&mut self, key: &str, value: Option<String>, lease_id: Option<LeaseId>) {
         match &value {
             Some(v) => {
                 self.keys.insert(key.into(), (v.clone(), self.revision, lease_id));
@@ -128,10 +128,10 @@
     }
 
     fn carry_out(&mut self, op: &StoreRequest) -> StoreReply {
-        let item = |k: &String, v: &(String, u64, Option<u64>)| KeyValue {
+        let item = |k: &String, v: &(String, u64, Option<LeaseId>)| KeyValue {
             key: k.clone(),
             value: v.0.clone(),
-            mod_revision: v.1,
+            mod_revision: Revision(v.1),
             lease_id: v.2,
         };
         match op {
@@ -151,7 +151,7 @@
                     .map(|(k, v)| item(k, v))
                     .collect(),
                 more: false,
-                revision: self.revision,
+                revision: Revision(self.revision),
             },
             StoreRequest::Transaction { preconditions, puts, deletes } => {
                 if puts.iter().any(|p| self.rejects.as_ref() == Some(&p.key)) {
@@ -161,8 +161,8 @@
                 let mod_revision = |k: &String| self.keys.get(k).map_or(0, |v| v.1);
                 let failed: Vec<String> = preconditions
                     .iter()
-                    .filter(|(k, s)| mod_revision(k) != *s)
-                    .map(|(k, _)| k.clone())
+                    .filter(|p| Revision(mod_revision(&p.key)) != p.mod_revision)
+                    .map(|p| p.key.clone())
                     .collect();
                 if !failed.is_empty() {
                     return StoreReply::Conflict { failed };
@@ -174,11 +174,11 @@
                 for k in deletes {
                     self.put(k, None, None);
                 }
-                StoreReply::Committed { revision: self.revision }
+                StoreReply::Committed { revision: Revision(self.revision) }
             }
             StoreRequest::GrantLease { .. } => {
                 self.lease_id += 1;
-                StoreReply::LeaseGranted { lease_id: self.lease_id }
+                StoreReply::LeaseGranted { lease_id: LeaseId(self.lease_id) }
             }
             StoreRequest::KeepAlive { lease_id } => {
                 let held = self.keys.get("c/leader").is_some_and(|k| k.2 == Some(*lease_id));
@@ -210,7 +210,7 @@
                         timeout_ms,
                     } => {
                         let (due, given_up) = (self.t + wait_ms, self.t + timeout_ms);
-                        self.watches.push((op, prefix, after, due, given_up));
+                        self.watches.push((op, prefix, after.0, due, given_up));
                     }
                     Effect::Store { op, call, .. } => {
                         let reply = match self.state {
@@ -309,18 +309,20 @@
                         Some(value) => WatchEvent::Put(KeyValue {
                             key: key.clone(),
                             value: value.clone(),
-                            mod_revision: *mod_revision,
+                            mod_revision: Revision(*mod_revision),
                             lease_id: None,
                         }),
-                        None => {
-                            WatchEvent::Delete { key: key.clone(), mod_revision: *mod_revision }
-                        }
+                        None => WatchEvent::Delete {
+                            key: key.clone(),
+                            mod_revision: Revision(*mod_revision),
+                        },
                     })
                     .collect();
                 if new.is_empty() && self.t < due {
                     self.watches.push((op, prefix, after, due, given_up));
                 } else {
-                    let reply = StoreReply::Events { revision: self.revision, events: new };
+                    let reply =
+                        StoreReply::Events { revision: Revision(self.revision), events: new };
                     self.feed(Input::Store { op, reply });
                 }
             }
@@ -355,7 +357,7 @@
             machine_type: "x".into(),
             zone: "a".into(),
             spot: false,
-            agent_epoch: number(words[1]),
+            agent_epoch: AgentEpoch(number(words[1])),
             sequence: number(words[2]),
             token: FencingToken(number(words[3])),
             reclaim_notice_s: None,
@@ -401,13 +403,13 @@
                         self.put(
                             "c/leader",
                             Some(r#"{"node":"n1","incarnation":1,"token":9}"#.into()),
-                            Some(999),
+                            Some(LeaseId(999)),
                         );
                         self.put("c/term", Some("9".into()), None);
                     }
                     "led-by-us" => {
                         let record = r#"{"node":"n0","incarnation":1,"token":9}"#;
-                        self.put("c/leader", Some(record.into()), Some(999));
+                        self.put("c/leader", Some(record.into()), Some(LeaseId(999)));
                         self.put("c/term", Some("9".into()), None);
                     }
                     "goes" => self.put("c/leader", None, None),
--- a/crates/basaltrail-protocol/src/administration.rs
+++ b/crates/basaltrail-protocol/src/administration.rs
@@ -88,7 +88,7 @@
     Limits {
         node: report.controller.clone(),
         leader: report.leader.clone(),
-        revision: report.revision,
+        revision: report.revision.0,
         allotted: report.allotted,
         teams: report.teams.iter().map(team).collect(),
     }
--- a/crates/basaltrail-protocol/src/state.rs
+++ b/crates/basaltrail-protocol/src/state.rs
@@ -2,6 +2,7 @@
 
 use crate::Malformed;
 use basaltrail_core::io::{KeyValue, PutRequest, StoreReply, StoreRequest, WatchEvent};
+use basaltrail_core::{LeaseId, Revision};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
@@ -97,8 +98,8 @@
         KeyValue {
             key: r.key,
             value: r.v.get().to_string(),
-            mod_revision: r.stamp,
-            lease_id: r.loan,
+            mod_revision: Revision(r.stamp),
+            lease_id: r.loan.map(LeaseId),
         }
     }
 }
@@ -112,14 +113,16 @@
             ("GET", format!("/kv?starts={prefix}{after}&most={limit}"), String::new())
         }
         StoreRequest::Transaction { preconditions, puts, deletes } => {
-            let conditions =
-                preconditions.iter().map(|(key, stamp)| Condition { key, stamp: *stamp }).collect();
+            let conditions = preconditions
+                .iter()
+                .map(|p| Condition { key: &p.key, stamp: p.mod_revision.0 })
+                .collect();
             let mut apply = Vec::with_capacity(puts.len() + deletes.len());
             for PutRequest { key, value, lease_id } in puts {
                 apply.push(Change::PutRequest {
                     put: key,
                     v: serde_json::from_str(value)?,
-                    loan: *lease_id,
+                    loan: lease_id.map(|id| id.0),
                 });
             }
             apply.extend(deletes.iter().map(|remove| Change::Remove { remove }));
@@ -171,15 +174,15 @@
         (StoreRequest::List { .. }, _) => {
             let b: RowsBody = serde_json::from_slice(body)?;
             let items = b.rows.into_iter().map(KeyValue::from).collect();
-            StoreReply::Page { items, more: b.truncated, revision: b.impression }
+            StoreReply::Page { items, more: b.truncated, revision: Revision(b.impression) }
         }
         (StoreRequest::Transaction { .. }, _) => {
             let b: RevisionBody = serde_json::from_slice(body)?;
-            StoreReply::Committed { revision: b.impression }
-        }
-        (StoreRequest::GrantLease { .. }, _) => {
-            StoreReply::LeaseGranted { lease_id: serde_json::from_slice::<GrantedBody>(body)?.loan }
+            StoreReply::Committed { revision: Revision(b.impression) }
         }
+        (StoreRequest::GrantLease { .. }, _) => StoreReply::LeaseGranted {
+            lease_id: LeaseId(serde_json::from_slice::<GrantedBody>(body)?.loan),
+        },
         (StoreRequest::KeepAlive { .. } | StoreRequest::RevokeLease { .. }, _) => StoreReply::Ok,
         (StoreRequest::Watch { .. }, _) => {
             let b: NewsBody = serde_json::from_slice(body)?;
@@ -189,14 +192,16 @@
                     (Some(key), Some(v), _) => WatchEvent::Put(KeyValue {
                         key,
                         value: v.get().to_string(),
-                        mod_revision: n.stamp,
-                        lease_id: n.loan,
+                        mod_revision: Revision(n.stamp),
+                        lease_id: n.loan.map(LeaseId),
                     }),
-                    (None, _, Some(key)) => WatchEvent::Delete { key, mod_revision: n.stamp },
+                    (None, _, Some(key)) => {
+                        WatchEvent::Delete { key, mod_revision: Revision(n.stamp) }
+                    }
                     _ => return Err(Malformed::Field("a change that is neither put nor remove")),
                 });
             }
-            StoreReply::Events { revision: b.impression, events }
+            StoreReply::Events { revision: Revision(b.impression), events }
         }
     })
 }
--- a/crates/basaltrail-protocol/src/workers.rs
+++ b/crates/basaltrail-protocol/src/workers.rs
@@ -66,7 +66,7 @@
         machine_type: r.format,
         zone: r.room,
         spot: r.remainders,
-        agent_epoch: r.tenure,
+        agent_epoch: AgentEpoch(r.tenure),
         sequence: r.folio,
         token: FencingToken(r.warrant),
         reclaim_notice_s,
--- a/crates/basaltrail-protocol/src/workers_tests.rs
+++ b/crates/basaltrail-protocol/src/workers_tests.rs
@@ -9,7 +9,7 @@
         {"leaf":"job-000398/0","printing":1,"condition":"ended","colophon":"done"}]}"#,
     )
     .unwrap();
-    assert_eq!((r.agent_epoch, r.sequence, r.token), (1, 88, FencingToken(41)));
+    assert_eq!((r.agent_epoch, r.sequence, r.token), (AgentEpoch(1), 88, FencingToken(41)));
     assert_eq!(r.tasks[1].state, TaskState::Exited(ExitReason::Done));
     let t = r.tasks[0].task;
     let body = commands(
--- a/crates/basaltrail-protocol/tests/fuzz.rs
+++ b/crates/basaltrail-protocol/tests/fuzz.rs
@@ -75,8 +75,8 @@
             deletes: Vec::new(),
         },
         StoreRequest::GrantLease { ttl_ms: 1 },
-        StoreRequest::KeepAlive { lease_id: 1 },
-        StoreRequest::Watch { prefix: "a".into(), after: 0, wait_ms: 0 },
+        StoreRequest::KeepAlive { lease_id: LeaseId(1) },
+        StoreRequest::Watch { prefix: "a".into(), after: Revision(0), wait_ms: 0 },
     ];
     let (mut taken, mut refused) = (0, 0);
     for _ in 0..20_000 {
--- a/crates/basaltrail-protocol/tests/schema.rs
+++ b/crates/basaltrail-protocol/tests/schema.rs
@@ -1,6 +1,7 @@
 //! The published schema of `inspect limits --json`, and answers judged by it.
 
 use basaltrail_core::inspection::{ClassReport, LimitsReport, TeamReport};
+use basaltrail_core::Revision;
 use basaltrail_protocol::administration::{limits, Limits};
 
 const PUBLISHED: &str = include_str!("../../../docs/schemas/limits.json");
@@ -35,7 +36,7 @@
     let report = LimitsReport {
         controller: "stack-0".into(),
         leader: Some("stack-1".into()),
-        revision: 12,
+        revision: Revision(12),
         allotted: true,
         teams: vec![team(Some(48.0), Some(8.0)), team(None, None)],
     };
--- a/crates/basaltrail/src/clients_tests.rs
+++ b/crates/basaltrail/src/clients_tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use basaltrail_core::Revision;
 use basaltrail_testbed::http::{reply, serve};
 use serde_json::json;
 use warp::Filter;
@@ -13,11 +14,11 @@
         reply(200, json!({"impression": 7, "news": vec![put; 1_000]}))
     });
     let at = serve(news).await.unwrap();
-    let watch = StoreRequest::Watch { prefix: "j/".into(), after: 0, wait_ms: 0 };
+    let watch = StoreRequest::Watch { prefix: "j/".into(), after: Revision(0), wait_ms: 0 };
     let small = Http::new(14.0).state(at, &watch, 5_000).await;
     assert_eq!(small, StoreReply::Compacted);
     let large = Http::new(700.0).state(at, &watch, 5_000).await;
-    let StoreReply::Events { revision: 7, events } = large else { panic!("{large:?}") };
+    let StoreReply::Events { revision: Revision(7), events } = large else { panic!("{large:?}") };
     assert_eq!(events.len(), 1_000);
     let list = StoreRequest::List { prefix: "j/".into(), after: None, limit: 500 };
     let nobody = "127.0.0.1:1".parse().unwrap();
--- a/crates/basaltrail/src/logging.rs
+++ b/crates/basaltrail/src/logging.rs
@@ -72,7 +72,7 @@
         }
         LeadershipEvent::LeaderSeen { leader, term, revision } => {
             let leader = leader.as_deref().unwrap_or("none");
-            info!(event = %"leader_seen", leader = %leader, term = term.0, revision);
+            info!(event = %"leader_seen", leader = %leader, term = term.0, revision = revision.0);
         }
         LeadershipEvent::Round(summary) => write_round(summary),
     }
@@ -141,10 +141,10 @@
         ),
         JobEvent::TasksPreempted { tasks } => debug!(event = %"tasks_preempted", tasks),
         JobEvent::Listed { revision, active, took_ms } => {
-            info!(event = %"jobs_listed", revision, active, took_ms);
+            info!(event = %"jobs_listed", revision = revision.0, active, took_ms);
         }
         JobEvent::WatchAnswered { revision, events, kind, took_ms } => {
-            debug!(event = %"jobs_watch_answered", revision, events, kind = ?kind, took_ms);
+            debug!(event = %"jobs_watch_answered", revision = revision.0, events, kind = ?kind, took_ms);
         }
     }
 }
@@ -167,7 +167,7 @@
             debug!(
                 event = %"heartbeat_answered",
                 machine = %machine,
-                agent_epoch,
+                agent_epoch = agent_epoch.0,
                 sequence,
                 token = token.0,
                 tasks,
@@ -186,7 +186,7 @@
         event = %"heartbeat_summary",
         token = summary.token.0,
         holds_valid_lease = summary.holds_valid_lease,
-        jobs_revision = summary.jobs_revision,
+        jobs_revision = summary.jobs_revision.0,
         jobs_age_ms = summary.jobs_age_ms,
         renewed = counters.renewed,
         starts = counters.starts,
--- a/crates/basaltrail/src/logging_tests.rs
+++ b/crates/basaltrail/src/logging_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use basaltrail_core::events::ReleaseReason;
-use basaltrail_core::{JobId, MachineId, TaskId};
+use basaltrail_core::{JobId, MachineId, Revision, TaskId};
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
 
@@ -38,7 +38,12 @@
         HeartbeatEvent::RenewalViolation { machine: machine.clone(), task }.into(),
         MachineEvent::ScaleIn { machine: machine.clone(), reason: ReleaseReason::NeverUp }.into(),
         JobEvent::TaskFailed { task, machine, crash_looping: true, ran_ms: 20 }.into(),
-        LeadershipEvent::LeaderSeen { leader: None, term: Default::default(), revision: 4 }.into(),
+        LeadershipEvent::LeaderSeen {
+            leader: None,
+            term: Default::default(),
+            revision: Revision(4),
+        }
+        .into(),
     ];
     let expected = "\
 ERROR event=renewal_violation machine=m-000001 job=000007 task=3
--- a/tests/mixed-versions/tests/versions/convert.rs
+++ b/tests/mixed-versions/tests/versions/convert.rs
@@ -122,7 +122,7 @@
                     machine_type: r.machine_type,
                     zone: r.zone,
                     spot: r.spot,
-                    session: r.agent_epoch,
+                    session: r.agent_epoch.0,
                     seq: r.sequence,
                     token: old::Token(r.token.0),
                     notice_s: r.reclaim_notice_s,
@@ -131,7 +131,12 @@
             }
 
             fn item(i: new::KeyValue) -> old::Item {
-                old::Item { key: i.key, value: i.value, stamp: i.mod_revision, loan: i.lease_id }
+                old::Item {
+                    key: i.key,
+                    value: i.value,
+                    stamp: i.mod_revision.0,
+                    loan: i.lease_id.map(|id| id.0),
+                }
             }
 
             fn store_reply(reply: new::StoreReply) -> old::StateReply {
@@ -141,24 +146,24 @@
                     new::StoreReply::Page { items, more, revision } => old::StateReply::Rows {
                         items: items.into_iter().map(item).collect(),
                         more,
-                        revision,
+                        revision: revision.0,
                     },
                     new::StoreReply::Committed { revision } => {
-                        old::StateReply::Committed { revision }
+                        old::StateReply::Committed { revision: revision.0 }
                     }
                     new::StoreReply::Conflict { failed } => old::StateReply::Conflict { failed },
                     new::StoreReply::LeaseGranted { lease_id } => {
-                        old::StateReply::Granted { loan: lease_id }
+                        old::StateReply::Granted { loan: lease_id.0 }
                     }
                     new::StoreReply::Ok => old::StateReply::Ok,
                     new::StoreReply::Events { revision, events } => old::StateReply::Events {
-                        revision,
+                        revision: revision.0,
                         events: events
                             .into_iter()
                             .map(|event| match event {
                                 new::WatchEvent::Put(i) => old::Event::Put(item(i)),
-                                new::WatchEvent::Delete { key, mod_revision: stamp } => {
-                                    old::Event::Remove { key, stamp }
+                                new::WatchEvent::Delete { key, mod_revision } => {
+                                    old::Event::Remove { key, stamp: mod_revision.0 }
                                 }
                             })
                             .collect(),
@@ -288,26 +293,29 @@
                         new::StoreRequest::List { prefix, after, limit }
                     }
                     old::StateOp::Txn { conds, puts, removes } => new::StoreRequest::Transaction {
-                        preconditions: conds,
+                        preconditions: conds
+                            .into_iter()
+                            .map(|(key, stamp)| new::Precondition::new(key, new::Revision(stamp)))
+                            .collect(),
                         puts: puts
                             .into_iter()
                             .map(|p| new::PutRequest {
                                 key: p.key,
                                 value: p.value,
-                                lease_id: p.loan,
+                                lease_id: p.loan.map(new::LeaseId),
                             })
                             .collect(),
                         deletes: removes,
                     },
                     old::StateOp::Grant { ttl_ms } => new::StoreRequest::GrantLease { ttl_ms },
                     old::StateOp::Extend { loan } => {
-                        new::StoreRequest::KeepAlive { lease_id: loan }
+                        new::StoreRequest::KeepAlive { lease_id: new::LeaseId(loan) }
                     }
                     old::StateOp::Revoke { loan } => {
-                        new::StoreRequest::RevokeLease { lease_id: loan }
+                        new::StoreRequest::RevokeLease { lease_id: new::LeaseId(loan) }
                     }
                     old::StateOp::Watch { prefix, after, wait_ms } => {
-                        new::StoreRequest::Watch { prefix, after, wait_ms }
+                        new::StoreRequest::Watch { prefix, after: new::Revision(after), wait_ms }
                     }
                 }
             }
