--- a/crates/basaltrail-testbed/src/commands/mod.rs
+++ b/crates/basaltrail-testbed/src/commands/mod.rs
@@ -17,7 +17,7 @@
 /// The command line or the machine does not allow what was asked.
 pub const USAGE: u8 = 2;
 /// Machines of one run at the most: a system gives out some 28,000 ports for the connections to
-/// one address. What this process may open decides before that, see [`sockets_allow`].
+/// one address. EventKind this process may open decides before that, see [`sockets_allow`].
 pub const MACHINES_MOST: u64 = 20_000;
 /// Sockets of this process that a machine takes: its worker's, both of its link's, and one more
 /// while it changes the controller. Users, links and controllers take the rest.
@@ -41,7 +41,7 @@
 }
 
 impl Controllers {
-    /// What their operators set.
+    /// EventKind their operators set.
     pub fn operators(&self) -> Operators {
         Operators::named(self.policy.as_deref())
     }
--- a/crates/basaltrail-testbed/src/commands/overload.rs
+++ b/crates/basaltrail-testbed/src/commands/overload.rs
@@ -44,7 +44,7 @@
     let mut broken = false;
     for seed in arguments.seeds.clone() {
         let outcome = play(&plan, seed).await.map_err(|error| error.to_string())?;
-        broken |= !outcome.breaches.is_empty();
+        broken |= !outcome.violations.is_empty();
         match arguments.json {
             true => println!("{}", serde_json::to_string(&outcome).map_err(|e| e.to_string())?),
             false => print(&outcome),
@@ -81,10 +81,10 @@
     for team in &outcome.teams {
         println!(
             "  team {}: at most {} of {} CPUs, above the limit at {} of {} instants",
-            team.team, team.most, team.limit, team.above, team.instants
+            team.team, team.peak, team.limit, team.above, team.instants
         );
     }
-    for breach in outcome.breaches.iter().take(8) {
-        println!("  {} ms {}: {}", breach.at_ms, breach.rule, breach.text);
+    for violation in outcome.violations.iter().take(8) {
+        println!("  {} ms {}: {}", violation.at_ms, violation.rule, violation.description);
     }
 }
--- a/crates/basaltrail-testbed/src/commands/racing.rs
+++ b/crates/basaltrail-testbed/src/commands/racing.rs
@@ -12,7 +12,7 @@
     /// Seeds to play: one number, or FIRST..LAST with LAST left out
     #[arg(long, value_name = "A..B", default_value = "1", value_parser = seeds)]
     seeds: Range<u64>,
-    /// Submissions in the one instant
+    /// SubmissionMetrics in the one instant
     #[arg(long, default_value_t = 1_000, value_parser = clap::value_parser!(u64).range(1..=50_000))]
     jobs: u64,
     /// Machines that the cloud can rent
@@ -44,7 +44,7 @@
     let mut broken = false;
     for seed in arguments.seeds.clone() {
         let outcome = play(&plan, seed).await.map_err(|error| error.to_string())?;
-        broken |= !outcome.breaches.is_empty();
+        broken |= !outcome.violations.is_empty();
         match arguments.json {
             true => println!("{}", serde_json::to_string(&outcome).map_err(|e| e.to_string())?),
             false => print(&outcome),
@@ -81,15 +81,15 @@
     for team in &outcome.teams {
         println!(
             "  team {}: at most {} of {} CPUs, above the limit at {} of {} instants",
-            team.team, team.most, team.limit, team.above, team.instants
+            team.team, team.peak, team.limit, team.above, team.instants
         );
     }
     let guaranteed = &outcome.guaranteed;
     println!(
         "  within a guarantee: {} jobs, {} never begun, wait until the last task p50 {} ms, longest {} ms",
-        guaranteed.jobs, guaranteed.never, guaranteed.waits.p50_ms, guaranteed.waits.max_ms
+        guaranteed.jobs, guaranteed.never_started, guaranteed.waits.p50_ms, guaranteed.waits.max_ms
     );
-    for breach in outcome.breaches.iter().take(8) {
-        println!("  {} ms {}: {}", breach.at_ms, breach.rule, breach.text);
+    for violation in outcome.violations.iter().take(8) {
+        println!("  {} ms {}: {}", violation.at_ms, violation.rule, violation.description);
     }
 }
--- a/crates/basaltrail-testbed/src/commands/serve.rs
+++ b/crates/basaltrail-testbed/src/commands/serve.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// What the operators of the try-out set, unless a policy file is named: little may wait, so that
+/// EventKind the operators of the try-out set, unless a policy file is named: little may wait, so that
 /// a refusal is soon seen.
 const TRY_OUT: &str = "(admission (backlog-s 120)) (guarantee-leases 2)";
 
@@ -62,7 +62,11 @@
         _ = terminated.recv() => return Ok(ExitCode::SUCCESS),
     };
     for node in 0..world.controllers.count() {
-        println!("{}  http://{}", Deployment::node_name(node), world.controllers.listen(node));
+        println!(
+            "{}  http://{}",
+            Deployment::controller_name(node),
+            world.controllers.listen(node)
+        );
     }
     if matches!(plan.operators, Operators::Entries(_)) {
         let administration = world.controllers.administration(0);
--- a/crates/basaltrail-testbed/src/commands/soak.rs
+++ b/crates/basaltrail-testbed/src/commands/soak.rs
@@ -117,15 +117,20 @@
         outcome.tasks,
         outcome.leaderships,
         outcome.faults,
-        outcome.breaches.len(),
+        outcome.violations.len(),
         outcome.history.display()
     );
     for (kind, why) in &outcome.not_run {
         println!("  not run here: {} ({why})", kind.name());
     }
-    for breach in outcome.breaches.iter().take(8) {
-        let job = breach.job.map_or(String::new(), |job| format!(" job-{job:06}"));
-        println!("  {:.3} s {}:{job} {}", breach.at_ms as f64 / 1000.0, breach.rule, breach.text);
+    for violation in outcome.violations.iter().take(8) {
+        let job = violation.job.map_or(String::new(), |job| format!(" job-{job:06}"));
+        println!(
+            "  {:.3} s {}:{job} {}",
+            violation.at_ms as f64 / 1000.0,
+            violation.rule,
+            violation.description
+        );
     }
     if let Some(account) = outcome.accounts.first() {
         println!("  the first of them, event by event:");
@@ -135,7 +140,7 @@
         }
         account.iter().skip(skipped).for_each(|line| println!("  {line}"));
     }
-    match (outcome.breaches.is_empty(), outcome.not_run.is_empty()) {
+    match (outcome.violations.is_empty(), outcome.not_run.is_empty()) {
         (false, _) => BROKEN,
         (true, false) => NOT_RUN,
         (true, true) => 0,
--- a/crates/basaltrail-testbed/src/deployment.rs
+++ b/crates/basaltrail-testbed/src/deployment.rs
@@ -28,10 +28,10 @@
 /// Reports a second that all stand-ins of workers send at the most: what one machine carries
 /// beside the controllers. Larger fleets report less often, and all times grow with it.
 const REPORTS_PER_S: usize = 1_000;
-/// Times of a deployment, as ratios to the time between two reports.
+/// DurationSummary of a deployment, as ratios to the time between two reports.
 const LEASE_REPORTS: Ms = 6;
 const CANCEL_REPORTS: Ms = 14;
-/// What a machine takes of the state service, the cloud and a controller, in fleets so large that
+/// EventKind a machine takes of the state service, the cloud and a controller, in fleets so large that
 /// this is more than the least.
 const STATE_RPS_PER_MACHINE: f64 = 0.5;
 const WRITE_RPS_PER_MACHINE: f64 = 0.08;
@@ -39,7 +39,7 @@
 const MEMORY_MB_PER_MACHINE: f64 = 0.175;
 const CONNECTIONS_PER_MACHINE: usize = 3;
 
-/// What a deployment goes by. Shorter than in production, so that much happens in a minute;
+/// EventKind a deployment goes by. Shorter than in production, so that much happens in a minute;
 /// the times that PROTOCOL fixes for workers stay as they are.
 #[derive(Clone, Debug)]
 pub struct Deployment {
@@ -112,12 +112,12 @@
     }
 
     /// The name of a controller.
-    pub fn node_name(node: usize) -> String {
+    pub fn controller_name(node: usize) -> String {
         format!("stack-{node}")
     }
 
     /// The zone of a controller.
-    pub fn node_zone(node: usize) -> &'static str {
+    pub fn controller_zone(node: usize) -> &'static str {
         ZONES[node % ZONES.len()]
     }
 
@@ -128,8 +128,8 @@
     /// If the settings cannot be written as TOML.
     pub fn settings(&self, node: usize, at: &Addresses) -> Result<String, toml::ser::Error> {
         let members = at.peers.iter().map(|(peer, endpoint)| Member {
-            node_name: Self::node_name(*peer),
-            zone: Self::node_zone(*peer),
+            node_name: Self::controller_name(*peer),
+            zone: Self::controller_zone(*peer),
             endpoint: endpoint.to_string(),
         });
         let teams = self.teams.iter().map(|team| TeamSettings {
@@ -141,8 +141,8 @@
         });
         let seconds = |ms: Ms| ms as f64 / 1000.0;
         toml::to_string(&NodeSettings {
-            node_name: Self::node_name(node),
-            zone: Self::node_zone(node),
+            node_name: Self::controller_name(node),
+            zone: Self::controller_zone(node),
             listen: at.listen.to_string(),
             peer_listen: at.peer_listen.to_string(),
             endpoints: Endpoints { cloud: at.cloud.to_string(), state: at.state.to_string() },
--- a/crates/basaltrail-testbed/src/faults.rs
+++ b/crates/basaltrail-testbed/src/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Ms;
 use crate::controllers::ControllerError;
-use crate::history::What;
+use crate::history::EventKind;
 use crate::proxy::{Direction, Passage};
 use crate::state::TransactionFault;
 use crate::world::World;
@@ -98,7 +98,7 @@
 
 impl World {
     fn note(&self, text: String) {
-        self.history.add(self.clock.now(), What::Fault { text });
+        self.history.record(self.clock.now(), EventKind::FaultInjected { description: text });
     }
 
     /// Undoes something after a while, beside whatever else happens.
--- a/crates/basaltrail-testbed/src/history.rs
+++ b/crates/basaltrail-testbed/src/history.rs
@@ -1,222 +1,231 @@
-//! What users and workers saw, in the order in which it happened, kept as JSON lines.
+//! The history of a run: what users and workers observed, ordered by time.
+//!
+//! The [checker](crate::checker) and the [metrics](crate::metrics) are computed from it alone. It
+//! is written as JSON lines, one event a line.
 
 use crate::clock::Ms;
 use crate::lock;
-use serde::{Deserialize, Serialize};
+use serde::Serialize;
 use std::io::Write;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// What a user asked.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+/// The kind of a user's request about a job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Question {
-    /// A submission, the first or a repeated one.
+pub enum UserRequest {
+    /// A submission, the first one or an idempotent repeat.
     Submit,
-    /// A question for the state of the job.
+    /// A query for the job's phase.
     Poll,
     /// A cancellation.
     Cancel,
 }
 
-/// What a user was told about a job.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+/// The phase of a job, as controllers report it to its user.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Condition {
+pub enum JobPhase {
     /// No task runs.
     Queued,
-    /// Some task runs.
+    /// At least one task runs.
     Running,
-    /// All tasks are done.
+    /// All tasks completed.
     Done,
-    /// It was cancelled.
-    Aborted,
+    /// The job was cancelled; `aborted` on the wire.
+    Cancelled,
 }
 
-/// Why a task is no longer on its machine.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+impl JobPhase {
+    /// Whether the phase is final: a job never leaves it.
+    pub fn is_terminal(self) -> bool {
+        matches!(self, JobPhase::Done | JobPhase::Cancelled)
+    }
+}
+
+/// Why a task no longer runs on its machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Off {
-    /// It completed.
-    Done,
-    /// It failed.
+pub enum TaskEndReason {
+    /// The task completed.
+    Completed,
+    /// The task failed.
     Failed,
-    /// It was told to stop.
+    /// A controller commanded the worker to stop the task.
     Stopped,
-    /// The worker's lease ended.
-    LeaseEnded,
-    /// The machine stopped by itself or was returned.
+    /// The worker's lease expired.
+    LeaseExpired,
+    /// The machine crashed or was released.
     MachineGone,
 }
 
-/// One task of a job, in one attempt, on one machine.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Attempt {
-    /// The job's number.
+/// One attempt at one task of a job, on one machine.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+pub struct TaskAttempt {
+    /// Number of the job.
     pub job: u64,
-    /// The task's number within the job.
+    /// Index of the task within the job.
     pub task: u32,
-    /// The attempt.
+    /// Number of the attempt, unique within the task.
     pub attempt: u64,
-    /// The machine.
+    /// Name of the machine.
     pub machine: String,
 }
 
-/// What the checker has to know of a job.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct JobShape {
-    /// Its team.
+/// What a job requires, as far as the checker and the workers need it.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+pub struct JobRequirements {
+    /// Team that the job is accounted to.
     pub team: String,
-    /// Its class.
-    #[serde(default)]
+    /// Workload class.
     pub class: String,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// CPUs of each.
+    /// CPUs of each task.
     pub cpus: f64,
-    /// Whether it may use spot machines.
+    /// Whether the tasks may run on spot machines.
     pub spot: bool,
-    /// The only zone that it may use.
+    /// The only zone in which the tasks may run; any zone if it is `None`.
     pub zone: Option<String>,
-    /// Whether its tasks run until it is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     pub service: bool,
 }
 
-/// Something that a user, a worker or the test itself saw or did.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+/// An observation of a user or a worker, or an action of the testbed itself.
+#[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum What {
-    /// A job is about to be submitted for the first time.
-    Submitting {
-        /// The job's number.
+pub enum EventKind {
+    /// A user is about to submit a job for the first time.
+    SubmissionStarted {
+        /// Number of the job.
         job: u64,
-        /// What it asks for.
-        shape: JobShape,
+        /// What the job requires.
+        requirements: JobRequirements,
     },
-    /// Its user is about to ask for its cancellation.
-    Cancelling {
-        /// The job's number.
+    /// A user is about to send the first cancellation of a job.
+    CancellationStarted {
+        /// Number of the job.
         job: u64,
     },
-    /// A user was answered; without an answer there is no status.
-    Told {
-        /// The job's number.
+    /// A user's request was answered or timed out.
+    ResponseReceived {
+        /// Number of the job.
         job: u64,
-        /// What was asked.
-        question: Question,
-        /// When it was asked.
-        asked_ms: Ms,
-        /// The controller that was asked.
-        node: usize,
-        /// The status, if there was an answer.
+        /// Kind of the request.
+        request: UserRequest,
+        /// When the request was sent.
+        sent_ms: Ms,
+        /// Index of the controller that received the request.
+        controller: usize,
+        /// HTTP status; `None` without an answer.
         status: Option<u16>,
-        /// The job's condition, if the answer told it.
-        condition: Option<Condition>,
-        /// When to come back, in seconds, if the answer told it.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
+        /// Phase of the job, if the answer carried it.
+        phase: Option<JobPhase>,
+        /// `Retry-After` of the answer, in seconds.
+        #[serde(skip_serializing_if = "Option::is_none")]
         retry_after_s: Option<u64>,
     },
-    /// A job that nobody submitted was asked for.
-    StrangerTold {
-        /// The job's number.
+    /// The query for a job that nobody submitted was answered.
+    UnknownJobQueried {
+        /// Number of the job.
         job: u64,
-        /// The status.
+        /// HTTP status.
         status: u16,
     },
-    /// A machine's worker begins.
-    MachineUp {
-        /// The machine.
+    /// The worker of a machine started.
+    MachineStarted {
+        /// Name of the machine.
         machine: String,
-        /// Its zone.
+        /// Zone of the machine.
         zone: String,
         /// Whether it is a spot machine.
         spot: bool,
     },
-    /// A worker took an order.
-    Ordered {
-        /// The task, attempt and machine.
+    /// A worker received a command in the answer to a heartbeat.
+    CommandReceived {
+        /// The task attempt that the command is about.
         #[serde(flatten)]
-        attempt: Attempt,
-        /// `start`, `kill` or `forget`.
-        order: String,
-        /// The token of the answer.
+        attempt: TaskAttempt,
+        /// Command as it is on the wire: `start`, `kill` or `forget`.
+        command: String,
+        /// Fencing token of the answer.
         token: u64,
-        /// The controller that answered.
-        node: usize,
+        /// Index of the controller that answered.
+        controller: usize,
     },
-    /// A worker's lease goes on with this answer.
-    Renewed {
-        /// The machine.
+    /// An answer to a heartbeat renewed a worker's lease.
+    LeaseRenewed {
+        /// Name of the machine.
         machine: String,
-        /// The controller that answered.
-        node: usize,
-        /// The token of the answer.
+        /// Index of the controller that answered.
+        controller: usize,
+        /// Fencing token of the answer.
         token: u64,
     },
-    /// A task has its image and is on its machine.
-    TaskOn(Attempt),
-    /// It is not any more.
-    TaskOff {
-        /// The task, attempt and machine.
+    /// A task has its image and runs on its machine.
+    TaskStarted(TaskAttempt),
+    /// A task no longer runs on its machine.
+    TaskEnded {
+        /// The task attempt.
         #[serde(flatten)]
-        attempt: Attempt,
-        /// Why.
-        why: Off,
+        attempt: TaskAttempt,
+        /// Why it ended.
+        reason: TaskEndReason,
     },
-    /// A fault begins or ends.
-    Fault {
-        /// What is done.
-        text: String,
+    /// The testbed injected a fault.
+    FaultInjected {
+        /// The fault, its target and its duration.
+        description: String,
     },
-    /// A controller wrote that it broke a rule of its own, or panicked.
-    ControllerFault {
-        /// The controller.
-        node: usize,
-        /// The line.
+    /// A controller logged that it violated a rule, or panicked.
+    ControllerFaultLogged {
+        /// Index of the controller.
+        controller: usize,
+        /// The log line.
         line: String,
     },
 }
 
-impl What {
-    /// The job that it is about, if it is about one.
+impl EventKind {
+    /// The number of the job that the event is about, if it is about one.
     pub fn job(&self) -> Option<u64> {
         match self {
-            What::Submitting { job, .. }
-            | What::Cancelling { job }
-            | What::Told { job, .. }
-            | What::StrangerTold { job, .. } => Some(*job),
-            What::Ordered { attempt, .. }
-            | What::TaskOn(attempt)
-            | What::TaskOff { attempt, .. } => Some(attempt.job),
-            What::MachineUp { .. }
-            | What::Renewed { .. }
-            | What::Fault { .. }
-            | What::ControllerFault { .. } => None,
+            EventKind::SubmissionStarted { job, .. }
+            | EventKind::CancellationStarted { job }
+            | EventKind::ResponseReceived { job, .. }
+            | EventKind::UnknownJobQueried { job, .. } => Some(*job),
+            EventKind::CommandReceived { attempt, .. }
+            | EventKind::TaskStarted(attempt)
+            | EventKind::TaskEnded { attempt, .. } => Some(attempt.job),
+            EventKind::MachineStarted { .. }
+            | EventKind::LeaseRenewed { .. }
+            | EventKind::FaultInjected { .. }
+            | EventKind::ControllerFaultLogged { .. } => None,
         }
     }
 }
 
-/// An event and its moment.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+/// Something that happened, and when.
+#[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
-    /// Milliseconds since the run began.
+    /// Milliseconds since the run started.
     pub at_ms: Ms,
     /// What happened.
     #[serde(flatten)]
-    pub what: What,
+    pub kind: EventKind,
 }
 
-/// The history of a run, shared by all that take part in it.
+/// The history of a run; clones share one list of events.
 #[derive(Clone, Default)]
 pub struct History(Arc<Mutex<Vec<Event>>>);
 
 impl History {
-    /// Adds an event. Events may be added out of order.
-    pub fn add(&self, at_ms: Ms, what: What) {
-        lock(&self.0).push(Event { at_ms, what });
+    /// Records an event. Events may be recorded out of order.
+    pub fn record(&self, at_ms: Ms, kind: EventKind) {
+        lock(&self.0).push(Event { at_ms, kind });
     }
 
-    /// Everything so far, by time.
+    /// All events so far, ordered by time; events of one millisecond in the order of recording.
     pub fn events(&self) -> Vec<Event> {
         let mut events = lock(&self.0).clone();
         events.sort_by_key(|event| event.at_ms);
@@ -228,7 +237,7 @@
 ///
 /// # Errors
 ///
-/// If the file cannot be written.
+/// If the file cannot be created or written.
 pub fn write(path: &Path, events: &[Event]) -> std::io::Result<()> {
     let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
     for event in events {
--- /dev/null
+++ b/crates/basaltrail-testbed/src/metrics.rs
@@ -0,0 +1,278 @@
+//! Metrics of a load scenario, computed from what users and workers observed.
+//!
+//! Serialised names are those of the scenarios' `--json` output.
+
+use crate::clock::Ms;
+use crate::deployment::{Deployment, Team};
+use crate::history::{Event, EventKind, JobPhase, JobRequirements, TaskEndReason, UserRequest};
+use crate::team_usage::{self, CPU_ROUNDING};
+use hdrhistogram::Histogram;
+use serde::Serialize;
+use std::collections::BTreeMap;
+
+/// Significant decimal digits that histograms keep.
+const HISTOGRAM_DIGITS: u8 = 3;
+
+/// Quantiles of durations, read from an HDR histogram.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+pub struct DurationSummary {
+    /// Number of durations.
+    pub count: u64,
+    /// Median, in milliseconds.
+    pub p50_ms: u64,
+    /// 99th percentile, in milliseconds.
+    pub p99_ms: u64,
+    /// Maximum, in milliseconds.
+    pub max_ms: u64,
+}
+
+impl DurationSummary {
+    /// Summarises durations in milliseconds.
+    pub fn of(durations: impl IntoIterator<Item = Ms>) -> Self {
+        // Only the number of digits can be refused, and it is a constant.
+        let Ok(mut histogram) = Histogram::<u64>::new(HISTOGRAM_DIGITS) else {
+            return DurationSummary::default();
+        };
+        for duration in durations {
+            histogram.saturating_record(duration);
+        }
+        DurationSummary {
+            count: histogram.len(),
+            p50_ms: histogram.value_at_quantile(0.5),
+            p99_ms: histogram.value_at_quantile(0.99),
+            max_ms: histogram.max(),
+        }
+    }
+}
+
+/// How submissions were answered.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
+pub struct SubmissionMetrics {
+    /// Jobs that were submitted.
+    pub jobs: usize,
+    /// Jobs that were accepted.
+    pub accepted: usize,
+    /// Accepted jobs a second, from the first submission to the last first acceptance.
+    pub accepted_per_s: f64,
+    /// Latency of all answers.
+    pub answers: DurationSummary,
+    /// Latency of the answers that asked to retry later (429 and 503).
+    pub refusals: DurationSummary,
+    /// Submissions without an answer.
+    pub unanswered: usize,
+}
+
+/// Collects the answers to submissions.
+#[derive(Default)]
+struct SubmissionAnswers {
+    jobs: usize,
+    first_submission: Option<Ms>,
+    /// First acceptance of each job.
+    accepted: BTreeMap<u64, Ms>,
+    latencies: Vec<Ms>,
+    refusal_latencies: Vec<Ms>,
+    unanswered: usize,
+}
+
+impl SubmissionAnswers {
+    fn apply(&mut self, event: &Event) {
+        match &event.kind {
+            EventKind::SubmissionStarted { .. } => {
+                self.jobs += 1;
+                self.first_submission.get_or_insert(event.at_ms);
+            }
+            EventKind::ResponseReceived {
+                job,
+                request: UserRequest::Submit,
+                sent_ms,
+                status,
+                ..
+            } => {
+                let latency = event.at_ms.saturating_sub(*sent_ms);
+                self.add_answer(*job, event.at_ms, *status, latency);
+            }
+            _ => {}
+        }
+    }
+
+    fn add_answer(&mut self, job: u64, at_ms: Ms, status: Option<u16>, latency: Ms) {
+        let Some(status) = status else {
+            self.unanswered += 1;
+            return;
+        };
+        self.latencies.push(latency);
+        match status {
+            200 | 201 => {
+                self.accepted.entry(job).or_insert(at_ms);
+            }
+            429 | 503 => self.refusal_latencies.push(latency),
+            _ => {}
+        }
+    }
+}
+
+/// How submissions were answered, in a history ordered by time.
+pub fn submissions(events: &[Event]) -> SubmissionMetrics {
+    let mut answers = SubmissionAnswers::default();
+    events.iter().for_each(|event| answers.apply(event));
+    let last_acceptance = answers.accepted.values().max().copied().unwrap_or(0);
+    let span_ms = last_acceptance.saturating_sub(answers.first_submission.unwrap_or(0));
+    let span_s = span_ms.max(1) as f64 / 1000.0;
+    SubmissionMetrics {
+        jobs: answers.jobs,
+        accepted: answers.accepted.len(),
+        accepted_per_s: answers.accepted.len() as f64 / span_s,
+        answers: DurationSummary::of(answers.latencies),
+        refusals: DurationSummary::of(answers.refusal_latencies),
+        unanswered: answers.unanswered,
+    }
+}
+
+/// A team's use of CPUs, compared with its limit.
+#[derive(Clone, Debug, PartialEq, Serialize)]
+pub struct TeamUsage {
+    /// Name of the team.
+    pub team: String,
+    /// CPUs that the team may use at most.
+    pub limit: f64,
+    /// CPUs that the team used at most.
+    #[serde(rename = "most")]
+    pub peak: f64,
+    /// Instants at which the use changed.
+    pub instants: usize,
+    /// Those of the instants after which the use was above the limit.
+    pub above: usize,
+}
+
+/// The use of each team, measured at every instant at which it changed.
+pub fn team_usage(events: &[Event], deployment: &Deployment) -> Vec<TeamUsage> {
+    let changes = team_usage::changes_by_team(events);
+    let usage = |team: &Team| {
+        let changes = changes.get(team.name).map_or(&[][..], Vec::as_slice);
+        let limit = team.cpus_max + CPU_ROUNDING;
+        TeamUsage {
+            team: team.name.into(),
+            limit: team.cpus_max,
+            peak: changes.iter().map(|change| change.cpus).fold(0.0, f64::max),
+            instants: changes.len(),
+            above: changes.iter().filter(|change| change.cpus > limit).count(),
+        }
+    };
+    deployment.teams.iter().map(usage).collect()
+}
+
+/// Waiting times of jobs within a guarantee, from acceptance until the last task started for the
+/// first time.
+///
+/// A job is within the guarantee if it fits there together with the team's earlier unfinished
+/// jobs.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
+pub struct GuaranteedWaits {
+    /// Jobs within a guarantee.
+    pub jobs: usize,
+    /// Those of the jobs with a task that never started.
+    #[serde(rename = "never")]
+    pub never_started: usize,
+    /// Waiting times of the others.
+    pub waits: DurationSummary,
+}
+
+/// The milestones of one job.
+#[derive(Default)]
+struct JobTimeline<'a> {
+    requirements: Option<&'a JobRequirements>,
+    accepted: Option<Ms>,
+    /// First start of each task.
+    started: BTreeMap<u32, Ms>,
+    /// First completion of each task.
+    completed: BTreeMap<u32, Ms>,
+    cancelled: Option<Ms>,
+}
+
+impl<'a> JobTimeline<'a> {
+    fn apply(&mut self, event: &'a Event) {
+        match &event.kind {
+            EventKind::SubmissionStarted { requirements, .. } => {
+                self.requirements = Some(requirements);
+            }
+            EventKind::ResponseReceived { status: Some(200 | 201), phase, .. } => {
+                self.accepted.get_or_insert(event.at_ms);
+                if *phase == Some(JobPhase::Cancelled) {
+                    self.cancelled.get_or_insert(event.at_ms);
+                }
+            }
+            EventKind::TaskStarted(attempt) => {
+                self.started.entry(attempt.task).or_insert(event.at_ms);
+            }
+            EventKind::TaskEnded { attempt, reason: TaskEndReason::Completed } => {
+                self.completed.entry(attempt.task).or_insert(event.at_ms);
+            }
+            _ => {}
+        }
+    }
+
+    fn is_of_team(&self, team: &Team) -> bool {
+        self.requirements.is_some_and(|requirements| requirements.team == team.name)
+    }
+
+    /// CPUs of all tasks.
+    fn cpus(&self) -> f64 {
+        let cpus = |required: &JobRequirements| required.cpus * f64::from(required.tasks);
+        self.requirements.map_or(0.0, cpus)
+    }
+
+    /// The latest of the tasks' milestones, if every task has one.
+    fn all_tasks_at(&self, milestones: &BTreeMap<u32, Ms>) -> Option<Ms> {
+        let tasks = self.requirements?.tasks as usize;
+        if milestones.len() < tasks {
+            return None;
+        }
+        milestones.values().max().copied()
+    }
+
+    fn is_unfinished_at(&self, at: Ms) -> bool {
+        let ended = self.cancelled.or_else(|| self.all_tasks_at(&self.completed));
+        let is_accepted = self.accepted.is_some_and(|accepted| accepted <= at);
+        is_accepted && ended.is_none_or(|end| end > at)
+    }
+}
+
+fn job_timelines(events: &[Event]) -> BTreeMap<u64, JobTimeline<'_>> {
+    let mut timelines: BTreeMap<u64, JobTimeline> = BTreeMap::new();
+    for event in events {
+        if let Some(job) = event.kind.job() {
+            timelines.entry(job).or_default().apply(event);
+        }
+    }
+    timelines
+}
+
+/// Waiting times of the jobs within a guarantee.
+///
+/// Jobs that were cancelled before all of their tasks started, and jobs that were accepted after
+/// `until`, are left out.
+pub fn guaranteed_waits(events: &[Event], deployment: &Deployment, until: Ms) -> GuaranteedWaits {
+    let timelines = job_timelines(events);
+    let mut never_started = 0;
+    let mut waits = Vec::new();
+    for team in &deployment.teams {
+        let mut jobs: Vec<&JobTimeline> =
+            timelines.values().filter(|job| job.is_of_team(team)).collect();
+        jobs.sort_by_key(|job| job.accepted);
+        for (index, job) in jobs.iter().enumerate() {
+            let Some(accepted) = job.accepted.filter(|at| *at <= until) else { continue };
+            let earlier = jobs[..index].iter().filter(|other| other.is_unfinished_at(accepted));
+            let cpus: f64 = earlier.map(|other| other.cpus()).sum::<f64>() + job.cpus();
+            if cpus > team.cpus + CPU_ROUNDING {
+                continue;
+            }
+            match job.all_tasks_at(&job.started) {
+                Some(started) => waits.push(started.saturating_sub(accepted)),
+                None if job.cancelled.is_some() => {}
+                None => never_started += 1,
+            }
+        }
+    }
+    let jobs = waits.len() + never_started;
+    GuaranteedWaits { jobs, never_started, waits: DurationSummary::of(waits) }
+}
--- a/crates/basaltrail-testbed/src/overload.rs
+++ b/crates/basaltrail-testbed/src/overload.rs
@@ -1,12 +1,12 @@
 //! The load `overload`: about twice the work that the machines can do, for minutes, one class of
-//! it all at one controller. What each class gets done in each window shows whether one starves.
+//! it all at one controller. EventKind each class gets done in each window shows whether one starves.
 
-use crate::checker::{judge, Bounds, Breach};
+use crate::checker::{find_violations, RunBounds, Violation};
 use crate::clock::Ms;
 use crate::deployment::{Deployment, Team};
-use crate::figures::{self, Submissions, TeamUse, Times};
-use crate::history::{self, Event, JobShape, Off, Question, What};
-use crate::racing::{rules, warm_up};
+use crate::history::{self, Event, EventKind, JobRequirements, TaskEndReason, UserRequest};
+use crate::metrics::{self, DurationSummary, SubmissionMetrics, TeamUsage};
+use crate::racing::warm_up;
 use crate::request::JobRequest;
 use crate::users::Habits;
 use crate::world::{Operators, RunError, Setup, World};
@@ -50,12 +50,12 @@
     Class { name: "boxes", team: "archive", priority: "best_effort", load: 0.45, one_node: false },
 ];
 
-/// What to play.
+/// EventKind to play.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The controllers' program.
     pub program: PathBuf,
-    /// What the controllers' operators set.
+    /// EventKind the controllers' operators set.
     pub operators: Operators,
     /// Controllers.
     pub nodes: usize,
@@ -67,7 +67,7 @@
     pub directory: PathBuf,
 }
 
-/// What became of one class.
+/// EventKind became of one class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassFigures {
     /// The class.
@@ -79,7 +79,7 @@
     /// See `jobs`.
     pub refused: usize,
     /// From the first submission until the first task began.
-    pub waits: Times,
+    pub waits: DurationSummary,
     /// CPU-seconds that were done in each window.
     pub done: Vec<f64>,
     /// The least part of its team's work that it got done in a window.
@@ -95,22 +95,22 @@
     pub accepted: usize,
 }
 
-/// What an overload showed.
+/// EventKind an overload showed.
 #[derive(Debug, Serialize)]
 pub struct Outcome {
     /// The seed.
     pub seed: u64,
     /// How submissions were answered.
-    pub submissions: Submissions,
-    /// What each team used.
-    pub teams: Vec<TeamUse>,
-    /// What became of each class.
+    pub submissions: SubmissionMetrics,
+    /// EventKind each team used.
+    pub teams: Vec<TeamUsage>,
+    /// EventKind became of each class.
     pub classes: Vec<ClassFigures>,
     /// How true it was when to come back.
     pub returns: Returns,
     /// Rules that were broken.
-    #[serde(serialize_with = "rules")]
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
 }
 
 /// Plays one seed.
@@ -155,14 +155,14 @@
     world.end().await;
     let events = world.history.events();
     history::write(&directory.join("history.jsonl"), &events)?;
-    let bounds = Bounds { deployment: &world.deployment, faults_end: end, end };
+    let bounds = RunBounds { deployment: &world.deployment, faults_end: end, end };
     Ok(Outcome {
         seed,
-        submissions: figures::submissions(&events),
-        teams: figures::use_by_team(&events, &world.deployment),
+        submissions: metrics::submissions(&events),
+        teams: metrics::team_usage(&events, &world.deployment),
         classes: by_class(&events, begin, plan.run_ms),
         returns: returns(&events),
-        breaches: judge(&events, &bounds),
+        violations: find_violations(&events, &bounds),
     })
 }
 
@@ -172,7 +172,7 @@
     let habits = Habits { submit_to: class.one_node.then_some(0), ..HABITS };
     let mut job = first;
     while world.clock.now() < end {
-        let shape = JobShape {
+        let shape = JobRequirements {
             team: class.team.into(),
             class: class.name.into(),
             tasks: rng.random_range(TASKS),
@@ -200,29 +200,34 @@
 
 fn by_class(events: &[Event], begin: Ms, run_ms: Ms) -> Vec<ClassFigures> {
     let windows = (run_ms / WINDOW_MS).max(1) as usize;
-    let mut shapes: HashMap<u64, &JobShape> = HashMap::new();
+    let mut shapes: HashMap<u64, &JobRequirements> = HashMap::new();
     let mut jobs: BTreeMap<u64, JobSeen> = BTreeMap::new();
     let mut on: HashMap<(u64, u32, u64), Ms> = HashMap::new();
     let mut done: HashMap<&str, Vec<f64>> = HashMap::new();
     for event in events.iter().filter(|event| event.at_ms >= begin) {
         let at = event.at_ms;
-        match &event.what {
-            What::Submitting { job, shape } => {
+        match &event.kind {
+            EventKind::SubmissionStarted { job, requirements: shape } => {
                 shapes.insert(*job, shape);
                 jobs.insert(*job, JobSeen { submitted: at, ..JobSeen::default() });
             }
-            What::Told { job, question: Question::Submit, status: Some(status), .. } => {
+            EventKind::ResponseReceived {
+                job,
+                request: UserRequest::Submit,
+                status: Some(status),
+                ..
+            } => {
                 let Some(seen) = jobs.get_mut(job) else { continue };
                 seen.accepted |= matches!(status, 200 | 201);
                 seen.refused |= *status == 503;
             }
-            What::TaskOn(attempt) => {
+            EventKind::TaskStarted(attempt) => {
                 on.insert((attempt.job, attempt.task, attempt.attempt), at);
                 if let Some(seen) = jobs.get_mut(&attempt.job) {
                     seen.begun.get_or_insert(at);
                 }
             }
-            What::TaskOff { attempt, why: Off::Done } => {
+            EventKind::TaskEnded { attempt, reason: TaskEndReason::Completed } => {
                 let key = (attempt.job, attempt.task, attempt.attempt);
                 let (Some(since), Some(shape)) = (on.remove(&key), shapes.get(&attempt.job)) else {
                     continue;
@@ -253,7 +258,7 @@
             jobs: own.len(),
             accepted: own.iter().filter(|seen| seen.accepted).count(),
             refused: own.iter().filter(|seen| seen.refused).count(),
-            waits: Times::of(waits),
+            waits: DurationSummary::of(waits),
             least_share: (0..windows).map(share).fold(1.0, f64::min),
             done,
         }
@@ -265,7 +270,12 @@
     let mut refused: HashMap<u64, ()> = HashMap::new();
     let mut found = Returns::default();
     for event in events {
-        let What::Told { job, question: Question::Submit, status: Some(status), .. } = &event.what
+        let EventKind::ResponseReceived {
+            job,
+            request: UserRequest::Submit,
+            status: Some(status),
+            ..
+        } = &event.kind
         else {
             continue;
         };
--- a/crates/basaltrail-testbed/src/racing.rs
+++ b/crates/basaltrail-testbed/src/racing.rs
@@ -1,11 +1,11 @@
 //! The load `racing`: a thousand submissions in one instant to all controllers, while one team
 //! stays within its guarantee. Teams' use is judged from the workers' side at every instant.
 
-use crate::checker::{judge, Bounds, Breach};
+use crate::checker::{find_violations, RunBounds, Violation};
 use crate::clock::Ms;
 use crate::deployment::{Deployment, Team};
-use crate::figures::{self, GuaranteedWaits, Submissions, TeamUse};
-use crate::history::{self, JobShape};
+use crate::history::{self, JobRequirements};
+use crate::metrics::{self, GuaranteedWaits, SubmissionMetrics, TeamUsage};
 use crate::request::JobRequest;
 use crate::serve::all_ready;
 use crate::users::{Habits, Users};
@@ -40,24 +40,24 @@
 const TEAMS: [(&str, f64, f64); 3] =
     [("imports", 0.3, 0.45), ("archive", 0.1, 0.25), ("reports", 0.25, 0.5)];
 
-/// What to play.
+/// EventKind to play.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The controllers' program.
     pub program: PathBuf,
-    /// What the controllers' operators set.
+    /// EventKind the controllers' operators set.
     pub operators: Operators,
     /// Controllers.
     pub nodes: usize,
     /// Machines that the cloud can rent.
     pub machines: usize,
-    /// Submissions in the one instant.
+    /// SubmissionMetrics in the one instant.
     pub jobs: u64,
     /// Where histories, settings and logs go: a directory for each seed.
     pub directory: PathBuf,
 }
 
-/// What a race showed.
+/// EventKind a race showed.
 #[derive(Debug, Serialize)]
 pub struct Outcome {
     /// The seed.
@@ -65,9 +65,9 @@
     /// Controllers.
     pub nodes: usize,
     /// How submissions were answered.
-    pub submissions: Submissions,
-    /// What each team used.
-    pub teams: Vec<TeamUse>,
+    pub submissions: SubmissionMetrics,
+    /// EventKind each team used.
+    pub teams: Vec<TeamUsage>,
     /// How long the jobs within their guarantee waited.
     pub guaranteed: GuaranteedWaits,
     /// Requests to the state service for each accepted job.
@@ -77,17 +77,8 @@
     /// Jobs that were told to be over.
     pub over: usize,
     /// Rules that were broken.
-    #[serde(serialize_with = "rules")]
-    pub breaches: Vec<Breach>,
-}
-
-/// Breaches as lines.
-pub(crate) fn rules<S: serde::Serializer>(
-    breaches: &[Breach],
-    serializer: S,
-) -> Result<S::Ok, S::Error> {
-    let line = |breach: &Breach| format!("{} ms {}: {}", breach.at_ms, breach.rule, breach.text);
-    serializer.collect_seq(breaches.iter().map(line))
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
 }
 
 impl Plan {
@@ -135,19 +126,19 @@
     world.end().await;
     let events = world.history.events();
     history::write(&directory.join("history.jsonl"), &events)?;
-    let submissions = figures::submissions(&events);
+    let submissions = metrics::submissions(&events);
     let per_job = |count: u64| count as f64 / submissions.accepted.max(1) as f64;
-    let bounds = Bounds { deployment: &world.deployment, faults_end: begin, end };
+    let bounds = RunBounds { deployment: &world.deployment, faults_end: begin, end };
     Ok(Outcome {
         seed,
         nodes: plan.nodes,
         submissions,
-        teams: figures::use_by_team(&events, &world.deployment),
-        guaranteed: figures::guaranteed_waits(&events, &world.deployment, begin + GUARANTEED_MS),
+        teams: metrics::team_usage(&events, &world.deployment),
+        guaranteed: metrics::guaranteed_waits(&events, &world.deployment, begin + GUARANTEED_MS),
         requests_per_job: per_job(served.requests - before.requests),
         changes_per_job: per_job(served.changes - before.changes),
         over: world.users.over_count(),
-        breaches: judge(&events, &bounds),
+        violations: find_violations(&events, &bounds),
     })
 }
 
@@ -160,7 +151,7 @@
         return Err(std::io::Error::other("a controller is not ready").into());
     }
     for (number, team) in world.deployment.teams.iter().enumerate() {
-        let shape = JobShape {
+        let shape = JobRequirements {
             team: team.name.into(),
             class: "array".into(),
             tasks: (team.cpus / WARM_UP_CPUS) as u32,
@@ -191,7 +182,7 @@
 
 fn draw_racing(rng: &mut SmallRng) -> JobRequest {
     let team = TEAMS[rng.random_range(0..2)].0;
-    let shape = JobShape {
+    let shape = JobRequirements {
         team: team.into(),
         class: "array".into(),
         tasks: rng.random_range(1..=4),
@@ -207,7 +198,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut job = GUARANTEED_JOBS;
     while users.clock.now() < until && !users.over.load(Ordering::Relaxed) {
-        let shape = JobShape {
+        let shape = JobRequirements {
             team: TEAMS[2].0.into(),
             class: "array".into(),
             tasks: GUARANTEED_TASKS,
--- a/crates/basaltrail-testbed/src/request.rs
+++ b/crates/basaltrail-testbed/src/request.rs
@@ -1,7 +1,7 @@
-//! What a user asks for: the body of a submission, and what the workers make of it.
+//! EventKind a user asks for: the body of a submission, and what the workers make of it.
 
 use crate::clock::Ms;
-use crate::history::JobShape;
+use crate::history::JobRequirements;
 use crate::worker::JobWork;
 use serde_json::{json, Value};
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobRequest {
     /// Team, class, tasks and where they may run.
-    pub shape: JobShape,
+    pub shape: JobRequirements,
     /// Priority, as PROTOCOL names it.
     pub priority: &'static str,
     /// How long each task runs.
@@ -23,7 +23,7 @@
 }
 
 impl JobRequest {
-    /// What workers know of it.
+    /// EventKind workers know of it.
     pub fn work(&self) -> JobWork {
         JobWork { shape: self.shape.clone(), run_ms: self.run_ms }
     }
--- a/crates/basaltrail-testbed/src/soak.rs
+++ b/crates/basaltrail-testbed/src/soak.rs
@@ -1,11 +1,11 @@
 //! A soak: controllers of the real program against all stand-ins, with faults at seeded random
 //! moments, and the verdict on what users and workers saw.
 
-use crate::checker::{account, judge, Bounds, Breach, KNOWN_MS};
+use crate::checker::{explain, find_violations, RunBounds, Violation, RECOVERY_MS};
 use crate::clock::Ms;
 use crate::deployment::Deployment;
 use crate::faults::{self, FaultKind};
-use crate::history::{self, What};
+use crate::history::{self, EventKind};
 use crate::users::{self, Told};
 use crate::world::{Operators, RunError, Setup, World};
 use rand::rngs::SmallRng;
@@ -18,12 +18,12 @@
 /// The part of a run in which faults come; the rest is for all to end.
 const FAULTS_PART: f64 = 0.65;
 
-/// What to run.
+/// EventKind to run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The controllers' program.
     pub program: PathBuf,
-    /// What the controllers' operators set.
+    /// EventKind the controllers' operators set.
     pub operators: Operators,
     /// The deployment.
     pub deployment: Deployment,
@@ -35,11 +35,11 @@
     pub directory: PathBuf,
 }
 
-/// What a run showed.
+/// EventKind a run showed.
 #[derive(Debug)]
 pub struct Outcome {
     /// Rules that were broken, by time.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
     /// How each was broken: the events of its job and machine.
     pub accounts: Vec<Vec<String>>,
     /// Kinds of faults that could not be carried out here, and why.
@@ -103,7 +103,7 @@
 
 /// Waits until every job is over, or its time is and each was spoken of.
 async fn settle(world: &World, faults_end: Ms, end: Ms, progress: &impl Fn(&World)) {
-    let latest = end.max(faults_end + KNOWN_MS);
+    let latest = end.max(faults_end + RECOVERY_MS);
     while world.clock.now() < latest {
         progress(world);
         let seen = world.users.seen();
@@ -129,26 +129,26 @@
 ) -> Result<Outcome, RunError> {
     let end = world.clock.now();
     world.end().await;
-    for (node, line) in world.controllers.faults()? {
-        world.history.add(end, What::ControllerFault { node, line });
+    for (controller, line) in world.controllers.faults()? {
+        world.history.record(end, EventKind::ControllerFaultLogged { controller, line });
     }
     let events = world.history.events();
     let path = directory.join("history.jsonl");
     history::write(&path, &events)?;
-    let bounds = Bounds { deployment: &world.deployment, faults_end, end };
-    let breaches = judge(&events, &bounds);
-    let accounts = breaches.iter().map(|breach| account(&events, breach)).collect();
+    let bounds = RunBounds { deployment: &world.deployment, faults_end, end };
+    let violations = find_violations(&events, &bounds);
+    let accounts = violations.iter().map(|violation| explain(&events, violation)).collect();
     let seen = world.users.seen();
-    let count = |is: fn(&What) -> bool| events.iter().filter(|event| is(&event.what)).count();
+    let count = |is: fn(&EventKind) -> bool| events.iter().filter(|event| is(&event.kind)).count();
     Ok(Outcome {
-        breaches,
+        violations,
         accounts,
         not_run,
         jobs: seen.len(),
         over: seen.values().filter(|seen| seen.told == Told::Over).count(),
-        tasks: count(|what| matches!(what, What::TaskOn(_))),
+        tasks: count(|what| matches!(what, EventKind::TaskStarted(_))),
         leaderships: world.fleet.token.load(Ordering::Relaxed),
-        faults: count(|what| matches!(what, What::Fault { .. })),
+        faults: count(|what| matches!(what, EventKind::FaultInjected { .. })),
         history: path,
     })
 }
--- a/crates/basaltrail-testbed/src/state.rs
+++ b/crates/basaltrail-testbed/src/state.rs
@@ -35,7 +35,7 @@
     pub value_bytes: usize,
 }
 
-/// What becomes of a transaction.
+/// EventKind becomes of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TransactionFault {
     /// It is answered at once.
@@ -98,7 +98,7 @@
     served: Served,
 }
 
-/// What was served so far.
+/// EventKind was served so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Served {
     /// Requests, those that were refused included.
@@ -316,7 +316,7 @@
         self.lock().keys.get(key).map(|kept| kept.value.clone())
     }
 
-    /// What was served so far.
+    /// EventKind was served so far.
     pub fn served(&self) -> Served {
         self.lock().served
     }
@@ -341,7 +341,7 @@
         self.lock().slow_ms = ms;
     }
 
-    /// What becomes of transactions from now on.
+    /// EventKind becomes of transactions from now on.
     pub fn transactions(&self, fault: TransactionFault) {
         self.lock().fault = fault;
     }
--- a/crates/basaltrail-testbed/src/users.rs
+++ b/crates/basaltrail-testbed/src/users.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::{Clock, Ms};
 use crate::deployment::{Deployment, ZONES};
-use crate::history::{Condition, History, JobShape, Question, What};
+use crate::history::{EventKind, History, JobPhase, JobRequirements, UserRequest};
 use crate::http::{Answer, Client};
 use crate::lock;
 use crate::request::JobRequest;
@@ -27,7 +27,7 @@
 const SUBMIT_MS: Ms = 60_000;
 /// The longest `Retry-After` that a user follows.
 const RETRY_MOST_S: u64 = 30;
-/// Submissions come no sooner after each other than about this, in large fleets.
+/// SubmissionMetrics come no sooner after each other than about this, in large fleets.
 const SHORTEST_PAUSE_MS: Ms = 100;
 /// Tasks of an array at the most, in fleets of up to so many machines.
 const ARRAY_TASKS: u32 = 12;
@@ -35,7 +35,7 @@
 /// The first number of jobs that nobody submits.
 const STRANGERS: u64 = 900_000;
 
-/// What a user was last told.
+/// EventKind a user was last told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
     /// Nothing yet.
@@ -51,13 +51,13 @@
 /// A job as its user sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Seen {
-    /// What its user was last told.
+    /// EventKind its user was last told.
     pub told: Told,
     /// When a question about it was last answered.
     pub answered: Ms,
 }
 
-/// What all users of a run share.
+/// EventKind all users of a run share.
 pub struct Users {
     /// The run's clock.
     pub clock: Clock,
@@ -71,7 +71,7 @@
     pub nodes: Vec<SocketAddr>,
     /// Clients that the users share, each with connections of its own.
     pub clients: Vec<Client>,
-    /// What each user was told, by job.
+    /// EventKind each user was told, by job.
     pub seen: Mutex<BTreeMap<u64, Seen>>,
     /// Jobs whose users are to cancel now.
     pub called_off: Mutex<Vec<u64>>,
@@ -80,7 +80,7 @@
 }
 
 impl Users {
-    /// What the users were told, by job.
+    /// EventKind the users were told, by job.
     pub fn seen(&self) -> BTreeMap<u64, Seen> {
         lock(&self.seen).clone()
     }
@@ -191,8 +191,8 @@
         let path = format!("/api/jobs/job-{job:06}");
         let answer = client.call(*node, "GET", &path, String::new(), POLL_PATIENCE).await;
         if let Some(answer) = answer {
-            let told = What::StrangerTold { job, status: answer.status };
-            users.history.add(users.clock.now(), told);
+            let told = EventKind::UnknownJobQueried { job, status: answer.status };
+            users.history.record(users.clock.now(), told);
         }
     }
 }
@@ -216,7 +216,7 @@
 fn draw_job(rng: &mut SmallRng, deployment: &Deployment) -> JobRequest {
     let team = deployment.teams[rng.random_range(0..deployment.teams.len())].name;
     let service = rng.random_bool(0.06);
-    let shape = JobShape {
+    let shape = JobRequirements {
         team: team.into(),
         class: if service { "service" } else { "array" }.into(),
         tasks: if service {
@@ -243,7 +243,10 @@
         let clock = shared.clock;
         let service = work.shape.service;
         shared.jobs.upload(self.job, work.clone());
-        shared.history.add(clock.now(), What::Submitting { job: self.job, shape: work.shape });
+        shared.history.record(
+            clock.now(),
+            EventKind::SubmissionStarted { job: self.job, requirements: work.shape },
+        );
         shared.note(self.job, clock.now(), Told::Nothing);
         if !self.submit(clock.now() + SUBMIT_MS).await {
             return;
@@ -260,12 +263,14 @@
         while !shared.over.load(Ordering::Relaxed) {
             if !cancels && (clock.now() >= cancel_at || shared.is_called_off(self.job)) {
                 cancels = true;
-                shared.history.add(clock.now(), What::Cancelling { job: self.job });
+                shared
+                    .history
+                    .record(clock.now(), EventKind::CancellationStarted { job: self.job });
             }
             let question = match cancels {
-                true => Question::Cancel,
-                false if self.rng.random_bool(self.habits.repeat_share) => Question::Submit,
-                false => Question::Poll,
+                true => UserRequest::Cancel,
+                false if self.rng.random_bool(self.habits.repeat_share) => UserRequest::Submit,
+                false => UserRequest::Poll,
             };
             let answer = self.ask(question).await;
             if self.is_over(&answer) {
@@ -278,7 +283,7 @@
 
     fn is_over(&self, answer: &Option<Answer>) -> bool {
         let condition = answer.as_ref().and_then(condition);
-        matches!(condition, Some(Condition::Done | Condition::Aborted))
+        matches!(condition, Some(JobPhase::Done | JobPhase::Cancelled))
     }
 
     /// Waits until the next request, or until the job is called off.
@@ -302,7 +307,7 @@
     /// Submits until the job is accepted; false if it is not.
     async fn submit(&mut self, until: Ms) -> bool {
         while self.shared.clock.now() < until && !self.shared.over.load(Ordering::Relaxed) {
-            let answer = self.ask(Question::Submit).await;
+            let answer = self.ask(UserRequest::Submit).await;
             match answer.as_ref().map(|answer| answer.status) {
                 Some(200 | 201) => return true,
                 Some(400 | 422) => {
@@ -316,12 +321,12 @@
         false
     }
 
-    /// What was told stays so, wherever it is asked.
+    /// EventKind was told stays so, wherever it is asked.
     async fn look_again(&mut self) {
         for _ in 0..4 {
             let question = match self.rng.random_range(0..4) {
-                0 => Question::Submit,
-                _ => Question::Poll,
+                0 => UserRequest::Submit,
+                _ => UserRequest::Poll,
             };
             self.ask(question).await;
             let pause = self.rng.random_range(5..3_000);
@@ -330,32 +335,32 @@
     }
 
     /// One request, with what comes of it in the history.
-    async fn ask(&mut self, question: Question) -> Option<Answer> {
+    async fn ask(&mut self, question: UserRequest) -> Option<Answer> {
         let name = format!("/api/jobs/job-{:06}", self.job);
         let (method, path, body, patience) = match question {
-            Question::Submit => ("POST", "/api/jobs".into(), self.body.to_string(), PATIENCE),
-            Question::Poll => ("GET", name, String::new(), POLL_PATIENCE),
-            Question::Cancel => ("POST", format!("{name}/cancel"), String::new(), PATIENCE),
+            UserRequest::Submit => ("POST", "/api/jobs".into(), self.body.to_string(), PATIENCE),
+            UserRequest::Poll => ("GET", name, String::new(), POLL_PATIENCE),
+            UserRequest::Cancel => ("POST", format!("{name}/cancel"), String::new(), PATIENCE),
         };
         let drawn = self.rng.random_range(0..self.shared.nodes.len());
-        let named = self.habits.submit_to.filter(|_| question == Question::Submit);
+        let named = self.habits.submit_to.filter(|_| question == UserRequest::Submit);
         let node = named.unwrap_or(drawn);
         let asked_ms = self.shared.clock.now();
         let to = self.shared.nodes[node];
         let answer = self.client.call(to, method, &path, body, patience).await;
         let now = self.shared.clock.now();
-        let told = What::Told {
+        let told = EventKind::ResponseReceived {
             job: self.job,
-            question,
-            asked_ms,
-            node,
+            request: question,
+            sent_ms: asked_ms,
+            controller: node,
             status: answer.as_ref().map(|answer| answer.status),
-            condition: answer.as_ref().and_then(condition),
+            phase: answer.as_ref().and_then(condition),
             retry_after_s: answer.as_ref().and_then(|answer| answer.retry_after_s),
         };
-        self.shared.history.add(now, told);
+        self.shared.history.record(now, told);
         match answer.as_ref().and_then(condition) {
-            Some(Condition::Done | Condition::Aborted) => {
+            Some(JobPhase::Done | JobPhase::Cancelled) => {
                 self.shared.note(self.job, now, Told::Over);
             }
             Some(_) => self.shared.note(self.job, now, Told::Accepted),
@@ -365,15 +370,15 @@
     }
 }
 
-fn condition(answer: &Answer) -> Option<Condition> {
+fn condition(answer: &Answer) -> Option<JobPhase> {
     if !matches!(answer.status, 200 | 201) {
         return None;
     }
     Some(match answer.body["condition"].as_str()? {
-        "queued" => Condition::Queued,
-        "running" => Condition::Running,
-        "done" => Condition::Done,
-        "aborted" => Condition::Aborted,
+        "queued" => JobPhase::Queued,
+        "running" => JobPhase::Running,
+        "done" => JobPhase::Done,
+        "aborted" => JobPhase::Cancelled,
         _ => return None,
     })
 }
--- a/crates/basaltrail-testbed/src/worker.rs
+++ b/crates/basaltrail-testbed/src/worker.rs
@@ -8,7 +8,7 @@
 use crate::clock::{Clock, Ms};
 use crate::cloud::{Cloud, Machine};
 use crate::deployment::{Deployment, MACHINE_CPUS, MACHINE_TYPE};
-use crate::history::{Attempt, History, JobShape, Off, What};
+use crate::history::{EventKind, History, JobRequirements, TaskAttempt, TaskEndReason};
 use crate::http::{Answer, Client};
 use crate::lock;
 use crate::state::StateService;
@@ -33,16 +33,16 @@
 /// Late copies come so much after the report.
 const COPY_LATE_MS: std::ops::Range<Ms> = 500..9_000;
 
-/// What workers know of a job: its users upload it.
+/// EventKind workers know of a job: its users upload it.
 #[derive(Clone, Debug)]
 pub struct JobWork {
-    /// What it asks for.
-    pub shape: JobShape,
+    /// EventKind it asks for.
+    pub shape: JobRequirements,
     /// How long each task runs.
     pub run_ms: Ms,
 }
 
-/// All jobs that were submitted, and the tasks of each that are done. What nobody uploaded, since
+/// All jobs that were submitted, and the tasks of each that are done. EventKind nobody uploaded, since
 /// it was submitted by hand, is read from the controllers' record of the job.
 #[derive(Clone)]
 pub struct JobDescriptions {
@@ -67,7 +67,7 @@
         self.lock().work.insert(job, work);
     }
 
-    /// What a job asks for.
+    /// EventKind a job asks for.
     pub fn find(&self, job: u64) -> Option<JobWork> {
         let uploaded = self.lock().work.get(&job).cloned();
         uploaded.or_else(|| {
@@ -80,7 +80,7 @@
     fn recorded(&self, job: u64) -> Option<JobWork> {
         let record = self.state.value(&active_key(JobId(job)))?;
         let JobRecord { spec, .. } = serde_json::from_value(record).ok()?;
-        let shape = JobShape {
+        let shape = JobRequirements {
             team: spec.team.clone(),
             class: spec.class.clone(),
             tasks: spec.tasks,
@@ -116,13 +116,13 @@
     pub deaf_until: Ms,
 }
 
-/// What all workers of a run share.
+/// EventKind all workers of a run share.
 pub struct Fleet {
     /// The run's clock.
     pub clock: Clock,
     /// The run's history.
     pub history: History,
-    /// Times and limits.
+    /// DurationSummary and limits.
     pub deployment: Deployment,
     /// The cloud, which knows what became of a machine.
     pub cloud: Cloud,
@@ -175,7 +175,7 @@
 
 type TaskKey = (u64, u32, u64);
 
-/// What one worker holds; all of it is a function of time, reports and answers.
+/// EventKind one worker holds; all of it is a function of time, reports and answers.
 struct Worker {
     machine: Machine,
     fleet: Arc<Fleet>,
@@ -200,8 +200,8 @@
     }
     let up = clock.now();
     let (name, zone, spot) = (machine.name.clone(), machine.zone, machine.spot);
-    let machine_up = What::MachineUp { machine: name.clone(), zone: zone.into(), spot };
-    fleet.history.add(up, machine_up);
+    let machine_up = EventKind::MachineStarted { machine: name.clone(), zone: zone.into(), spot };
+    fleet.history.record(up, machine_up);
     let addresses = fleet.nodes[zone].clone();
     let mut client = Client::default();
     let mut worker = Worker {
@@ -225,7 +225,7 @@
         let now = clock.now();
         if let Some(gone) = fleet.cloud.gone(&name) {
             worker.advance(gone.min(now));
-            worker.end_all(gone.min(now), Off::MachineGone);
+            worker.end_all(gone.min(now), TaskEndReason::MachineGone);
             return;
         }
         worker.advance(now);
@@ -264,7 +264,7 @@
             Some(answer) if answer.status == 200 => worker.take(here, now, &report, node, &answer),
             Some(answer) if answer.status == 421 => {
                 let named = answer.body["steward"].as_str().and_then(|name| {
-                    (0..addresses.len()).find(|node| Deployment::node_name(*node) == name)
+                    (0..addresses.len()).find(|node| Deployment::controller_name(*node) == name)
                 });
                 let other = named.filter(|named| *named != node);
                 next = here + if other.is_some() { 50 } else { NEXT_NODE_MS };
@@ -283,9 +283,9 @@
 }
 
 impl Worker {
-    fn attempt(&self, key: TaskKey) -> Attempt {
+    fn attempt(&self, key: TaskKey) -> TaskAttempt {
         let (job, task, attempt) = key;
-        Attempt { job, task, attempt, machine: self.machine.name.clone() }
+        TaskAttempt { job, task, attempt, machine: self.machine.name.clone() }
     }
 
     /// Lets everything happen that happens up to a moment, each at its own time.
@@ -294,7 +294,7 @@
         while now > self.renewed + lease {
             let end = self.renewed + lease;
             self.advance_tasks(end);
-            self.end_all(end, Off::LeaseEnded);
+            self.end_all(end, TaskEndReason::LeaseExpired);
             self.session += 1;
             self.renewed = end;
             self.changed = true;
@@ -323,28 +323,28 @@
         match task.state {
             State::Fetching => {
                 task.state = State::Running;
-                // What is done once ends at once.
+                // EventKind is done once ends at once.
                 task.until = if known_done { at } else { at.saturating_add(task.run_ms) };
-                self.fleet.history.add(at, What::TaskOn(attempt));
+                self.fleet.history.record(at, EventKind::TaskStarted(attempt));
             }
             State::Running => {
                 let failed = task.fails && !known_done;
                 task.state = State::Ended(if failed { "error" } else { "done" });
-                let why = if failed { Off::Failed } else { Off::Done };
+                let why = if failed { TaskEndReason::Failed } else { TaskEndReason::Completed };
                 if !failed {
                     self.fleet.jobs.set_done(job, index);
                 }
-                self.fleet.history.add(at, What::TaskOff { attempt, why });
+                self.fleet.history.record(at, EventKind::TaskEnded { attempt, reason: why });
             }
             State::Ended(_) => {}
         }
     }
 
-    fn end_all(&mut self, at: Ms, why: Off) {
+    fn end_all(&mut self, at: Ms, why: TaskEndReason) {
         for (key, task) in std::mem::take(&mut self.tasks) {
             if task.state == State::Running {
                 let attempt = self.attempt(key);
-                self.fleet.history.add(at, What::TaskOff { attempt, why });
+                self.fleet.history.record(at, EventKind::TaskEnded { attempt, reason: why });
             }
         }
     }
@@ -397,7 +397,9 @@
             self.fleet.leader.store(node, Ordering::Relaxed);
         }
         let machine = self.machine.name.clone();
-        self.fleet.history.add(now, What::Renewed { machine, node, token });
+        self.fleet
+            .history
+            .record(now, EventKind::LeaseRenewed { machine, controller: node, token });
         let none = Vec::new();
         for order in answer.body["orders"].as_array().unwrap_or(&none) {
             self.carry_out(now, token, node, order);
@@ -408,9 +410,13 @@
         let Some(task) = order["leaf"].as_str().and_then(names::task) else { return };
         let key = (task.job.0, task.index, order["printing"].as_u64().unwrap_or(0));
         let name = order["order"].as_str().unwrap_or("").to_string();
-        let ordered =
-            What::Ordered { attempt: self.attempt(key), order: name.clone(), token, node };
-        self.fleet.history.add(now, ordered);
+        let ordered = EventKind::CommandReceived {
+            attempt: self.attempt(key),
+            command: name.clone(),
+            token,
+            controller: node,
+        };
+        self.fleet.history.record(now, ordered);
         match name.as_str() {
             "start" => self.start(now, key),
             "kill" => self.stop(now, key),
@@ -465,7 +471,9 @@
         let ran = task.state == State::Running;
         (task.state, task.until) = (State::Ended("stopped"), Ms::MAX);
         if ran {
-            self.fleet.history.add(now, What::TaskOff { attempt, why: Off::Stopped });
+            self.fleet
+                .history
+                .record(now, EventKind::TaskEnded { attempt, reason: TaskEndReason::Stopped });
         }
     }
 }
--- a/crates/basaltrail-testbed/src/world.rs
+++ b/crates/basaltrail-testbed/src/world.rs
@@ -35,7 +35,7 @@
     Controller(#[from] ControllerError),
 }
 
-/// What the controllers' operators set.
+/// EventKind the controllers' operators set.
 #[derive(Clone, Debug, Default)]
 pub enum Operators {
     /// Nothing.
@@ -54,12 +54,12 @@
     }
 }
 
-/// What a world is made of.
+/// EventKind a world is made of.
 #[derive(Clone, Debug)]
 pub struct Setup<'a> {
     /// The controllers' program.
     pub program: &'a Path,
-    /// What the controllers' operators set.
+    /// EventKind the controllers' operators set.
     pub operators: &'a Operators,
     /// The deployment.
     pub deployment: &'a Deployment,
@@ -68,7 +68,7 @@
     /// The first controller listens here, the others on the ports that follow; on free ports if
     /// none is named.
     pub first_port: Option<u16>,
-    /// What the stand-ins draw from.
+    /// EventKind the stand-ins draw from.
     pub seed: u64,
 }
 
--- a/crates/basaltrail-testbed/tests/checker.rs
+++ b/crates/basaltrail-testbed/tests/checker.rs
@@ -1,15 +1,19 @@
-//! The checker finds each rule broken, and finds nothing in a history that keeps them all.
+//! The checker finds a violation of each rule, and none in a history that keeps them all.
 
-use basaltrail_testbed::checker::{account, judge, Bounds, Breach};
+use basaltrail_testbed::checker::{explain, find_violations, RunBounds, Violation};
 use basaltrail_testbed::deployment::Deployment;
-use basaltrail_testbed::history::{Attempt, Condition, Event, JobShape, Off, Question, What};
+use basaltrail_testbed::history::{
+    Event, EventKind, JobPhase, JobRequirements, TaskAttempt, TaskEndReason, UserRequest,
+};
 
 const JOB: u64 = 1_000;
 const FAULTS_END: u64 = 20_000;
 const END: u64 = 120_000;
+/// Position of the submission in [`clean_history`].
+const SUBMISSION: usize = 2;
 
-fn shape() -> JobShape {
-    JobShape {
+fn requirements() -> JobRequirements {
+    JobRequirements {
         team: "imports".into(),
         class: "array".into(),
         tasks: 1,
@@ -20,199 +24,231 @@
     }
 }
 
-fn attempt(task: u32, number: u64, machine: &str) -> Attempt {
-    Attempt { job: JOB, task, attempt: number, machine: machine.into() }
+fn attempt(task: u32, number: u64, machine: &str) -> TaskAttempt {
+    TaskAttempt { job: JOB, task, attempt: number, machine: machine.into() }
 }
 
-fn at(at_ms: u64, what: What) -> Event {
-    Event { at_ms, what }
+fn at(at_ms: u64, kind: EventKind) -> Event {
+    Event { at_ms, kind }
 }
 
-fn on(at_ms: u64, number: u64, machine: &str) -> Event {
-    at(at_ms, What::TaskOn(attempt(0, number, machine)))
+fn submitted(requirements: JobRequirements) -> Event {
+    at(100, EventKind::SubmissionStarted { job: JOB, requirements })
 }
 
-fn off(at_ms: u64, number: u64, machine: &str, why: Off) -> Event {
-    at(at_ms, What::TaskOff { attempt: attempt(0, number, machine), why })
+fn started(at_ms: u64, number: u64, machine: &str) -> Event {
+    at(at_ms, EventKind::TaskStarted(attempt(0, number, machine)))
 }
 
-fn told(at_ms: u64, question: Question, status: u16, condition: Option<Condition>) -> Event {
-    let (asked_ms, status) = (at_ms - 10, Some(status));
-    let (job, node, retry_after_s) = (JOB, 0, None);
-    at(at_ms, What::Told { job, question, asked_ms, node, status, condition, retry_after_s })
+fn ended(at_ms: u64, number: u64, machine: &str, reason: TaskEndReason) -> Event {
+    at(at_ms, EventKind::TaskEnded { attempt: attempt(0, number, machine), reason })
 }
 
-/// A job of one task that is accepted, runs on a machine, and is told to be done.
-fn good() -> Vec<Event> {
-    let up = |machine: &str, spot| What::MachineUp {
+fn response(at_ms: u64, request: UserRequest, status: u16, phase: Option<JobPhase>) -> Event {
+    at(
+        at_ms,
+        EventKind::ResponseReceived {
+            job: JOB,
+            request,
+            sent_ms: at_ms - 10,
+            controller: 0,
+            status: Some(status),
+            phase,
+            retry_after_s: None,
+        },
+    )
+}
+
+/// A job of one task that is accepted, runs on a machine, and is reported as done.
+fn clean_history() -> Vec<Event> {
+    let machine_started = |machine: &str, spot| EventKind::MachineStarted {
         machine: machine.into(),
         zone: "room-a".into(),
         spot,
     };
     vec![
-        at(0, up("m-1", true)),
-        at(0, up("m-2", false)),
-        at(100, What::Submitting { job: JOB, shape: shape() }),
-        told(200, Question::Submit, 201, Some(Condition::Queued)),
-        on(1_000, 1, "m-1"),
-        off(3_000, 1, "m-1", Off::Done),
-        told(25_000, Question::Poll, 200, Some(Condition::Done)),
-        told(26_000, Question::Poll, 200, Some(Condition::Done)),
+        at(0, machine_started("m-1", true)),
+        at(0, machine_started("m-2", false)),
+        submitted(requirements()),
+        response(200, UserRequest::Submit, 201, Some(JobPhase::Queued)),
+        started(1_000, 1, "m-1"),
+        ended(3_000, 1, "m-1", TaskEndReason::Completed),
+        response(25_000, UserRequest::Poll, 200, Some(JobPhase::Done)),
+        response(26_000, UserRequest::Poll, 200, Some(JobPhase::Done)),
     ]
 }
 
-fn breaches(mut events: Vec<Event>) -> Vec<Breach> {
+fn violations(mut events: Vec<Event>) -> Vec<Violation> {
     events.sort_by_key(|event| event.at_ms);
     let deployment = Deployment::new(3, 40);
-    judge(&events, &Bounds { deployment: &deployment, faults_end: FAULTS_END, end: END })
+    let bounds = RunBounds { deployment: &deployment, faults_end: FAULTS_END, end: END };
+    find_violations(&events, &bounds)
 }
 
-fn rules(events: Vec<Event>) -> Vec<&'static str> {
-    breaches(events).into_iter().map(|breach| breach.rule).collect()
+fn violated_rules(events: Vec<Event>) -> Vec<&'static str> {
+    violations(events).into_iter().map(|violation| violation.rule.name()).collect()
 }
 
-/// The good history with some events more.
-fn with(more: Vec<Event>) -> Vec<Event> {
-    good().into_iter().chain(more).collect()
+/// The clean history with additional events.
+fn clean_history_with(additional: Vec<Event>) -> Vec<Event> {
+    clean_history().into_iter().chain(additional).collect()
 }
 
-/// The good history up to a moment, with some events more.
-fn until(at_ms: u64, more: Vec<Event>) -> Vec<Event> {
-    good().into_iter().filter(|event| event.at_ms < at_ms).chain(more).collect()
+/// The clean history before an instant, with additional events.
+fn clean_history_until(at_ms: u64, additional: Vec<Event>) -> Vec<Event> {
+    let before = clean_history().into_iter().filter(|event| event.at_ms < at_ms);
+    before.chain(additional).collect()
 }
 
-/// The job's user cancels at 2 s, while its task runs.
-fn cancelled(more: Vec<Event>) -> Vec<Event> {
-    let mut events = until(2_000, more);
-    events.push(at(1_900, What::Cancelling { job: JOB }));
-    events.push(told(2_000, Question::Cancel, 200, Some(Condition::Aborted)));
+/// The clean history, but the job requires something else.
+fn clean_history_requiring(requirements: JobRequirements) -> Vec<Event> {
+    let mut events = clean_history();
+    events[SUBMISSION] = submitted(requirements);
+    events
+}
+
+/// The job is cancelled at 2 s, while its task runs.
+fn cancelled_history_with(additional: Vec<Event>) -> Vec<Event> {
+    let mut events = clean_history_until(2_000, additional);
+    events.push(at(1_900, EventKind::CancellationStarted { job: JOB }));
+    events.push(response(2_000, UserRequest::Cancel, 200, Some(JobPhase::Cancelled)));
     events
 }
 
 #[test]
-fn a_history_that_keeps_the_rules() {
-    assert_eq!(breaches(good()), Vec::new());
-    // Again elsewhere, once it is gone; and stopped in time after a cancellation.
-    let again = vec![
-        off(1_500, 1, "m-1", Off::LeaseEnded),
-        on(1_500, 2, "m-2"),
-        off(4_000, 2, "m-2", Off::Done),
-        told(25_000, Question::Poll, 200, Some(Condition::Done)),
+fn a_history_that_keeps_all_rules_has_no_violations() {
+    assert_eq!(violations(clean_history()), Vec::new());
+    // A task is started again elsewhere after its first machine lost it.
+    let restarted = vec![
+        ended(1_500, 1, "m-1", TaskEndReason::LeaseExpired),
+        started(1_500, 2, "m-2"),
+        ended(4_000, 2, "m-2", TaskEndReason::Completed),
+        response(25_000, UserRequest::Poll, 200, Some(JobPhase::Done)),
     ];
-    assert_eq!(breaches(until(1_001, again)), Vec::new());
+    assert_eq!(violations(clean_history_until(1_001, restarted)), Vec::new());
+    // A task is stopped in time after a cancellation.
     let cancel_ms = Deployment::new(3, 40).cancel_ms;
-    let in_time = off(2_000 + cancel_ms, 1, "m-1", Off::Stopped);
-    assert_eq!(breaches(cancelled(vec![in_time])), Vec::new());
+    let in_time = ended(2_000 + cancel_ms, 1, "m-1", TaskEndReason::Stopped);
+    assert_eq!(violations(cancelled_history_with(vec![in_time])), Vec::new());
 }
 
 #[test]
-fn ran_twice() {
-    let twice = vec![on(2_000, 2, "m-2"), off(2_500, 2, "m-2", Off::Stopped)];
-    assert_eq!(rules(with(twice)), ["ran_twice"]);
-    // Also where the first attempt never ends.
-    let events = until(2_000, vec![on(90_000, 2, "m-2"), off(91_000, 2, "m-2", Off::Failed)]);
-    assert!(rules(events).contains(&"ran_twice"));
+fn ran_twice_finds_a_task_on_two_machines_at_once() {
+    let overlapping =
+        vec![started(2_000, 2, "m-2"), ended(2_500, 2, "m-2", TaskEndReason::Stopped)];
+    assert_eq!(violated_rules(clean_history_with(overlapping)), ["ran_twice"]);
+    // Also if the first attempt never ends.
+    let overlapping =
+        vec![started(90_000, 2, "m-2"), ended(91_000, 2, "m-2", TaskEndReason::Failed)];
+    let events = clean_history_until(2_000, overlapping);
+    assert!(violated_rules(events).contains(&"ran_twice"));
 }
 
 #[test]
-fn quota() {
+fn quota_finds_a_team_above_its_limit() {
     let limit = Deployment::new(3, 40).teams[0].cpus_max;
-    let wide = JobShape { cpus: limit + 1.0, ..shape() };
-    let mut events = good();
-    events[2] = at(100, What::Submitting { job: JOB, shape: wide });
-    assert_eq!(rules(events), ["quota"]);
+    let above_limit = JobRequirements { cpus: limit + 1.0, ..requirements() };
+    assert_eq!(violated_rules(clean_history_requiring(above_limit)), ["quota"]);
 }
 
 #[test]
-fn wrong_place() {
-    for wrong in
-        [JobShape { spot: false, ..shape() }, JobShape { zone: Some("room-b".into()), ..shape() }]
-    {
-        let mut events = good();
-        events[2] = at(100, What::Submitting { job: JOB, shape: wrong });
-        assert_eq!(rules(events), ["wrong_place"]);
+fn wrong_place_finds_a_task_on_a_machine_of_another_kind_or_zone() {
+    for violated in [
+        JobRequirements { spot: false, ..requirements() },
+        JobRequirements { zone: Some("room-b".into()), ..requirements() },
+    ] {
+        assert_eq!(violated_rules(clean_history_requiring(violated)), ["wrong_place"]);
     }
 }
 
 #[test]
-fn ran_cancelled() {
+fn ran_cancelled_finds_a_task_that_runs_on_and_explains_it() {
     let cancel_ms = Deployment::new(3, 40).cancel_ms;
-    let late = off(2_001 + cancel_ms, 1, "m-1", Off::Stopped);
-    let events = cancelled(vec![late]);
-    assert_eq!(rules(events.clone()), ["ran_cancelled"]);
-    assert_eq!(rules(cancelled(Vec::new())), ["ran_cancelled"]);
-    let started = vec![
-        off(2_500, 1, "m-1", Off::Stopped),
-        on(60_000, 2, "m-2"),
-        off(60_001, 2, "m-2", Off::Stopped),
+    let late = ended(2_001 + cancel_ms, 1, "m-1", TaskEndReason::Stopped);
+    let events = cancelled_history_with(vec![late]);
+    assert_eq!(violated_rules(events.clone()), ["ran_cancelled"]);
+    assert_eq!(violated_rules(cancelled_history_with(Vec::new())), ["ran_cancelled"]);
+    let restarted = vec![
+        ended(2_500, 1, "m-1", TaskEndReason::Stopped),
+        started(60_000, 2, "m-2"),
+        ended(60_001, 2, "m-2", TaskEndReason::Stopped),
     ];
-    assert_eq!(rules(cancelled(started)), ["ran_cancelled"]);
-    // The account names the job's events and what renewed the machine.
-    let renewed = What::Renewed { machine: "m-1".into(), node: 1, token: 7 };
+    assert_eq!(violated_rules(cancelled_history_with(restarted)), ["ran_cancelled"]);
+    // The explanation holds the job's events and the renewals of the machine's lease.
+    let renewal = EventKind::LeaseRenewed { machine: "m-1".into(), controller: 1, token: 7 };
     let mut events = events;
-    events.push(at(9_000, renewed));
+    events.push(at(9_000, renewal));
     events.sort_by_key(|event| event.at_ms);
     let deployment = Deployment::new(3, 40);
-    let bounds = Bounds { deployment: &deployment, faults_end: FAULTS_END, end: END };
-    let account = account(&events, &judge(&events, &bounds)[0]).join("\n");
-    assert!(account.contains("\"renewed\"") && account.contains("\"aborted\""), "{account}");
+    let bounds = RunBounds { deployment: &deployment, faults_end: FAULTS_END, end: END };
+    let explanation = explain(&events, &find_violations(&events, &bounds)[0]).join("\n");
+    assert!(
+        explanation.contains("\"lease_renewed\"") && explanation.contains("\"cancelled\""),
+        "{explanation}"
+    );
 }
 
 #[test]
-fn forgotten() {
-    let denied = |question, status| with(vec![told(5_000, question, status, None)]);
-    assert_eq!(rules(denied(Question::Poll, 404)), ["forgotten"]);
-    assert_eq!(rules(denied(Question::Submit, 422)), ["forgotten"]);
-    assert_eq!(rules(denied(Question::Submit, 503)), Vec::<&str>::new());
-    let silent = until(3_500, vec![told(19_000, Question::Poll, 200, Some(Condition::Running))]);
-    assert_eq!(rules(silent), ["forgotten"]);
-    let spoken = until(3_500, vec![told(30_000, Question::Poll, 200, Some(Condition::Running))]);
-    assert_eq!(rules(spoken), Vec::<&str>::new());
+fn forgotten_finds_denials_and_silence_about_an_accepted_job() {
+    let denied = |request, status| clean_history_with(vec![response(5_000, request, status, None)]);
+    assert_eq!(violated_rules(denied(UserRequest::Poll, 404)), ["forgotten"]);
+    assert_eq!(violated_rules(denied(UserRequest::Submit, 422)), ["forgotten"]);
+    assert_eq!(violated_rules(denied(UserRequest::Submit, 503)), Vec::<&str>::new());
+    let running = |at_ms| {
+        let response = response(at_ms, UserRequest::Poll, 200, Some(JobPhase::Running));
+        clean_history_until(3_500, vec![response])
+    };
+    assert_eq!(violated_rules(running(19_000)), ["forgotten"]);
+    assert_eq!(violated_rules(running(30_000)), Vec::<&str>::new());
 }
 
 #[test]
-fn invented() {
-    assert_eq!(rules(with(vec![at(9, What::StrangerTold { job: 9, status: 200 })])), ["invented"]);
-    assert!(rules(with(vec![at(9, What::StrangerTold { job: 9, status: 404 })])).is_empty());
+fn invented_finds_an_answer_for_a_job_that_nobody_submitted() {
+    let answered =
+        |status| clean_history_with(vec![at(9, EventKind::UnknownJobQueried { job: 9, status })]);
+    assert_eq!(violated_rules(answered(200)), ["invented"]);
+    assert!(violated_rules(answered(404)).is_empty());
 }
 
 #[test]
-fn not_done() {
+fn not_done_finds_a_done_job_with_an_uncompleted_task() {
     let failed = vec![
-        off(3_000, 1, "m-1", Off::Failed),
-        told(25_000, Question::Poll, 200, Some(Condition::Done)),
+        ended(3_000, 1, "m-1", TaskEndReason::Failed),
+        response(25_000, UserRequest::Poll, 200, Some(JobPhase::Done)),
     ];
-    assert_eq!(rules(until(3_000, failed)), ["not_done"]);
-    let early = told(2_500, Question::Poll, 200, Some(Condition::Done));
-    assert_eq!(rules(with(vec![early])), ["not_done"]);
+    assert_eq!(violated_rules(clean_history_until(3_000, failed)), ["not_done"]);
+    let early = response(2_500, UserRequest::Poll, 200, Some(JobPhase::Done));
+    assert_eq!(violated_rules(clean_history_with(vec![early])), ["not_done"]);
 }
 
 #[test]
-fn went_back() {
-    let back = told(27_000, Question::Poll, 200, Some(Condition::Running));
-    assert_eq!(rules(with(vec![back])), ["went_back"]);
-    // An answer that was asked for before the end was told may be older.
+fn went_back_finds_a_job_that_leaves_its_final_phase() {
+    let back = response(27_000, UserRequest::Poll, 200, Some(JobPhase::Running));
+    assert_eq!(violated_rules(clean_history_with(vec![back])), ["went_back"]);
+    // The answer to a request that was sent before the final phase was reported may be older.
     let older = at(
         27_000,
-        What::Told {
+        EventKind::ResponseReceived {
             job: JOB,
-            question: Question::Poll,
-            asked_ms: 24_000,
-            node: 1,
+            request: UserRequest::Poll,
+            sent_ms: 24_000,
+            controller: 1,
             status: Some(200),
-            condition: Some(Condition::Running),
+            phase: Some(JobPhase::Running),
             retry_after_s: None,
         },
     );
-    assert_eq!(rules(with(vec![older])), Vec::<&str>::new());
-    let nobody = told(2_000, Question::Poll, 200, Some(Condition::Aborted));
-    let stopped = off(2_100, 1, "m-1", Off::Stopped);
-    assert_eq!(rules(until(2_000, vec![nobody, stopped])), ["went_back"]);
+    assert_eq!(violated_rules(clean_history_with(vec![older])), Vec::<&str>::new());
+    // Nobody cancelled the job.
+    let cancelled = response(2_000, UserRequest::Poll, 200, Some(JobPhase::Cancelled));
+    let stopped = ended(2_100, 1, "m-1", TaskEndReason::Stopped);
+    assert_eq!(violated_rules(clean_history_until(2_000, vec![cancelled, stopped])), ["went_back"]);
 }
 
 #[test]
-fn nothing_ran_and_what_a_controller_says_of_itself() {
-    assert_eq!(rules(Vec::new()), ["nothing_ran"]);
+fn nothing_ran_and_controller_find_an_idle_run_and_logged_faults() {
+    assert_eq!(violated_rules(Vec::new()), ["nothing_ran"]);
     let line = "event=renewal_violation machine=m-1".to_string();
-    assert_eq!(rules(with(vec![at(9, What::ControllerFault { node: 1, line })])), ["controller"]);
+    let logged = at(9, EventKind::ControllerFaultLogged { controller: 1, line });
+    assert_eq!(violated_rules(clean_history_with(vec![logged])), ["controller"]);
 }
