--- a/crates/basaltrail-testbed/src/clock.rs
+++ b/crates/basaltrail-testbed/src/clock.rs
@@ -1,28 +1,28 @@
-//! Milliseconds since a run began, the same for every stand-in.
+//! The clock of a run, shared by all stand-ins.
 
 use std::time::{Duration, Instant};
 
-/// Milliseconds since the run began.
+/// Milliseconds: an instant since the run started, or a duration.
 pub type Ms = u64;
 
-/// The one clock of a run.
+/// A monotonic clock that starts with the run.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that begins now.
+    /// A clock that starts now.
     pub fn start() -> Self {
         Clock(Instant::now())
     }
 
-    /// The present moment.
+    /// The present instant.
     pub fn now(&self) -> Ms {
         self.0.elapsed().as_millis() as Ms
     }
 
-    /// Sleeps until a moment; not at all if it is past.
+    /// Sleeps until an instant; returns at once if it is past.
     pub async fn sleep_until(&self, at: Ms) {
-        let left = at.saturating_sub(self.now());
-        tokio::time::sleep(Duration::from_millis(left)).await;
+        let remaining_ms = at.saturating_sub(self.now());
+        tokio::time::sleep(Duration::from_millis(remaining_ms)).await;
     }
 }
--- a/crates/basaltrail-testbed/src/commands/soak.rs
+++ b/crates/basaltrail-testbed/src/commands/soak.rs
@@ -1,37 +1,37 @@
 //! `soak`: runs with faults.
 
 use super::{
-    make_directory, minutes, seeds, sockets_allow, Controllers, BROKEN, MACHINES_MOST, USAGE,
+    milliseconds, parse_minutes, parse_seeds, CommandError, ControllerOptions, MACHINES_MAX,
+    PRINTED_VIOLATIONS, STATUS_FAULT_NOT_INJECTED, STATUS_UNUSABLE, STATUS_VIOLATION,
 };
-use basaltrail_testbed::deployment::Deployment;
+use basaltrail_testbed::checker::Violation;
 use basaltrail_testbed::faults::FaultKind;
-use basaltrail_testbed::soak::{self, Outcome, Plan};
-use basaltrail_testbed::world::World;
+use basaltrail_testbed::scenarios::soak::{self, SoakConfig, SoakOutcome};
+use basaltrail_testbed::testbed::{RunError, Testbed};
 use clap::Args;
 use indicatif::ProgressBar;
 use std::ops::Range;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use std::sync::atomic::Ordering;
+use tokio::task::JoinHandle;
 
-/// No rule was broken, but a fault that was asked for could not be carried out.
-const NOT_RUN: u8 = 3;
-/// Lines of one account that are printed; all of it is in the history.
-const ACCOUNT_LINES: usize = 60;
+/// Lines of an explanation that are printed; all of its events are in the history.
+const EXPLANATION_LINES: usize = 60;
 
+/// Options of the command.
 #[derive(Args)]
 pub struct Arguments {
     /// Seeds to play: one number, or FIRST..LAST with LAST left out
-    #[arg(long, value_name = "A..B", value_parser = seeds)]
+    #[arg(long, value_name = "A..B", value_parser = parse_seeds)]
     seeds: Range<u64>,
     /// Minutes that each seed lasts
-    #[arg(long, value_name = "M", value_parser = minutes)]
+    #[arg(long, value_name = "M", value_parser = parse_minutes)]
     minutes: f64,
     /// Kinds of faults, all of them if none is named
     #[arg(long, value_name = "KIND", value_enum, num_args = 1.., value_delimiter = ',')]
     fault: Vec<FaultKind>,
     /// Machines that the cloud can rent
-    #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u64).range(4..=MACHINES_MOST))]
+    #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u64).range(4..=MACHINES_MAX))]
     machines: u64,
     /// Seeds played at once
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=8))]
@@ -40,109 +40,113 @@
     #[arg(long, default_value = "target/soak")]
     dir: PathBuf,
     #[command(flatten)]
-    controllers: Controllers,
+    controllers: ControllerOptions,
 }
 
-fn plan(soak: &Arguments) -> Result<Plan, String> {
-    let program = soak.controllers.program()?;
-    sockets_allow(soak.machines * soak.parallel)?;
-    make_directory(&soak.dir)?;
-    let faults = match soak.fault.is_empty() {
+fn config(arguments: &Arguments) -> Result<SoakConfig, CommandError> {
+    let Arguments { machines, parallel, dir, .. } = arguments;
+    let common = arguments.controllers.scenario(*machines, *parallel, dir)?;
+    let faults = match arguments.fault.is_empty() {
         true => FaultKind::all(),
-        false => soak.fault.clone(),
+        false => arguments.fault.clone(),
     };
-    Ok(Plan {
-        program,
-        operators: soak.controllers.operators(),
-        deployment: Deployment::new(soak.controllers.nodes as usize, soak.machines as usize),
-        faults,
-        run_ms: (soak.minutes * 60_000.0) as u64,
-        directory: soak.dir.clone(),
-    })
+    Ok(SoakConfig { common, faults, duration_ms: milliseconds(arguments.minutes) })
 }
 
-/// Plays every seed.
-pub async fn run(soak: &Arguments) -> Result<ExitCode, String> {
-    let plan = plan(soak)?;
-    let mut worst = 0;
-    let seeds: Vec<u64> = soak.seeds.clone().collect();
-    for group in seeds.chunks(soak.parallel as usize) {
-        let bar = ProgressBar::new_spinner();
+/// Runs every seed, some of them in parallel.
+pub async fn run(arguments: &Arguments) -> Result<ExitCode, CommandError> {
+    let config = config(arguments)?;
+    let mut worst_status = 0;
+    let seeds: Vec<u64> = arguments.seeds.clone().collect();
+    for group in seeds.chunks(arguments.parallel as usize) {
+        let progress_bar = ProgressBar::new_spinner();
         let runs: Vec<_> = group
             .iter()
-            .map(|seed| {
-                let (plan, seed, bar) = (plan.clone(), *seed, bar.clone());
-                let show = move |world: &World| bar.set_message(progress(seed, world));
-                (seed, tokio::spawn(async move { soak::run(&plan, seed, show).await }))
-            })
+            .map(|seed| (*seed, start_run(config.clone(), *seed, progress_bar.clone())))
             .collect();
         for (seed, run) in runs {
             let status = match run.await {
-                Ok(Ok(outcome)) => report(seed, &outcome),
-                Ok(Err(error)) => {
-                    eprintln!("seed {seed}: not run: {error}");
-                    USAGE
-                }
-                Err(error) => {
-                    eprintln!("seed {seed}: not run: {error}");
-                    USAGE
-                }
-            };
-            // A broken rule counts for more than a run that could not be made.
-            worst = match (worst, status) {
-                (BROKEN, _) | (_, BROKEN) => BROKEN,
-                (before, now) => before.max(now),
+                Ok(Ok(outcome)) => print_outcome(seed, &outcome),
+                Ok(Err(error)) => print_not_run(seed, &error),
+                Err(error) => print_not_run(seed, &error),
             };
+            worst_status = worse_status(worst_status, status);
         }
-        bar.finish_and_clear();
+        progress_bar.finish_and_clear();
     }
-    Ok(ExitCode::from(worst))
+    Ok(ExitCode::from(worst_status))
+}
+
+fn start_run(
+    config: SoakConfig,
+    seed: u64,
+    progress_bar: ProgressBar,
+) -> JoinHandle<Result<SoakOutcome, RunError>> {
+    let show_progress =
+        move |testbed: &Testbed| progress_bar.set_message(progress_line(seed, testbed));
+    tokio::spawn(async move { soak::run(&config, seed, show_progress).await })
+}
+
+/// The status that decides: a violation counts for more than a run that could not be made.
+fn worse_status(one: u8, other: u8) -> u8 {
+    match (one, other) {
+        (STATUS_VIOLATION, _) | (_, STATUS_VIOLATION) => STATUS_VIOLATION,
+        (one, other) => one.max(other),
+    }
+}
+
+fn progress_line(seed: u64, testbed: &Testbed) -> String {
+    let seconds = testbed.clock.now() / 1000;
+    let machines = testbed.cloud.running().len();
+    let jobs = testbed.users.live_jobs().len();
+    let token = testbed.fleet.highest_token();
+    format!("seed {seed}: {seconds} s, {machines} machines, {jobs} jobs, token {token}")
 }
 
-/// The progress line.
-fn progress(seed: u64, world: &World) -> String {
-    let seconds = world.clock.now() / 1000;
-    let machines = world.cloud.running().len();
-    let live = world.users.live().len();
-    let token = world.fleet.token.load(Ordering::Relaxed);
-    format!("seed {seed}: {seconds} s, {machines} machines, {live} jobs, token {token}")
+fn print_not_run(seed: u64, error: &dyn std::error::Error) -> u8 {
+    eprintln!("seed {seed}: not run: {error}");
+    STATUS_UNUSABLE
 }
 
-/// Prints what a seed showed; gives the exit status for it.
-fn report(seed: u64, outcome: &Outcome) -> u8 {
+/// Prints the outcome of a seed, and gives the exit status for it.
+fn print_outcome(seed: u64, outcome: &SoakOutcome) -> u8 {
     println!(
         "seed {seed}: {} jobs, {} over, {} tasks, {} leaderships, {} faults, {} rules broken ({})",
         outcome.jobs,
-        outcome.over,
+        outcome.finished,
         outcome.tasks,
-        outcome.leaderships,
+        outcome.leader_terms,
         outcome.faults,
         outcome.violations.len(),
         outcome.history.display()
     );
-    for (kind, why) in &outcome.not_run {
-        println!("  not run here: {} ({why})", kind.name());
+    for (kind, error) in &outcome.failed_faults {
+        println!("  not run here: {} ({error})", kind.name());
     }
-    for violation in outcome.violations.iter().take(8) {
-        let job = violation.job.map_or(String::new(), |job| format!(" job-{job:06}"));
-        println!(
-            "  {:.3} s {}:{job} {}",
-            violation.at_ms as f64 / 1000.0,
-            violation.rule,
-            violation.description
-        );
+    outcome.violations.iter().take(PRINTED_VIOLATIONS).for_each(print_violation);
+    if let Some(explanation) = outcome.explanations.first() {
+        print_explanation(explanation);
     }
-    if let Some(account) = outcome.accounts.first() {
-        println!("  the first of them, event by event:");
-        let skipped = account.len().saturating_sub(ACCOUNT_LINES);
-        if skipped > 0 {
-            println!("  ({skipped} earlier events are in the history)");
-        }
-        account.iter().skip(skipped).for_each(|line| println!("  {line}"));
+    if !outcome.violations.is_empty() {
+        return STATUS_VIOLATION;
     }
-    match (outcome.violations.is_empty(), outcome.not_run.is_empty()) {
-        (false, _) => BROKEN,
-        (true, false) => NOT_RUN,
-        (true, true) => 0,
+    match outcome.failed_faults.is_empty() {
+        true => 0,
+        false => STATUS_FAULT_NOT_INJECTED,
+    }
+}
+
+fn print_violation(violation: &Violation) {
+    let seconds = violation.at_ms as f64 / 1000.0;
+    let job = violation.job.map_or(String::new(), |job| format!(" job-{job:06}"));
+    println!("  {seconds:.3} s {}:{job} {}", violation.rule, violation.description);
+}
+
+fn print_explanation(explanation: &[String]) {
+    println!("  the first of them, event by event:");
+    let skipped = explanation.len().saturating_sub(EXPLANATION_LINES);
+    if skipped > 0 {
+        println!("  ({skipped} earlier events are in the history)");
     }
+    explanation.iter().skip(skipped).for_each(|line| println!("  {line}"));
 }
--- /dev/null
+++ b/crates/basaltrail-testbed/src/controller_settings.rs
@@ -0,0 +1,179 @@
+//! The settings file of a controller (TOML). The keys are those of the program's settings.
+
+use crate::clock::Ms;
+use crate::deployment::{Deployment, ZONES};
+use serde::Serialize;
+use std::net::SocketAddr;
+
+/// Where one controller listens, and the proxied addresses at which it reaches the others.
+#[derive(Clone, Debug)]
+pub struct ControllerAddresses {
+    /// Listener for users and workers.
+    pub listen: SocketAddr,
+    /// Listener for the other controllers.
+    pub peer_listen: SocketAddr,
+    /// Listener for operators, if the policy has one.
+    pub administration: SocketAddr,
+    /// The state service.
+    pub state_service: SocketAddr,
+    /// The cloud.
+    pub cloud: SocketAddr,
+    /// The other controllers, by index.
+    pub peers: Vec<(usize, SocketAddr)>,
+}
+
+/// The settings file of one controller.
+///
+/// # Errors
+///
+/// If the settings cannot be written as TOML.
+pub fn to_toml(
+    deployment: &Deployment,
+    controller: usize,
+    addresses: &ControllerAddresses,
+) -> Result<String, toml::ser::Error> {
+    let members = addresses.peers.iter().map(|(peer, endpoint)| Member {
+        node_name: Deployment::controller_name(*peer),
+        zone: Deployment::controller_zone(*peer),
+        endpoint: endpoint.to_string(),
+    });
+    toml::to_string(&Settings {
+        node_name: Deployment::controller_name(controller),
+        zone: Deployment::controller_zone(controller),
+        listen: addresses.listen.to_string(),
+        peer_listen: addresses.peer_listen.to_string(),
+        endpoints: Endpoints {
+            cloud: addresses.cloud.to_string(),
+            state: addresses.state_service.to_string(),
+        },
+        params: Params::of(deployment),
+        members: members.collect(),
+    })
+}
+
+#[derive(Serialize)]
+struct Settings {
+    node_name: String,
+    zone: &'static str,
+    listen: String,
+    peer_listen: String,
+    endpoints: Endpoints,
+    params: Params,
+    members: Vec<Member>,
+}
+
+#[derive(Serialize)]
+struct Member {
+    node_name: String,
+    zone: &'static str,
+    endpoint: String,
+}
+
+#[derive(Serialize)]
+struct Endpoints {
+    cloud: String,
+    state: String,
+}
+
+#[derive(Serialize)]
+struct Params {
+    size: usize,
+    zones: [&'static str; 2],
+    clock_error_ms: f64,
+    workers: Workers,
+    state: State,
+    cloud: Cloud,
+    resources: Resources,
+    teams: Vec<Team>,
+    objectives: Vec<Objective>,
+}
+
+#[derive(Serialize)]
+struct Workers {
+    report_s: f64,
+    lease_s: f64,
+    cancel_s: f64,
+}
+
+#[derive(Serialize)]
+struct State {
+    rps: f64,
+    write_rps: f64,
+    value_kb: f64,
+    txn_ops: usize,
+}
+
+#[derive(Serialize)]
+struct Cloud {
+    rps: f64,
+    list_lag_s: f64,
+}
+
+#[derive(Serialize)]
+struct Resources {
+    cpu: f64,
+    mem_mb: f64,
+    max_connections: usize,
+}
+
+#[derive(Serialize)]
+struct Team {
+    name: &'static str,
+    cpus: f64,
+    cpus_max: f64,
+    gpus: f64,
+    gpus_max: f64,
+}
+
+#[derive(Serialize)]
+struct Objective {
+    kind: &'static str,
+    class: &'static str,
+    within_s: f64,
+    share: f64,
+}
+
+impl Params {
+    fn of(deployment: &Deployment) -> Self {
+        let teams = deployment.teams.iter().map(|team| Team {
+            name: team.name,
+            cpus: team.cpus,
+            cpus_max: team.cpus_max,
+            gpus: 0.0,
+            gpus_max: 0.0,
+        });
+        Params {
+            size: deployment.controllers,
+            zones: ZONES,
+            clock_error_ms: 25.0,
+            workers: Workers {
+                report_s: seconds(deployment.heartbeat_ms),
+                lease_s: seconds(deployment.lease_ms),
+                cancel_s: seconds(deployment.cancel_ms),
+            },
+            state: State {
+                rps: deployment.state_rps,
+                write_rps: deployment.write_rps,
+                value_kb: deployment.value_kb,
+                txn_ops: deployment.txn_ops,
+            },
+            cloud: Cloud { rps: deployment.cloud_rps, list_lag_s: seconds(deployment.list_lag_ms) },
+            resources: Resources {
+                cpu: 1.0,
+                mem_mb: deployment.memory_mb,
+                max_connections: deployment.max_connections,
+            },
+            teams: teams.collect(),
+            objectives: vec![Objective {
+                kind: "finished",
+                class: "array",
+                within_s: 60.0,
+                share: 0.9,
+            }],
+        }
+    }
+}
+
+fn seconds(duration: Ms) -> f64 {
+    duration as f64 / 1000.0
+}
--- a/crates/basaltrail-testbed/src/controllers.rs
+++ b/crates/basaltrail-testbed/src/controllers.rs
@@ -1,98 +1,98 @@
-//! The controllers: processes of the real program, started, killed, paused and gone on with.
-//! Only children of this process are ever sent a signal, by their process id.
+//! The controllers: processes of the real program that are started, killed, paused and resumed.
+//! Signals are sent only to children of this process, by their process id.
 
-use crate::deployment::{Addresses, Deployment};
-use crate::world::{Operators, Setup};
+use crate::config::{PolicySource, TestbedConfig};
+use crate::controller_settings::{self, ControllerAddresses};
+use crate::deployment::Deployment;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::fs::OpenOptions;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use tokio::process::{Child, Command};
 use tokio::sync::Mutex;
 
-/// What a controller writes when it finds that it broke a rule of its own.
-const FAULT_LINES: [&str; 2] = ["event=renewal_violation", "panicked at"];
+/// Parts of log lines by which a controller shows that it violated a rule itself, or panicked.
+const FAULT_MARKERS: [&str; 2] = ["event=renewal_violation", "panicked at"];
 
-/// Why something cannot be done to a controller.
+/// Why something could not be done to a controller.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
-    /// The program or one of its files.
-    #[error("{0}: {1}")]
-    File(PathBuf, std::io::Error),
-    /// The settings.
+    /// A settings, policy or log file cannot be read or written.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// The program cannot be started.
+    #[error("{}: {source}", program.display())]
+    Spawn {
+        /// The program.
+        program: PathBuf,
+        /// Why.
+        source: std::io::Error,
+    },
+    /// The settings cannot be written as TOML.
     #[error("settings: {0}")]
     Settings(#[from] toml::ser::Error),
-    /// A signal.
+    /// A signal cannot be sent.
     #[error("signal: {0}")]
     Signal(#[from] nix::errno::Errno),
 }
 
+impl ControllerError {
+    fn file(path: &Path) -> impl FnOnce(std::io::Error) -> Self + '_ {
+        |source| ControllerError::File { path: path.into(), source }
+    }
+}
+
+/// One controller, and its process if it runs.
+struct Controller {
+    addresses: ControllerAddresses,
+    settings: PathBuf,
+    policy: Option<PathBuf>,
+    log: PathBuf,
+    process: Mutex<Option<Child>>,
+}
+
 /// The controllers of a run.
 pub struct Controllers {
     program: PathBuf,
-    policies: Vec<Option<PathBuf>>,
-    directory: PathBuf,
-    addresses: Vec<Addresses>,
-    processes: Vec<Mutex<Option<Child>>>,
+    controllers: Vec<Controller>,
 }
 
 impl Controllers {
-    /// Writes the settings of all controllers into a directory; none is started yet.
+    /// Writes the settings and policies of all controllers; none is started yet.
     ///
     /// # Errors
     ///
     /// If a file cannot be written.
-    pub fn prepare(setup: &Setup<'_>, addresses: Vec<Addresses>) -> Result<Self, ControllerError> {
-        let policies = addresses.iter().enumerate();
-        let policies: Result<Vec<_>, _> =
-            policies.map(|(node, at)| write_policy(setup, node, at)).collect();
-        let controllers = Controllers {
-            program: setup.program.into(),
-            policies: policies?,
-            directory: setup.directory.into(),
-            processes: addresses.iter().map(|_| Mutex::new(None)).collect(),
-            addresses,
-        };
-        for node in 0..controllers.count() {
-            controllers.write_settings(node, setup.deployment)?;
-        }
-        Ok(controllers)
+    pub fn prepare(
+        config: &TestbedConfig<'_>,
+        addresses: Vec<ControllerAddresses>,
+    ) -> Result<Self, ControllerError> {
+        let addresses = addresses.into_iter().enumerate();
+        let controllers: Result<Vec<Controller>, ControllerError> =
+            addresses.map(|(index, addresses)| prepare(config, index, addresses)).collect();
+        Ok(Controllers { program: config.program.into(), controllers: controllers? })
     }
 
-    /// Writes the settings of one controller; its next start reads them.
-    ///
-    /// # Errors
-    ///
-    /// If the file cannot be written.
-    pub fn write_settings(
-        &self,
-        node: usize,
-        deployment: &Deployment,
-    ) -> Result<(), ControllerError> {
-        let path = self.directory.join(format!("stack-{node}.toml"));
-        let settings = deployment.settings(node, &self.addresses[node])?;
-        std::fs::write(&path, settings).map_err(|error| ControllerError::File(path, error))
+    /// The address at which a controller listens for operators, if its policy has a listener.
+    pub fn administration(&self, controller: usize) -> SocketAddr {
+        self.controllers[controller].addresses.administration
     }
 
-    /// Where a controller listens for operators, if its policy says so.
-    pub fn administration(&self, node: usize) -> SocketAddr {
-        self.addresses[node].administration
+    /// The address at which a controller listens for users and workers.
+    pub fn listen(&self, controller: usize) -> SocketAddr {
+        self.controllers[controller].addresses.listen
     }
 
-    /// Where a controller listens for users and workers.
-    pub fn listen(&self, node: usize) -> SocketAddr {
-        self.addresses[node].listen
-    }
-
-    /// How many there are.
+    /// The number of controllers.
     pub fn count(&self) -> usize {
-        self.processes.len()
-    }
-
-    fn log(&self, node: usize) -> PathBuf {
-        self.directory.join(format!("stack-{node}.log"))
+        self.controllers.len()
     }
 
     /// Starts a controller that does not run.
@@ -100,101 +100,110 @@
     /// # Errors
     ///
     /// If the program cannot be started.
-    pub async fn start(&self, node: usize) -> Result<(), ControllerError> {
-        let mut process = self.processes[node].lock().await;
+    pub async fn start(&self, controller: usize) -> Result<(), ControllerError> {
+        let controller = &self.controllers[controller];
+        let mut process = controller.process.lock().await;
         if process.is_some() {
             return Ok(());
         }
-        let path = self.log(node);
-        let file = |error| ControllerError::File(path.clone(), error);
-        let log = OpenOptions::new().create(true).append(true).open(&path).map_err(file)?;
+        let log = OpenOptions::new().create(true).append(true).open(&controller.log);
+        let log = log.map_err(ControllerError::file(&controller.log))?;
         let mut command = Command::new(&self.program);
-        command.arg("--config").arg(self.directory.join(format!("stack-{node}.toml")));
-        if let Some(policy) = &self.policies[node] {
+        command.arg("--config").arg(&controller.settings);
+        if let Some(policy) = &controller.policy {
             command.arg("--policy").arg(policy);
         }
-        let started = command
-            .stdin(Stdio::null())
-            .stdout(Stdio::null())
-            .stderr(log)
-            .kill_on_drop(true)
-            .spawn();
-        let program = |error| ControllerError::File(self.program.clone(), error);
-        *process = Some(started.map_err(program)?);
+        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true);
+        let child = command
+            .spawn()
+            .map_err(|source| ControllerError::Spawn { program: self.program.clone(), source })?;
+        *process = Some(child);
         Ok(())
     }
 
-    /// Ends a controller at once and waits until it is gone.
-    pub async fn end(&self, node: usize) {
-        if let Some(mut process) = self.processes[node].lock().await.take() {
+    /// Kills a controller and waits until its process is gone.
+    pub async fn kill(&self, controller: usize) {
+        let process = self.controllers[controller].process.lock().await.take();
+        if let Some(mut process) = process {
+            // It fails only if the process is gone already.
             let _ = process.kill().await;
         }
     }
 
-    /// Stops a controller in the middle of whatever it does; false if it does not run.
+    /// Pauses a controller in the middle of whatever it does; false if it does not run.
     ///
     /// # Errors
     ///
     /// If the signal cannot be sent.
-    pub async fn pause(&self, node: usize) -> Result<bool, ControllerError> {
-        self.signal(node, Signal::SIGSTOP).await
+    pub async fn pause(&self, controller: usize) -> Result<bool, ControllerError> {
+        self.signal(controller, Signal::SIGSTOP).await
     }
 
-    /// Lets a paused controller go on; false if it does not run.
+    /// Resumes a paused controller; false if it does not run.
     ///
     /// # Errors
     ///
     /// If the signal cannot be sent.
-    pub async fn resume(&self, node: usize) -> Result<bool, ControllerError> {
-        self.signal(node, Signal::SIGCONT).await
+    pub async fn resume(&self, controller: usize) -> Result<bool, ControllerError> {
+        self.signal(controller, Signal::SIGCONT).await
     }
 
-    async fn signal(&self, node: usize, signal: Signal) -> Result<bool, ControllerError> {
-        let process = self.processes[node].lock().await;
+    async fn signal(&self, controller: usize, signal: Signal) -> Result<bool, ControllerError> {
+        // The lock keeps the child from being waited for, so that the id cannot be reused.
+        let process = self.controllers[controller].process.lock().await;
         let id = process.as_ref().and_then(Child::id).and_then(|id| i32::try_from(id).ok());
-        // The lock keeps the child from being waited for, so the id is still its own.
-        match id {
-            Some(id) => {
-                kill(Pid::from_raw(id), signal)?;
-                Ok(true)
-            }
-            None => Ok(false),
-        }
+        let Some(id) = id else { return Ok(false) };
+        kill(Pid::from_raw(id), signal)?;
+        Ok(true)
     }
 
-    /// Lines in which a controller says that it broke a rule of its own, or panicked.
+    /// Log lines in which a controller shows that it violated a rule or panicked, with the index
+    /// of the controller.
     ///
     /// # Errors
     ///
     /// If a log cannot be read.
-    pub fn faults(&self) -> Result<Vec<(usize, String)>, ControllerError> {
-        let mut found = Vec::new();
-        for node in 0..self.count() {
-            let path = self.log(node);
-            let text = std::fs::read(&path).map_err(|error| ControllerError::File(path, error))?;
-            let text = String::from_utf8_lossy(&text);
-            let bad = |line: &&str| FAULT_LINES.iter().any(|fault| line.contains(fault));
-            found.extend(text.lines().filter(bad).map(|line| (node, line.to_string())));
+    pub fn logged_faults(&self) -> Result<Vec<(usize, String)>, ControllerError> {
+        let mut faults = Vec::new();
+        for (index, controller) in self.controllers.iter().enumerate() {
+            let log = std::fs::read(&controller.log);
+            let log = log.map_err(ControllerError::file(&controller.log))?;
+            let log = String::from_utf8_lossy(&log);
+            let is_fault = |line: &&str| FAULT_MARKERS.iter().any(|marker| line.contains(marker));
+            faults.extend(log.lines().filter(is_fault).map(|line| (index, line.to_string())));
         }
-        Ok(found)
+        Ok(faults)
     }
 }
 
-/// The policy file of one controller, if it has one.
+/// Writes the files of one controller.
+fn prepare(
+    config: &TestbedConfig<'_>,
+    index: usize,
+    addresses: ControllerAddresses,
+) -> Result<Controller, ControllerError> {
+    let name = Deployment::controller_name(index);
+    let file = |extension: &str| config.directory.join(format!("{name}.{extension}"));
+    let policy = write_policy(config.policy, file("policy"), addresses.administration)?;
+    let settings = file("toml");
+    let text = controller_settings::to_toml(config.deployment, index, &addresses)?;
+    std::fs::write(&settings, text).map_err(ControllerError::file(&settings))?;
+    let process = Mutex::new(None);
+    Ok(Controller { addresses, settings, policy, log: file("log"), process })
+}
+
+/// The policy file of a controller, if it has one; it is written if it is made of entries.
 fn write_policy(
-    setup: &Setup<'_>,
-    node: usize,
-    at: &Addresses,
+    policy: &PolicySource,
+    path: PathBuf,
+    administration: SocketAddr,
 ) -> Result<Option<PathBuf>, ControllerError> {
-    let entries = match setup.operators {
-        Operators::Nothing => return Ok(None),
-        Operators::File(file) => return Ok(Some(file.clone())),
-        Operators::Entries(entries) => entries,
+    let entries = match policy {
+        PolicySource::None => return Ok(None),
+        PolicySource::File(file) => return Ok(Some(file.clone())),
+        PolicySource::Entries(entries) => entries,
     };
-    let path = setup.directory.join(format!("stack-{node}.policy"));
-    let text = format!("(policy\n  (administration \"{}\")\n  {entries})\n", at.administration);
-    match std::fs::write(&path, text) {
-        Ok(()) => Ok(Some(path)),
-        Err(error) => Err(ControllerError::File(path, error)),
-    }
+    let text = format!("(policy\n  (administration \"{administration}\")\n  {entries})\n");
+    std::fs::write(&path, text).map_err(ControllerError::file(&path))?;
+    Ok(Some(path))
 }
--- a/crates/basaltrail-testbed/src/history.rs
+++ b/crates/basaltrail-testbed/src/history.rs
@@ -60,7 +60,7 @@
 }
 
 /// One attempt at one task of a job, on one machine.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct TaskAttempt {
     /// Number of the job.
     pub job: u64,
@@ -91,6 +91,21 @@
     pub service: bool,
 }
 
+impl JobRequirements {
+    /// Requirements of an array job that may run on spot machines of any zone, of class `array`.
+    pub fn array(team: &str, tasks: u32, cpus: f64) -> Self {
+        JobRequirements {
+            team: team.into(),
+            class: "array".into(),
+            tasks,
+            cpus,
+            spot: true,
+            zone: None,
+            service: false,
+        }
+    }
+}
+
 /// An observation of a user or a worker, or an action of the testbed itself.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
--- a/crates/basaltrail-testbed/src/main.rs
+++ b/crates/basaltrail-testbed/src/main.rs
@@ -1,8 +1,11 @@
-//! basaltrail-testbed: the real program over loopback, tried out, soaked or put under load.
+//! basaltrail-testbed: runs the real program over loopback, to try it out, to soak it or to put
+//! it under load.
+#![warn(missing_docs)]
 
 mod commands;
 
 use clap::{Parser, Subcommand};
+use commands::CommandError;
 use std::process::ExitCode;
 
 /// Plays basaltrail's controllers against stand-ins on loopback.
@@ -31,22 +34,23 @@
         Err(error) if error.use_stderr() => {
             let text = error.to_string();
             eprintln!("{}", text.lines().next().unwrap_or("error: the command line"));
-            return ExitCode::from(commands::USAGE);
+            return ExitCode::from(commands::STATUS_UNUSABLE);
         }
         Err(help) => {
             print!("{help}");
             return ExitCode::SUCCESS;
         }
     };
-    let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
-        Ok(runtime) => runtime,
-        Err(error) => return commands::unusable(&error.to_string()),
-    };
-    let done = match arguments.command {
-        Command::Soak(arguments) => runtime.block_on(commands::soak::run(&arguments)),
-        Command::Serve(arguments) => runtime.block_on(commands::serve::run(&arguments)),
-        Command::Racing(arguments) => runtime.block_on(commands::racing::run(&arguments)),
-        Command::Overload(arguments) => runtime.block_on(commands::overload::run(&arguments)),
-    };
-    done.unwrap_or_else(|why| commands::unusable(&why))
+    run(&arguments.command).unwrap_or_else(|error| commands::fail(&error))
+}
+
+fn run(command: &Command) -> Result<ExitCode, CommandError> {
+    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
+    let runtime = runtime.map_err(CommandError::Runtime)?;
+    match command {
+        Command::Soak(arguments) => runtime.block_on(commands::soak::run(arguments)),
+        Command::Serve(arguments) => runtime.block_on(commands::serve::run(arguments)),
+        Command::Racing(arguments) => runtime.block_on(commands::racing::run(arguments)),
+        Command::Overload(arguments) => runtime.block_on(commands::overload::run(arguments)),
+    }
 }
--- /dev/null
+++ b/crates/basaltrail-testbed/src/scenarios/warm_up.rs
@@ -0,0 +1,44 @@
+//! The start of a load: ready controllers and rented machines.
+
+use super::START_TIMEOUT_MS;
+use crate::clock::Ms;
+use crate::history::JobRequirements;
+use crate::job_request::JobRequest;
+use crate::testbed::{RunError, Testbed};
+use crate::users::UserBehavior;
+use std::time::Duration;
+
+/// Number of the first job.
+const FIRST_JOB: u64 = 500;
+/// CPUs of a task.
+const TASK_CPUS: f64 = 2.0;
+/// Run time of a task, in milliseconds.
+const RUN_MS: Ms = 3_000;
+/// How long the jobs may take, in milliseconds.
+const TIMEOUT_MS: Ms = 30_000;
+/// How often the jobs are looked at.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const BEHAVIOR: UserBehavior =
+    UserBehavior { cancel_share: 0.0, repeat_share: 0.05, submit_to: None };
+
+/// Waits until the controllers are ready and have rented machines. They rent only where there is
+/// work, so each team gets a job that fills its guarantee.
+///
+/// # Errors
+///
+/// If a controller does not become ready.
+pub(super) async fn warm_up(testbed: &Testbed) -> Result<(), RunError> {
+    testbed.wait_until_ready(START_TIMEOUT_MS).await?;
+    for (index, team) in testbed.deployment.teams.iter().enumerate() {
+        let tasks = (team.cpus / TASK_CPUS) as u32;
+        let requirements = JobRequirements::array(team.name, tasks, TASK_CPUS);
+        let request = JobRequest { requirements, priority: "standard", run_ms: RUN_MS };
+        let index = index as u64;
+        testbed.users.submit(FIRST_JOB + index, &request, BEHAVIOR, index);
+    }
+    let deadline = testbed.clock.now() + TIMEOUT_MS;
+    while testbed.users.unfinished_count() > 0 && testbed.clock.now() < deadline {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+    }
+    Ok(())
+}
--- a/crates/basaltrail/src/clients_tests.rs
+++ b/crates/basaltrail/src/clients_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use basaltrail_testbed::http::{reply, serve};
+use basaltrail_testbed::http::{serve, JsonReply};
 use serde_json::json;
 use warp::Filter;
 
@@ -10,7 +10,7 @@
     let value = "x".repeat(4_000);
     let news = warp::path!("changes").map(move || {
         let put = json!({"put": "j/a/000001", "v": value, "stamp": 7});
-        reply(200, json!({"impression": 7, "news": vec![put; 1_000]}))
+        JsonReply::new(200, json!({"impression": 7, "news": vec![put; 1_000]})).into_response()
     });
     let at = serve(news).await.unwrap();
     let watch = StoreRequest::Watch { prefix: "j/".into(), after: 0, wait_ms: 0 };
--- a/crates/basaltrail/tests/inspect.rs
+++ b/crates/basaltrail/tests/inspect.rs
@@ -1,15 +1,16 @@
 //! `inspect limits` against a node that runs, and against none; `check`.
 
-use basaltrail_testbed::http::{free_port, Client};
-use basaltrail_testbed::serve::{start, Plan};
-use basaltrail_testbed::world::Operators;
+use basaltrail_testbed::config::PolicySource;
+use basaltrail_testbed::http::{free_port, Client, Request};
+use basaltrail_testbed::scenarios::try_out::{start, TryOutConfig};
+use basaltrail_testbed::scenarios::ScenarioConfig;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::process::Output;
 use std::time::Duration;
 
 const README: &str = include_str!("../../../README.md");
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 async fn basaltrail(arguments: &[&str]) -> Output {
     let mut command = tokio::process::Command::new(env!("CARGO_BIN_EXE_basaltrail"));
@@ -34,22 +35,23 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_backlog_that_is_full_is_refused_and_seen() {
     let directory = std::env::temp_dir().join(format!("basaltrail-inspect-{}", std::process::id()));
-    let plan = Plan {
+    let common = ScenarioConfig {
         program: env!("CARGO_BIN_EXE_basaltrail").into(),
-        operators: Operators::Entries("(admission (backlog-s 30))".into()),
-        nodes: 1,
+        policy: PolicySource::Entries("(admission (backlog-s 30))".into()),
+        controllers: 1,
         machines: 8,
-        first_port: free_port().unwrap().port(),
         directory: directory.clone(),
-        seed: 1,
     };
-    let world = start(&plan).await.unwrap();
-    let (node, administration) = (world.controllers.listen(0), world.controllers.administration(0));
+    let first_port = free_port().unwrap().port();
+    let testbed = start(&TryOutConfig { common, first_port, seed: 1 }).await.unwrap();
+    let controller = testbed.controllers.listen(0);
+    let administration = testbed.controllers.administration(0);
     let client = Client::default();
+    let submit = |body| Request::post(controller, "/api/jobs", body, TIMEOUT);
     let (mut first, mut refused) = (None, None);
     for number in 0..2_000 {
         let body = submission(1_000 + number);
-        let answer = client.call(node, "POST", "/api/jobs", body, PATIENCE).await.unwrap();
+        let answer = client.call(submit(body)).await.unwrap();
         match answer.status {
             201 => first = first.or(Some(1_000 + number)),
             // Until the first allotment, nothing is accepted either.
@@ -64,7 +66,7 @@
     assert_eq!(refused.status, 503, "{}", refused.body);
     assert!(refused.retry_after_s.is_some_and(|s| (1..=30).contains(&s)));
     let again = submission(first.unwrap());
-    let again = client.call(node, "POST", "/api/jobs", again, PATIENCE).await.unwrap();
+    let again = client.call(submit(again)).await.unwrap();
     assert_eq!(again.status, 200, "{}", again.body);
 
     let told = limits(administration).await.expect("no answer");
@@ -78,7 +80,7 @@
     let table = basaltrail(&["inspect", "limits", "--at", &administration.to_string()]).await;
     let table = String::from_utf8(table.stdout).unwrap();
     assert!(table.contains("buyers") && table.lines().count() >= 4, "{table}");
-    world.end().await;
+    testbed.stop().await;
 
     let away = basaltrail(&["inspect", "limits", "--at", &administration.to_string()]).await;
     let line = String::from_utf8(away.stderr).unwrap();
--- a/crates/basaltrail/tests/loopback.rs
+++ b/crates/basaltrail/tests/loopback.rs
@@ -5,7 +5,7 @@
 use basaltrail_testbed::cloud::Cloud;
 use basaltrail_testbed::deployment::{Deployment, MACHINE_TYPE, ZONES};
 use basaltrail_testbed::http::free_port;
-use basaltrail_testbed::state::{Limits, StateService};
+use basaltrail_testbed::state_service::{Limits, StateService};
 use serde_json::{json, Value};
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/basaltrail/tests/try_out.rs
+++ b/crates/basaltrail/tests/try_out.rs
@@ -1,8 +1,10 @@
 //! The try-out deployment, and the lines of the README that a newcomer types against it.
 
-use basaltrail_testbed::http::{free_port, Client};
-use basaltrail_testbed::serve::{start, Plan};
-use basaltrail_testbed::world::{Operators, World};
+use basaltrail_testbed::config::PolicySource;
+use basaltrail_testbed::http::{self, free_port, Client};
+use basaltrail_testbed::scenarios::try_out::{start, TryOutConfig};
+use basaltrail_testbed::scenarios::ScenarioConfig;
+use basaltrail_testbed::testbed::Testbed;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +12,7 @@
 const README: &str = include_str!("../../../README.md");
 /// Where the README's lines go.
 const README_ADDRESS: &str = "http://127.0.0.1:7100";
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// One `curl` line: method, path and body.
 struct Request {
@@ -36,10 +38,15 @@
 }
 
 async fn send(at: SocketAddr, request: &Request) -> (u16, Value) {
-    let body = request.body.clone();
-    let answer = Client::default().call(at, request.method, &request.path, body, PATIENCE).await;
-    let answer = answer.expect("no answer");
-    (answer.status, answer.body)
+    let request = http::Request {
+        to: at,
+        method: request.method,
+        path: &request.path,
+        body: request.body.clone(),
+        timeout: TIMEOUT,
+    };
+    let response = Client::default().call(request).await.expect("no answer");
+    (response.status, response.body)
 }
 
 /// Repeats a request, as a user with `curl` would, until its answer is the one awaited.
@@ -55,10 +62,10 @@
     panic!("{} {}: last answer {last:?}", request.method, request.path);
 }
 
-async fn end_and_look(world: &World) {
+async fn stop_and_check_processes(testbed: &Testbed) {
     let addresses: Vec<SocketAddr> =
-        (0..world.controllers.count()).map(|node| world.controllers.listen(node)).collect();
-    world.end().await;
+        (0..testbed.controllers.count()).map(|index| testbed.controllers.listen(index)).collect();
+    testbed.stop().await;
     for at in addresses {
         let open = tokio::net::TcpStream::connect(at).await;
         assert!(open.is_err(), "{at}: a process was left behind");
@@ -68,17 +75,16 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_readme_works_as_it_is_written() {
     let directory = std::env::temp_dir().join(format!("basaltrail-try-out-{}", std::process::id()));
-    let plan = Plan {
+    let common = ScenarioConfig {
         program: env!("CARGO_BIN_EXE_basaltrail").into(),
-        operators: Operators::Nothing,
-        nodes: 1,
+        policy: PolicySource::None,
+        controllers: 1,
         machines: 8,
-        first_port: free_port().unwrap().port(),
         directory: directory.clone(),
-        seed: 1,
     };
-    let world = start(&plan).await.unwrap();
-    let at = world.controllers.listen(0);
+    let first_port = free_port().unwrap().port();
+    let testbed = start(&TryOutConfig { common, first_port, seed: 1 }).await.unwrap();
+    let at = testbed.controllers.listen(0);
     let requests = requests_of_the_readme();
     let [submit, poll, cancel] = requests.as_slice() else {
         panic!("{} requests in the README", requests.len());
@@ -88,6 +94,6 @@
     send_until(at, cancel, |_, body| body["condition"] == "aborted").await;
     let (status, body) = send(at, poll).await;
     assert_eq!((status, &body["condition"]), (200, &"aborted".into()));
-    end_and_look(&world).await;
+    stop_and_check_processes(&testbed).await;
     let _ = std::fs::remove_dir_all(directory);
 }
