--- a/crates/basaltrail-core/tests/scale.rs
+++ b/crates/basaltrail-core/tests/scale.rs
@@ -26,7 +26,7 @@
     cloud_rps: f64,
     memory_mb: f64,
     /// Milliseconds between two submissions.
-    submit_ms: u64,
+    submission_interval_ms: u64,
 }
 
 const SCALES: [Scale; 2] = [
@@ -39,7 +39,7 @@
         write_rps: 80.0,
         cloud_rps: 8.0,
         memory_mb: 188.0,
-        submit_ms: 700,
+        submission_interval_ms: 700,
     },
     Scale {
         machines: 4_000,
@@ -50,12 +50,12 @@
         write_rps: 320.0,
         cloud_rps: 32.0,
         memory_mb: 700.0,
-        submit_ms: 300,
+        submission_interval_ms: 300,
     },
 ];
-const BOOT: u64 = 20_000;
-const DAY: u64 = 150_000;
-const RESTART: u64 = 100_000;
+const PROVISIONING_MS: u64 = 20_000;
+const DAY_MS: u64 = 150_000;
+const RESTART_AT_MS: u64 = 100_000;
 
 fn settings(scale: &Scale, incarnation: u64) -> Settings {
     let team = |i: usize| Team {
@@ -100,20 +100,20 @@
 }
 
 #[derive(Default, Debug)]
-struct Count {
+struct WorkCount {
     inputs: u64,
-    reports: u64,
+    heartbeats: u64,
     starts: u64,
     done: u64,
-    state: u64,
+    store_requests: u64,
     writes: u64,
-    cloud: u64,
-    largest: usize,
+    cloud_requests: u64,
+    largest_transaction: usize,
 }
 
-struct World {
+struct SimulatedCluster {
     scale: Scale,
-    t: u64,
+    now: u64,
     controller: Controller,
     rng: SmallRng,
     workers: Vec<Worker>,
@@ -122,26 +122,26 @@
     log: Vec<(String, u64)>,
     lease_id: u64,
     /// Answers on their way, and when they arrive.
-    due: BTreeMap<(u64, u64), Input>,
+    replies_due: BTreeMap<(u64, u64), Input>,
     watches: Vec<(CallId, String, u64, u64)>,
     req: u64,
-    reporting: BTreeMap<RequestId, usize>,
-    count: Count,
+    awaiting_answer: BTreeMap<RequestId, usize>,
+    count: WorkCount,
 }
 
-impl World {
+impl SimulatedCluster {
     fn answer(&mut self, after: u64, input: Input) {
         self.req += 1;
-        self.due.insert((self.t + after, self.req), input);
+        self.replies_due.insert((self.now + after, self.req), input);
     }
 
     fn feed(&mut self, input: Input) {
         self.count.inputs += 1;
-        for e in self.controller.step(self.t, self.t as i64, input) {
+        for e in self.controller.step(self.now, self.now as i64, input) {
             match e {
                 Effect::Answer { req, answer } => self.commands(req, answer),
-                Effect::Store { op, call, .. } => self.state(op, call),
-                Effect::Cloud { op, call, .. } => self.cloud(op, call),
+                Effect::Store { op, call, .. } => self.store_request(op, call),
+                Effect::Cloud { op, call, .. } => self.cloud_request(op, call),
                 Effect::Log(LogEvent::Heartbeat(
                     violation @ HeartbeatEvent::RenewalViolation { .. },
                 )) => {
@@ -153,8 +153,8 @@
     }
 
     fn commands(&mut self, req: RequestId, answer: Answer) {
-        let Some(m) = self.reporting.remove(&req) else { return };
-        let t = self.t;
+        let Some(m) = self.awaiting_answer.remove(&req) else { return };
+        let t = self.now;
         let heartbeat = self.scale.heartbeat_interval_ms;
         let w = &mut self.workers[m];
         let Answer::Commands { token, commands } = answer else {
@@ -196,7 +196,7 @@
         })
     }
 
-    fn news(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
+    fn events_after(&self, prefix: &str, after: u64) -> Vec<WatchEvent> {
         let new = self.log.iter().rev().take_while(|(_, r)| *r > after);
         let mut events: Vec<WatchEvent> = new
             .filter(|(k, _)| k.starts_with(prefix))
@@ -209,8 +209,8 @@
         events
     }
 
-    fn state(&mut self, op: CallId, call: StoreRequest) {
-        self.count.state += 1;
+    fn store_request(&mut self, op: CallId, call: StoreRequest) {
+        self.count.store_requests += 1;
         let reply = match call {
             StoreRequest::Get(key) => {
                 self.item(&key).map_or(StoreReply::NotFound, StoreReply::KeyValue)
@@ -228,7 +228,8 @@
                 assert!(puts.iter().all(|p| p.value.len() <= 4_096), "a value is too long");
                 let keys = preconditions.iter().map(|p| p.key.len() + 40).sum::<usize>();
                 let values = puts.iter().map(|p| p.key.len() + p.value.len() + 40).sum::<usize>();
-                self.count.largest = self.count.largest.max(keys + values + 60 * deletes.len());
+                self.count.largest_transaction =
+                    self.count.largest_transaction.max(keys + values + 60 * deletes.len());
                 self.count.writes += (puts.len() + deletes.len()) as u64;
                 let mod_revision = |k: &String| self.keys.get(k).map_or(0, |(_, s)| *s);
                 let bad = preconditions
@@ -264,7 +265,7 @@
             }
             StoreRequest::KeepAlive { .. } => StoreReply::Ok,
             StoreRequest::Watch { prefix, after, wait_ms } => {
-                return self.watches.push((op, prefix, after.0, self.t + wait_ms));
+                return self.watches.push((op, prefix, after.0, self.now + wait_ms));
             }
         };
         self.answer(10, Input::Store { op, reply });
@@ -272,8 +273,8 @@
 
     fn watch(&mut self) {
         for (op, prefix, after, until) in std::mem::take(&mut self.watches) {
-            let events = self.news(&prefix, after);
-            if events.is_empty() && self.t < until {
+            let events = self.events_after(&prefix, after);
+            if events.is_empty() && self.now < until {
                 self.watches.push((op, prefix, after, until));
             } else {
                 let reply = StoreReply::Events { revision: Revision(self.revision), events };
@@ -282,8 +283,8 @@
         }
     }
 
-    fn cloud(&mut self, op: CallId, call: CloudRequest) {
-        self.count.cloud += 1;
+    fn cloud_request(&mut self, op: CallId, call: CloudRequest) {
+        self.count.cloud_requests += 1;
         let name = |m: usize| MachineId(format!("m-{m:06}").into());
         let reply = match call {
             CloudRequest::Types => CloudReply::Types(vec![MachineType {
@@ -301,7 +302,7 @@
             CloudRequest::Provision { count, .. } => {
                 let from = self.workers.len();
                 for _ in 0..(count as usize).min(self.scale.machines - from) {
-                    let up_at = self.t + BOOT * self.rng.random_range(6..15) / 10;
+                    let up_at = self.now + PROVISIONING_MS * self.rng.random_range(6..15) / 10;
                     self.workers.push(Worker { up_at, next: up_at, ..Worker::default() });
                 }
                 match self.workers.len() - from {
@@ -329,7 +330,7 @@
     }
 
     fn heartbeat(&mut self, m: usize) {
-        let t = self.t;
+        let t = self.now;
         let w = &mut self.workers[m];
         w.sequence += 1;
         w.next = u64::MAX;
@@ -353,8 +354,8 @@
         };
         self.req += 1;
         let req = RequestId(self.req);
-        self.reporting.insert(req, m);
-        self.count.reports += 1;
+        self.awaiting_answer.insert(req, m);
+        self.count.heartbeats += 1;
         self.feed(Input::Heartbeat { req, heartbeat: Box::new(heartbeat) });
     }
 
@@ -387,23 +388,23 @@
     }
 
     fn run(&mut self, until: u64) {
-        let mut job = self.t;
-        while self.t < until {
-            self.t += 10;
-            while let Some(e) = self.due.first_entry().filter(|e| e.key().0 <= self.t) {
+        let mut job = self.now;
+        while self.now < until {
+            self.now += 10;
+            while let Some(e) = self.replies_due.first_entry().filter(|e| e.key().0 <= self.now) {
                 let input = e.remove();
                 self.feed(input);
             }
-            if self.t.is_multiple_of(50) {
+            if self.now.is_multiple_of(50) {
                 self.watch();
                 self.feed(Input::Tick);
             }
-            if self.t.is_multiple_of(self.scale.submit_ms) {
+            if self.now.is_multiple_of(self.scale.submission_interval_ms) {
                 job += 1;
                 self.submit(job);
             }
             for m in 0..self.workers.len() {
-                let t = self.t;
+                let t = self.now;
                 let w = &mut self.workers[m];
                 if t < w.up_at {
                     continue;
@@ -426,16 +427,16 @@
 }
 
 #[test]
-fn work_grows_with_the_fleet_and_not_with_its_reports() {
+fn work_grows_with_the_cluster_and_not_with_its_heartbeats() {
     for scale in SCALES {
         count_work(scale);
     }
 }
 
 fn count_work(scale: Scale) {
-    let mut w = World {
+    let mut cluster = SimulatedCluster {
         scale,
-        t: 0,
+        now: 0,
         controller: Controller::new(Arc::new(settings(&scale, 1)), 1),
         rng: SmallRng::seed_from_u64(1),
         workers: Vec::new(),
@@ -443,47 +444,47 @@
         revision: 0,
         log: Vec::new(),
         lease_id: 0,
-        due: BTreeMap::new(),
+        replies_due: BTreeMap::new(),
         watches: Vec::new(),
         req: 0,
-        reporting: BTreeMap::new(),
-        count: Count::default(),
+        awaiting_answer: BTreeMap::new(),
+        count: WorkCount::default(),
     };
-    w.run(RESTART - 20_000);
-    assert_eq!(w.workers.len(), scale.machines, "not all were rented");
-    w.count = Count::default();
-    let before = w.controller.visited();
+    cluster.run(RESTART_AT_MS - 20_000);
+    assert_eq!(cluster.workers.len(), scale.machines, "not all were rented");
+    cluster.count = WorkCount::default();
+    let before = cluster.controller.visited();
     let region = Region::new(COUNTED);
-    w.run(RESTART);
+    cluster.run(RESTART_AT_MS);
     let made = region.change().allocations as u64;
-    let visited = w.controller.visited() - before;
-    let count = std::mem::take(&mut w.count);
+    let visited = cluster.controller.visited() - before;
+    let count = std::mem::take(&mut cluster.count);
     println!("20 s: {count:?}, {visited} visited, {made} allocations, the stand-in's included");
-    assert!(count.reports > 5_000 && count.starts > 1_500, "too little to do: {count:?}");
-    // A pass over all machines and tasks at set times, and one machine a report.
-    let all: u64 = w.workers.iter().map(|w| 2 + w.tasks.len() as u64).sum();
-    let passes = 20_000 / (scale.heartbeat_interval_ms / 20) + 2;
-    assert!(visited <= all * passes * 3 / 2 + count.reports, "{visited} of {all} in {passes}");
-    assert!(made / count.reports < 150, "{} allocations a report", made / count.reports);
-    assert!(count.state as f64 <= 20.0 * scale.store_rps, "{count:?}");
+    assert!(count.heartbeats > 5_000 && count.starts > 1_500, "too little to do: {count:?}");
+    // A cycle over all machines and tasks at set times, and one machine a heartbeat.
+    let all: u64 = cluster.workers.iter().map(|worker| 2 + worker.tasks.len() as u64).sum();
+    let cycles = 20_000 / (scale.heartbeat_interval_ms / 20) + 2;
+    assert!(visited <= all * cycles * 3 / 2 + count.heartbeats, "{visited} of {all} in {cycles}");
+    assert!(made / count.heartbeats < 150, "{} allocations a heartbeat", made / count.heartbeats);
+    assert!(count.store_requests as f64 <= 20.0 * scale.store_rps, "{count:?}");
     assert!(count.writes as f64 <= 20.0 * scale.write_rps, "{count:?}");
-    assert!(count.cloud as f64 <= 20.0 * scale.cloud_rps, "{count:?}");
-    assert!(count.largest <= 64 * 1024, "{count:?}");
+    assert!(count.cloud_requests as f64 <= 20.0 * scale.cloud_rps, "{count:?}");
+    assert!(count.largest_transaction <= 64 * 1024, "{count:?}");
 
     // The process ends; the next one finds all machines up, and they all come at once.
-    w.controller = Controller::new(Arc::new(settings(&scale, 2)), 2);
-    w.due.clear();
-    w.watches.clear();
-    w.reporting.clear();
-    let now = w.t;
-    for x in &mut w.workers {
+    cluster.controller = Controller::new(Arc::new(settings(&scale, 2)), 2);
+    cluster.replies_due.clear();
+    cluster.watches.clear();
+    cluster.awaiting_answer.clear();
+    let now = cluster.now;
+    for x in &mut cluster.workers {
         x.next = now + 500;
     }
-    w.run(RESTART + 12_000);
-    let starts = w.count.starts;
-    println!("12 s after a restart: {:?}", w.count);
-    assert!(w.controller.leading() && starts > 500, "{starts} starts after a restart");
-    assert!(w.count.largest <= 64 * 1024);
-    w.run(DAY);
-    assert!(w.count.done > 4_000, "{:?}", w.count);
+    cluster.run(RESTART_AT_MS + 12_000);
+    let starts = cluster.count.starts;
+    println!("12 s after a restart: {:?}", cluster.count);
+    assert!(cluster.controller.leading() && starts > 500, "{starts} starts after a restart");
+    assert!(cluster.count.largest_transaction <= 64 * 1024);
+    cluster.run(DAY_MS);
+    assert!(cluster.count.done > 4_000, "{:?}", cluster.count);
 }
--- /dev/null
+++ b/crates/basaltrail-core/tests/trace_player/mod.rs
@@ -0,0 +1,228 @@
+//! Plays a kept trace: one controller, and a store that answers at once unless told otherwise.
+
+mod script;
+mod store;
+
+use basaltrail_core::events::HeartbeatEvent;
+use basaltrail_core::*;
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+use store::{OpenWatch, TraceStore};
+
+/// Tasks of every job.
+const TASKS: u32 = 2;
+/// Milliseconds between two ticks.
+const TICK_MS: u64 = 50;
+
+fn settings() -> Settings {
+    let team = |name: &str, max: f64| Team {
+        name: name.into(),
+        cpus: 8.0,
+        cpus_max: max,
+        gpus: 0.0,
+        gpus_max: 0.0,
+    };
+    Settings {
+        controller: "n0".into(),
+        zone: "a".into(),
+        controller_count: 3,
+        zones: vec!["a".into()],
+        peer_zones: vec!["a".into(), "a".into()],
+        teams: vec![team("wide", 64.0), team("narrow", 8.0), team("tiny", 4.0)],
+        objectives: Vec::new(),
+        heartbeat_interval_ms: 1_000,
+        lease_ms: 10_000,
+        cancel_ms: 30_000,
+        store_rps: 1_000.0,
+        write_rps: 1_000.0,
+        value_bytes: 4_096,
+        transaction_ops: 12,
+        cloud_rps: 100.0,
+        list_lag_ms: 3_000,
+        memory_mb: 56.0,
+        max_machines: 5_000,
+        incarnation: 7,
+        policy: Policy { leader_lease: 0.5, ..Policy::default() },
+    }
+}
+
+fn spec(team: &str) -> JobSpec {
+    JobSpec {
+        kind: JobKind::Array,
+        class: "c".into(),
+        team: team.into(),
+        priority: Priority::Normal,
+        tasks: TASKS,
+        cpus: 4.0,
+        gpus: 0.0,
+        memory_gb: 1.0,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: true,
+        image: "i".into(),
+        image_gb: 1.0,
+        estimate_s: 10.0,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+    }
+}
+
+fn machine_type() -> MachineType {
+    MachineType {
+        name: "x".into(),
+        cpus: 8.0,
+        gpus: 0.0,
+        memory_gb: 64.0,
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 0.4,
+        boot_s: 8.0,
+        zones: vec!["a".into()],
+    }
+}
+
+/// A controller under test, and everything that it talks to.
+pub struct Trace {
+    controller: Controller,
+    now: u64,
+    store: TraceStore,
+    last_request: u64,
+    /// Answers that no line of the trace has asked for yet.
+    answers: VecDeque<String>,
+    /// The attempt that each `job/task` was started with last.
+    attempts: BTreeMap<String, Attempt>,
+}
+
+impl Trace {
+    fn new() -> Self {
+        Trace {
+            controller: Controller::new(Arc::new(settings()), 1),
+            now: 0,
+            store: TraceStore::default(),
+            last_request: 0,
+            answers: VecDeque::new(),
+            attempts: BTreeMap::new(),
+        }
+    }
+
+    /// Plays a trace; panics where an answer is not the one that stands there.
+    pub fn play(name: &str, text: &str) {
+        let mut trace = Trace::new();
+        for (index, line) in text.lines().enumerate() {
+            let line = line.split('#').next().unwrap().trim();
+            let at = format!("{name}, line {}", index + 1);
+            if let Some(wanted) = line.strip_prefix("->") {
+                let answer = trace.answers.pop_front().unwrap_or_else(|| "nothing".to_string());
+                assert_eq!(answer, wanted.trim(), "{at}");
+            } else if !line.is_empty() {
+                assert!(trace.answers.is_empty(), "{at}: {:?} was not expected", trace.answers);
+                trace.line(line);
+            }
+        }
+        assert!(trace.answers.is_empty(), "{name}: {:?} was not expected", trace.answers);
+    }
+
+    fn next_request(&mut self) -> RequestId {
+        self.last_request += 1;
+        RequestId(self.last_request)
+    }
+
+    /// Feeds an input, and the replies to all that comes of it.
+    fn feed(&mut self, input: Input) {
+        let mut inputs = vec![input];
+        while let Some(input) = inputs.pop() {
+            for effect in self.controller.step(self.now, self.now as i64, input) {
+                inputs.extend(self.carry_out(effect));
+            }
+        }
+    }
+
+    /// The reply, if one comes at once.
+    fn carry_out(&mut self, effect: Effect) -> Option<Input> {
+        match effect {
+            Effect::Store {
+                op,
+                call: StoreRequest::Watch { prefix, after, wait_ms },
+                timeout_ms,
+            } => {
+                let due = self.now + wait_ms;
+                let given_up = self.now + timeout_ms;
+                self.store.watches.push(OpenWatch { op, prefix, after, due, given_up });
+                None
+            }
+            Effect::Store { op, call, .. } => {
+                Some(Input::Store { op, reply: self.store.request(call) })
+            }
+            Effect::Cloud { op, call, .. } => Some(Input::Cloud { op, reply: cloud_reply(&call) }),
+            Effect::Answer { answer, .. } => {
+                let line = self.describe(&answer);
+                self.answers.push_back(line);
+                None
+            }
+            Effect::Log(LogEvent::Heartbeat(
+                violation @ HeartbeatEvent::RenewalViolation { .. },
+            )) => panic!("{violation:?}"),
+            _ => None,
+        }
+    }
+
+    /// An answer as a trace writes it.
+    fn describe(&mut self, answer: &Answer) -> String {
+        match answer {
+            Answer::Created { .. } => "201".into(),
+            Answer::Job { view, .. } => format!("200 {view:?}").to_lowercase(),
+            Answer::NotFound => "404".into(),
+            Answer::Unschedulable(_) => "422".into(),
+            Answer::Invalid(_) => "400".into(),
+            Answer::Unavailable { .. } => "503".into(),
+            Answer::Limits(report) => format!("limits of {}", report.controller),
+            Answer::NotLeader { leader } => format!("421 {}", leader.as_deref().unwrap_or("-")),
+            Answer::Commands { token, commands } => {
+                let mut words = vec![format!("token {}", token.0)];
+                words.extend(commands.iter().map(|command| self.describe_command(command)));
+                words.join(", ")
+            }
+        }
+    }
+
+    fn describe_command(&mut self, command: &TaskCommand) -> String {
+        let name = |task: &TaskId| format!("{}/{}", task.job.0, task.index);
+        match command {
+            TaskCommand::Start { task, attempt } => {
+                self.attempts.insert(name(task), *attempt);
+                format!("start {}", name(task))
+            }
+            TaskCommand::Stop { task, .. } => format!("stop {}", name(task)),
+            TaskCommand::Forget { task, .. } => format!("forget {}", name(task)),
+        }
+    }
+
+    /// Lets time pass.
+    fn run_for(&mut self, ms: u64) {
+        let until = self.now + ms;
+        while self.now < until {
+            self.now += TICK_MS;
+            self.feed(Input::Tick);
+            for watch in std::mem::take(&mut self.store.watches) {
+                match self.store.reply_to(&watch, self.now) {
+                    Some(reply) => self.feed(Input::Store { op: watch.op, reply }),
+                    None => self.store.watches.push(watch),
+                }
+            }
+        }
+    }
+}
+
+/// The cloud has no machine to give.
+fn cloud_reply(call: &CloudRequest) -> CloudReply {
+    match call {
+        CloudRequest::Types => CloudReply::Types(vec![machine_type()]),
+        CloudRequest::Provision { .. } => CloudReply::NoCapacity,
+        CloudRequest::Terminate(_) => CloudReply::Terminated,
+        CloudRequest::List { .. } => CloudReply::Listed { machines: Vec::new(), more: false },
+    }
+}
