--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -1,6 +1,7 @@
 //! Machines given back, and what silence of many of them means.
 
 use crate::leader::autoscaler::provisioning_time::NEVER;
+use crate::leader::scheduler::services::{silent_machines_with_replicas, FEW_OF_ZONE};
 use crate::leader::*;
 
 impl Leader {
@@ -29,9 +30,9 @@
             zone.0 += 1;
             zone.1 += unheard(m) as usize;
         }
-        let given_up = self.silent_with_replicas(ctx);
+        let given_up = silent_machines_with_replicas(ctx, &self.cluster, self.liveness.woke);
         let late = ctx.now > self.since.max(woke) + ctx.cfg.lease_ms / 2;
-        let few = |zone: &str| late && zones.get(zone).is_some_and(|(n, s)| s * UNHEARD_FEW <= *n);
+        let few = |zone: &str| late && zones.get(zone).is_some_and(|(n, s)| s * FEW_OF_ZONE <= *n);
         let mut go = Vec::new();
         for m in self.cluster.machines.values() {
             let age = ctx.now - m.known_since;
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -1,5 +1,8 @@
 //! Machines rented and given back.
 
+use crate::leader::scheduler::capacity::type_index;
+use crate::leader::scheduler::reserved_capacity::machines_for_services;
+use crate::leader::scheduler::services::machines_with_replicas;
 use crate::leader::*;
 
 impl Leader {
@@ -32,7 +35,7 @@
     /// Machines of this kind that jobs with wishes of their own still lack: few
     /// machines may be of a type, zone and kind that such a job allows.
     fn lacking(&self, ctx: &Context, live: &[&Machine], kind: &MachineKind) -> usize {
-        let Some(i) = Self::type_index(ctx.types, &kind.machine_type) else { return 0 };
+        let Some(i) = type_index(ctx.types, &kind.machine_type) else { return 0 };
         let t = &ctx.types[i];
         let wishes = |s: &JobSpec| !s.spot || s.zone.is_some() || s.types.is_some();
         let fits_kind = |s: &JobSpec, ty: &MachineType, zone: &str, spot: bool| {
@@ -53,7 +56,7 @@
             let limit = ctx.cfg.teams[j.team].room((0.0, 0.0), &j.spec);
             let need = j.wanted().min(limit).div_ceil(t.holds(&j.spec)) as usize;
             let ok = |m: &&&Machine| {
-                Self::type_index(ctx.types, &m.machine_type)
+                type_index(ctx.types, &m.machine_type)
                     .is_some_and(|i| fits_kind(&j.spec, &ctx.types[i], &m.zone, m.spot))
             };
             most = most.max(need.saturating_sub(live.iter().filter(ok).count()));
@@ -162,8 +165,15 @@
         }
         let count = |name: &str| have.get(name).copied().unwrap_or(0);
         let kinds = self.autoscaler.rental.kinds(ctx.types, |_| 0);
-        let standing: BTreeMap<MachineKind, usize> =
-            kinds.iter().map(|k| (k.clone(), self.standing(ctx, k))).collect();
+        let standing: BTreeMap<MachineKind, usize> = kinds
+            .iter()
+            .map(|k| {
+                (
+                    k.clone(),
+                    machines_for_services(ctx, &self.cluster, &self.scheduler.replica_sizes, k),
+                )
+            })
+            .collect();
         let standing = |k: &MachineKind| standing.get(k).copied().unwrap_or(0);
         let lacking: BTreeMap<MachineKind, usize> = kinds
             .into_iter()
@@ -234,7 +244,7 @@
                 ctx.now
             }
         };
-        let replicas = self.with_replicas();
+        let replicas = machines_with_replicas(&self.cluster);
         for w in &wants {
             // Dearer machines take no more work once renting half of them would not pay.
             let boot_ms =
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -1,6 +1,7 @@
 //! Answers to workers' reports, step by step. Whether one may renew a lease is decided in
 //! [`crate::lease_renewal`]; here is what the leader does with the report, and its own orders.
 
+use crate::leader::scheduler::capacity::type_index;
 use crate::leader::*;
 use crate::lease_renewal::{Permit, Refusal};
 
@@ -38,9 +39,9 @@
         self.take_report(ctx, calls, heartbeat)?;
         let permit = permit?;
         if self.scheduler.changed && ctx.job_cache_is_fresh {
-            self.place(ctx, calls, rng);
+            self.schedule(ctx, calls, rng);
         }
-        self.fill(ctx, &heartbeat.machine, rng);
+        self.backfill(ctx, &heartbeat.machine, rng);
         let commands = self.commands(ctx, &heartbeat.machine, permit.room());
         Ok(permit.answer(self.token, commands))
     }
@@ -100,9 +101,9 @@
         // A machine that was not reconciled for, or late, has become one to place on, and
         // its room may be what a waiting job lacks.
         let m = &self.cluster.machines[id];
-        let room = Self::type_index(ctx.types, &m.machine_type)
-            .is_some_and(|i| m.used().0 < ctx.types[i].cpus);
-        self.scheduler.changed |= !usable || (room && self.scheduler.short_of_room);
+        let room =
+            type_index(ctx.types, &m.machine_type).is_some_and(|i| m.used().0 < ctx.types[i].cpus);
+        self.scheduler.changed |= !usable || (room && self.scheduler.short_of_capacity);
         Ok(())
     }
 
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -1,18 +1,12 @@
 //! What workers' reports change in the account of every task.
 
+use crate::leader::scheduler::assignment::task_need;
+use crate::leader::scheduler::services::another_replica_runs;
 use crate::leader::*;
 
 impl Leader {
     pub(in crate::leader) fn need(&self, job: JobId) -> Option<Need> {
-        let j = self.cluster.jobs.get(&job)?;
-        Some(Need {
-            team: j.team,
-            cpus: j.spec.cpus,
-            gpus: j.spec.gpus,
-            memory_gb: j.spec.memory_gb,
-            priority: j.spec.priority,
-            save_s: (j.spec.checkpoint_s > 0.0).then_some(j.spec.save_s),
-        })
+        self.cluster.jobs.get(&job).map(task_need)
     }
 
     pub(in crate::leader) fn change(
@@ -32,7 +26,7 @@
                 None
             }
             TaskChange::Here { task, attempt } => {
-                self.scheduler.pass = None;
+                self.scheduler.last_cycle = None;
                 let need = self.need(task.job);
                 let m = self.cluster.machines.get_mut(machine)?;
                 let e = m.entries.get_mut(&(task, attempt))?;
@@ -58,7 +52,7 @@
             }
             TaskChange::Exited { task, attempt, why, ran_ms } => {
                 self.scheduler.changed = true;
-                let stands = self.service_stands(ctx, task);
+                let stands = another_replica_runs(ctx, &self.cluster, task);
                 let need = self.need(task.job);
                 let m = self.cluster.machines.get_mut(machine)?;
                 if let Some(e) = m.entries.get_mut(&(task, attempt)) {
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -178,7 +178,7 @@
                 j.mod_revision = a.mod_revision;
             } else {
                 self.cluster.jobs.insert(job, RunJob::new(job, team, a));
-                self.note_shape(ctx, &a.spec);
+                self.scheduler.replica_sizes.note(ctx, &a.spec);
                 if self.loaded() {
                     self.apply_loaded(job);
                 }
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -9,8 +9,6 @@
 use crate::io::*;
 use crate::jobs::{JobCache, RunJob};
 use crate::leader::autoscaler::provisioning::{MachineKind, ProvisioningRequest};
-use crate::leader::scheduler::bin_packing::{choose, Room, Spread, Wish};
-use crate::leader::scheduler::deadline_feasibility::{in_reach, Candidate};
 use crate::machines::*;
 use crate::model::*;
 use crate::settings::Settings;
@@ -25,7 +23,6 @@
 use persistence::Writer;
 use rand::rngs::SmallRng;
 use scheduler::Scheduler;
-use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 pub mod autoscaler;
@@ -82,23 +79,6 @@
     most: usize,
 }
 
-/// Seconds a job can still lose, by objective that it may meet, the nearest last.
-/// Estimates are often wrong, so a little overdue still counts.
-fn spares_s(ctx: &Context, j: &RunJob) -> Vec<f64> {
-    let age = (ctx.wall - j.at) as f64 / 1000.0;
-    let mut spares: Vec<f64> = ctx
-        .cfg
-        .completion_objectives_s(&j.spec)
-        .map(|due| due - age - j.spec.estimate_s)
-        .filter(|spare| *spare > -0.3 * j.spec.estimate_s)
-        .chain(
-            ctx.cfg.start_objectives_s(&j.spec).map(|due| due - age).filter(|spare| *spare > 0.0),
-        )
-        .collect();
-    spares.sort_by(|a, b| b.total_cmp(a));
-    spares
-}
-
 /// What the reply to a flush asks of the controller.
 #[derive(Default)]
 pub struct WriteOutcome {
@@ -113,12 +93,6 @@
 const DEAR: f64 = 1.5;
 /// The part of its boot time for which a dear machine must find work.
 const DEAR_PAYS: f64 = 0.7;
-/// Workers' leases that a job waits for its first task before it goes first.
-const UNBEGUN_LEASES: WallMs = 9;
-/// Workers' leases that a job must have to lose to wait for room rather than stop others.
-const SOON_LEASES: f64 = 2.0;
-/// Workers' leases that the first tasks of a job run before they may be stopped for others.
-const FIRST_LEASES: f64 = 3.5;
 /// The part of its estimate that a task nearly always runs.
 const SURELY_RUNS: f64 = 0.7;
 /// Jobs that fail everywhere, of which a successor is told.
@@ -128,8 +102,6 @@
 /// Rentals on their way at once: one after the other, a fleet that begins with no machine
 /// would come up by the time of an answer for each.
 const RENTALS_MOST: usize = 8;
-/// One in so many machines of a zone that are silent after a takeover is few.
-const UNHEARD_FEW: usize = 8;
 /// Jobs that wait to be read, per megabyte; what a report names beyond that is read later.
 const UNREAD_PER_MB: f64 = 40.0;
 /// Nor more names in one release.
@@ -243,7 +215,7 @@
             && ctx.holds_valid_lease
             && ctx.job_cache_is_fresh
         {
-            self.place(ctx, calls, rng);
+            self.schedule(ctx, calls, rng);
         }
         self.flush(ctx, calls);
         if ctx.holds_valid_lease {
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -166,6 +166,7 @@
 
     /// CPUs that each team's tasks may be using.
     pub fn use_by_team(&self, ctx: &Context) -> Vec<f64> {
-        self.usage(ctx).into_iter().map(|(cpus, _)| cpus).collect()
+        let used = scheduler::capacity::team_usage(ctx, &self.cluster);
+        used.into_iter().map(|used| used.cpus).collect()
     }
 }
--- /dev/null
+++ b/crates/basaltrail-core/src/leader/scheduler/accounting.rs
@@ -0,0 +1,58 @@
+//! Accrual of received and fair CPU time for teams and jobs.
+
+use super::capacity::type_index;
+use crate::fairness::Ledger;
+use crate::leader::cluster::Cluster;
+use crate::leader::Context;
+use crate::model::JobId;
+use std::collections::HashMap;
+
+/// CPUs that run tasks now.
+struct RunningCpus {
+    by_team: Vec<f64>,
+    by_job: HashMap<JobId, f64>,
+}
+
+/// Accrues received and fair time (paper, equations 2, 11, 13 and 14) since the last call for
+/// all teams and jobs. Returns the CPUs of all machines whose lease is valid.
+pub(in crate::leader) fn accrue_shares(
+    ctx: &Context,
+    cluster: &mut Cluster,
+    ledger: &mut Ledger,
+) -> f64 {
+    let (fleet_cpus, running) = count_cpus(ctx, cluster);
+    let elapsed_s = ledger.accrue(ctx.cfg, ctx.now, fleet_cpus, &running.by_team);
+    let mut active_jobs = vec![0u32; ctx.cfg.teams.len()];
+    for job in cluster.jobs.values().filter(|job| job.ended.is_none() && !job.health.suspect()) {
+        active_jobs[job.team] += 1;
+    }
+    for job in cluster.jobs.values_mut().filter(|job| job.ended.is_none()) {
+        let unfinished = job.spec.tasks - job.done.count().min(job.spec.tasks);
+        let demand = unfinished as f64 * job.spec.cpus;
+        let quota = Ledger::quota(ctx.cfg, job.team, fleet_cpus);
+        let share = quota / active_jobs[job.team].max(1) as f64;
+        job.account.fair += share.min(demand) * elapsed_s;
+        job.account.received += running.by_job.get(&job.id).copied().unwrap_or(0.0) * elapsed_s;
+    }
+    fleet_cpus
+}
+
+/// CPUs of all machines whose lease is valid, and what runs there.
+fn count_cpus(ctx: &Context, cluster: &Cluster) -> (f64, RunningCpus) {
+    let mut running =
+        RunningCpus { by_team: vec![0.0; ctx.cfg.teams.len()], by_job: HashMap::new() };
+    let mut fleet_cpus = 0.0;
+    let up = cluster.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired);
+    for machine in up {
+        if let Some(index) = type_index(ctx.types, &machine.machine_type) {
+            fleet_cpus += ctx.types[index].cpus;
+        }
+        for ((task, _), slot) in machine.entries.iter().filter(|(_, slot)| slot.runs()) {
+            if let Some(need) = slot.need {
+                running.by_team[need.team] += need.cpus;
+                *running.by_job.entry(task.job).or_default() += need.cpus;
+            }
+        }
+    }
+    (fleet_cpus, running)
+}
--- /dev/null
+++ b/crates/basaltrail-core/src/leader/scheduler/backfill.rs
@@ -0,0 +1,110 @@
+//! Backfill of a machine whose heartbeat is being answered.
+//!
+//! Its free capacity is given to jobs in the order of the last cycle, so that the response
+//! carries the starts. Were they left to the next cycle, they would go out with the response to
+//! the next heartbeat, and the capacity would be idle until then.
+
+use super::assignment::{Assigner, SchedulerInputs};
+use super::capacity::{FreeCapacity, CPU_TOLERANCE};
+use super::cycle::CycleSnapshot;
+use super::fair_share_order::TeamHead;
+use super::Scheduler;
+use crate::model::{JobId, MachineId};
+
+impl Scheduler {
+    /// Assigns tasks to one machine by the order of the last cycle.
+    pub(in crate::leader) fn backfill(&mut self, inputs: SchedulerInputs, machine: &MachineId) {
+        let ctx = inputs.ctx;
+        let capacity = inputs
+            .cluster
+            .machines
+            .get(machine)
+            .and_then(|machine| FreeCapacity::of_machine(ctx, machine))
+            .filter(|_| ctx.holds_valid_lease && ctx.job_cache_is_fresh);
+        let Some(capacity) = capacity else { return };
+        let Some(mut snapshot) = self.last_cycle.take() else { return };
+        self.visited += 1;
+        let used = std::mem::take(&mut snapshot.used);
+        let assigner = Assigner { scheduler: self, inputs, free: vec![capacity], used };
+        let mut backfill = Backfill { assigner };
+        backfill.run(&mut snapshot, machine);
+        snapshot.used = backfill.assigner.used;
+        self.last_cycle = Some(snapshot);
+    }
+}
+
+struct Backfill<'a> {
+    /// With one machine, or none once it is full.
+    assigner: Assigner<'a>,
+}
+
+impl Backfill<'_> {
+    fn run(&mut self, snapshot: &mut CycleSnapshot, machine: &MachineId) {
+        for id in &snapshot.high_priority_services {
+            self.assign(*id, u32::MAX);
+        }
+        if let Some(capacity) = self.assigner.free.first_mut() {
+            snapshot.reserved_capacity.withhold(self.assigner.inputs.ctx.types, capacity);
+        }
+        self.assigner.free.retain(|capacity| capacity.free.cpus > CPU_TOLERANCE);
+        for id in &snapshot.one_task_first {
+            self.assign(*id, 1);
+        }
+        if snapshot.reserved_machine.as_ref() == Some(machine) {
+            return;
+        }
+        let preemptors: Vec<JobId> =
+            self.assigner.scheduler.preemption_reservations.keys().copied().collect();
+        for id in preemptors {
+            self.assign(id, u32::MAX);
+        }
+        self.assign_by_fair_share(&snapshot.waiting);
+    }
+
+    /// Assigns tasks of a job of the last cycle, if they may still be started.
+    fn assign(&mut self, id: JobId, most: u32) {
+        if self.may_start(id) {
+            self.assigner.assign(id, most);
+        }
+    }
+
+    /// Whether tasks of a job of the last cycle may still be started.
+    fn may_start(&self, id: JobId) -> bool {
+        let inputs = &self.assigner.inputs;
+        let job = inputs.cluster.jobs.get(&id);
+        job.is_some_and(|job| job.pending() > 0 && job.health.not_before() <= inputs.ctx.now)
+            && !inputs.unknown_jobs.contains(&id)
+    }
+
+    /// Looks at a bounded number of jobs, since it runs with every heartbeat.
+    fn assign_by_fair_share(&mut self, waiting: &[Vec<JobId>]) {
+        let mut next = vec![0; waiting.len()];
+        for _ in 0..self.assigner.inputs.ctx.cfg.policy.sample {
+            if self.assigner.free.is_empty() {
+                break;
+            }
+            self.skip_unstartable(waiting, &mut next);
+            let positions = waiting.iter().zip(&next).enumerate();
+            let heads = positions.filter_map(|(team, (jobs, position))| {
+                jobs.get(*position).map(|job| TeamHead { team, job: *job })
+            });
+            let Some(head) = self.assigner.order().next(heads, &self.assigner.used) else { break };
+            if self.assigner.assign(head.job, u32::MAX) {
+                continue;
+            }
+            next[head.team] += 1;
+            if self.assigner.blocked_by_limit(head.job) {
+                next[head.team] = usize::MAX;
+            }
+        }
+    }
+
+    /// Moves the position of each team to its next job that may still be started.
+    fn skip_unstartable(&self, waiting: &[Vec<JobId>], next: &mut [usize]) {
+        for (team, jobs) in waiting.iter().enumerate() {
+            while jobs.get(next[team]).is_some_and(|id| !self.may_start(*id)) {
+                next[team] += 1;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/basaltrail-core/src/leader/scheduler/capacity.rs
@@ -0,0 +1,123 @@
+//! What machines have left for new tasks, and what teams use of the cluster.
+
+use crate::leader::autoscaler::provisioning::MachineKind;
+use crate::leader::cluster::Cluster;
+use crate::leader::Context;
+use crate::machines::{Decommission, Machine};
+use crate::model::{JobSpec, MachineId, MachineType};
+use crate::resources::Resources;
+use std::collections::BTreeSet;
+
+/// CPUs up to which an amount counts as none: sums of floating-point numbers leave such
+/// remainders.
+pub(in crate::leader) const CPU_TOLERANCE: f64 = 1e-9;
+
+/// Heartbeat intervals after the last heartbeat for which a machine is given new tasks.
+const HEARD_INTERVALS: u64 = 2;
+
+/// A machine with free capacity, as a scheduling cycle sees it.
+#[derive(Clone, Debug)]
+pub struct FreeCapacity {
+    /// The machine.
+    pub machine: MachineId,
+    /// The position of its type among the known machine types.
+    pub type_index: usize,
+    /// Its zone.
+    pub zone: String,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+    /// What no task of it takes.
+    pub free: Resources,
+}
+
+impl FreeCapacity {
+    /// What is free on a machine; nothing if it takes no new tasks or is full.
+    pub(in crate::leader) fn of_machine(ctx: &Context, machine: &Machine) -> Option<Self> {
+        let type_index =
+            type_index(ctx.types, &machine.machine_type).filter(|_| accepts_tasks(ctx, machine))?;
+        let (cpus, gpus, memory_gb) = machine.used();
+        let used = Resources { cpus, gpus, memory_gb };
+        let free = Resources::of_machine_type(&ctx.types[type_index]) - used;
+        (free.cpus > CPU_TOLERANCE).then(|| FreeCapacity {
+            machine: machine.id.clone(),
+            type_index,
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            free,
+        })
+    }
+
+    /// How many tasks of a job the free resources hold.
+    pub fn fits(&self, job: &JobSpec) -> u32 {
+        self.free.fits(&Resources::of_task(job))
+    }
+
+    /// Takes the resources of so many tasks of a job.
+    pub fn take(&mut self, job: &JobSpec, tasks: u32) {
+        self.free -= Resources::of_task(job) * tasks as f64;
+    }
+
+    /// Whether the job's own constraints permit its tasks here (PROTOCOL, `POST /api/jobs`).
+    pub(in crate::leader) fn permitted_by(&self, job: &JobSpec, types: &[MachineType]) -> bool {
+        (job.spot || !self.spot)
+            && job.zone.as_deref().is_none_or(|zone| zone == self.zone)
+            && types[self.type_index].allowed(job)
+    }
+}
+
+/// The position of a machine type among the known ones.
+pub(in crate::leader) fn type_index(types: &[MachineType], name: &str) -> Option<usize> {
+    types.iter().position(|machine_type| machine_type.name == name)
+}
+
+/// Whether a machine may be given new tasks now.
+pub(in crate::leader) fn accepts_tasks(ctx: &Context, machine: &Machine) -> bool {
+    machine.reconciled
+        && machine.hears
+        && ctx.now >= machine.deaf_until
+        && machine.durable
+        && !machine.lease_expired
+        && machine.decommission == Decommission::No
+        && !machine.notice(ctx.now)
+        && !machine.faulty(ctx.now, ctx.cfg.lease_ms)
+        && ctx.now >= machine.no_room_until
+        && machine
+            .last_heartbeat
+            .is_some_and(|at| ctx.now <= at + ctx.cfg.heartbeat_interval_ms * HEARD_INTERVALS)
+}
+
+/// What each team may have in use anywhere, by team index. It never counts too little: the
+/// limits of teams hold whatever unreconciled machines run.
+pub(in crate::leader) fn team_usage(ctx: &Context, cluster: &Cluster) -> Vec<Resources> {
+    let mut used = vec![Resources::default(); ctx.cfg.teams.len()];
+    for machine in cluster.machines.values() {
+        let holds_unknown = |machine: &Machine| {
+            machine.entries.values().any(|slot| slot.holds() && slot.need.is_none())
+        };
+        if !machine.reconciled || holds_unknown(machine) {
+            // An earlier leader's tasks of any team may fill it.
+            let whole = whole_machine(ctx.types, &machine.machine_type);
+            used.iter_mut().for_each(|used| *used += whole);
+            continue;
+        }
+        for need in machine.entries.values().filter(|slot| slot.holds()).filter_map(|s| s.need) {
+            used[need.team] +=
+                Resources { cpus: need.cpus, gpus: need.gpus, memory_gb: need.memory_gb };
+        }
+    }
+    used
+}
+
+/// All that a machine of this type may hold; without bound if the type is not known.
+fn whole_machine(types: &[MachineType], name: &str) -> Resources {
+    type_index(types, name).map_or(
+        Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory_gb: f64::INFINITY },
+        |index| Resources::of_machine_type(&types[index]),
+    )
+}
+
+/// Kinds of the machines on which tasks of earlier leaders may run that no heartbeat has shown
+/// to this leader yet.
+pub(in crate::leader) fn unreconciled_kinds(cluster: &Cluster) -> BTreeSet<MachineKind> {
+    cluster.machines.values().filter(|machine| !machine.reconciled).map(Machine::kind).collect()
+}
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
@@ -1,64 +1,202 @@
-//! Which jobs can still be in time, when more is asked than can be done.
+//! Which jobs can still meet an objective, when more is asked than can be run.
 //!
-//! By dates alone an overload makes every job a little late. Taken by their dates, jobs
-//! whose tasks cannot all be begun in time give up the largest among them (Moore and
-//! Hodgson's rule for the least number of late jobs), which then tries its next date.
+//! Ordered by deadline alone, an overload makes every job a little late. By the algorithm of
+//! Moore and Hodgson, which minimises the number of late jobs, jobs are taken in the order of
+//! their deadlines; where those so far cannot all be started in time, the largest of them is
+//! given up, and then tries its next objective (paper, section 5.2.1: urgent jobs).
 
-use crate::model::JobId;
-use std::cmp::Ordering;
-use std::collections::BinaryHeap;
+use crate::fairness::Ledger;
+use crate::jobs::RunJob;
+use crate::leader::cluster::Cluster;
+use crate::leader::Context;
+use crate::model::{JobId, Priority};
+use crate::resources::Resources;
+use std::cmp::{Ordering, Reverse};
+use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// A job that may be in time.
+/// The part of its estimate by which a job may be late and still count as feasible: estimates
+/// are often wrong.
+const TOLERATED_LATENESS: f64 = 0.3;
+
+/// A job that may meet an objective.
 #[derive(Clone, Debug)]
 pub struct Candidate {
+    /// The job.
     pub job: JobId,
-    /// CPUs of its tasks that wait to be begun.
-    pub need: f64,
-    /// Seconds until its last task must have begun, by objective, the nearest last.
-    pub spares: Vec<f64>,
+    /// CPUs of its tasks that wait to be started.
+    pub pending_cpus: f64,
+    /// Slack by objective, the nearest last: seconds until its last task must have started.
+    pub slacks_s: Vec<f64>,
+}
+
+/// A candidate with the objective that it tries; the one with the least slack is the greatest,
+/// so that a heap gives it first.
+struct Attempt {
+    slack_s: f64,
+    candidate: Candidate,
 }
 
-struct Next(f64, Candidate);
+impl Attempt {
+    /// The candidate with its next objective, if it has one left.
+    fn next(mut candidate: Candidate) -> Option<Self> {
+        let slack_s = candidate.slacks_s.pop()?;
+        Some(Attempt { slack_s, candidate })
+    }
+}
 
-impl Ord for Next {
-    fn cmp(&self, o: &Self) -> Ordering {
-        o.0.total_cmp(&self.0).then(o.1.job.cmp(&self.1.job))
+impl Ord for Attempt {
+    fn cmp(&self, other: &Self) -> Ordering {
+        other.slack_s.total_cmp(&self.slack_s).then(other.candidate.job.cmp(&self.candidate.job))
     }
 }
-impl PartialOrd for Next {
-    fn partial_cmp(&self, o: &Self) -> Option<Ordering> {
-        Some(self.cmp(o))
+
+impl PartialOrd for Attempt {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
     }
 }
-impl PartialEq for Next {
-    fn eq(&self, o: &Self) -> bool {
-        self.cmp(o) == Ordering::Equal
+
+impl PartialEq for Attempt {
+    fn eq(&self, other: &Self) -> bool {
+        self.cmp(other) == Ordering::Equal
     }
 }
-impl Eq for Next {}
-
-/// The jobs in reach with the seconds each can lose, if `at_once` CPUs can be begun now
-/// and `per_s` more in every second.
-pub fn in_reach(candidates: Vec<Candidate>, at_once: f64, per_s: f64) -> Vec<(JobId, f64)> {
-    let next = |mut c: Candidate| c.spares.pop().map(|s| Next(s, c));
-    let mut open: BinaryHeap<Next> = candidates.into_iter().filter_map(next).collect();
-    let mut kept: Vec<(f64, Candidate)> = Vec::new();
-    let mut begun = 0.0;
-    while let Some(Next(spare, c)) = open.pop() {
-        begun += c.need;
-        kept.push((spare, c));
-        while begun > at_once + per_s * spare.max(0.0) + 1e-9 {
-            let largest = (0..kept.len()).max_by(|a, b| {
-                let (a, b) = (&kept[*a], &kept[*b]);
-                a.1.need.total_cmp(&b.1.need).then(b.1.job.cmp(&a.1.job))
-            });
-            let Some(largest) = largest.filter(|l| kept[*l].1.need > 0.0) else { break };
-            let (_, out) = kept.swap_remove(largest);
-            begun -= out.need;
-            open.extend(next(out));
+
+impl Eq for Attempt {}
+
+/// The jobs that can meet an objective, with their slack in seconds, if `available_cpus` can be
+/// started now and `cpus_per_s` more in every second.
+pub fn feasible_jobs(
+    candidates: Vec<Candidate>,
+    available_cpus: f64,
+    cpus_per_s: f64,
+) -> Vec<(JobId, f64)> {
+    let mut open: BinaryHeap<Attempt> = candidates.into_iter().filter_map(Attempt::next).collect();
+    let mut kept: Vec<Attempt> = Vec::new();
+    let mut started_cpus = 0.0;
+    while let Some(attempt) = open.pop() {
+        let slack_s = attempt.slack_s;
+        started_cpus += attempt.candidate.pending_cpus;
+        kept.push(attempt);
+        while started_cpus > available_cpus + cpus_per_s * slack_s.max(0.0) + 1e-9 {
+            let Some(largest) = largest(&kept) else { break };
+            let given_up = kept.swap_remove(largest).candidate;
+            started_cpus -= given_up.pending_cpus;
+            open.extend(Attempt::next(given_up));
+        }
+    }
+    kept.into_iter().map(|attempt| (attempt.candidate.job, attempt.slack_s)).collect()
+}
+
+/// The position of the job with the most CPUs to start; none if nothing is left to give up.
+fn largest(kept: &[Attempt]) -> Option<usize> {
+    (0..kept.len())
+        .max_by(|a, b| {
+            let (a, b) = (&kept[*a].candidate, &kept[*b].candidate);
+            a.pending_cpus.total_cmp(&b.pending_cpus).then(b.job.cmp(&a.job))
+        })
+        .filter(|index| kept[*index].candidate.pending_cpus > 0.0)
+}
+
+/// Slack in seconds of a job for each objective that it may still meet, the nearest last.
+fn slacks_s(ctx: &Context, job: &RunJob) -> Vec<f64> {
+    let age_s = (ctx.wall - job.at) as f64 / 1000.0;
+    let estimate_s = job.spec.estimate_s;
+    let by_completion = ctx
+        .cfg
+        .completion_objectives_s(&job.spec)
+        .map(|due_s| due_s - age_s - estimate_s)
+        .filter(|slack_s| *slack_s > -TOLERATED_LATENESS * estimate_s);
+    let by_start = ctx
+        .cfg
+        .start_objectives_s(&job.spec)
+        .map(|due_s| due_s - age_s)
+        .filter(|slack_s| *slack_s > 0.0);
+    let mut slacks_s: Vec<f64> = by_completion.chain(by_start).collect();
+    slacks_s.sort_by(|a, b| b.total_cmp(a));
+    slacks_s
+}
+
+/// What a team has to run, as far as deadlines are concerned.
+#[derive(Default)]
+struct TeamLoad {
+    /// Candidates by priority, the highest first.
+    candidates: BTreeMap<Reverse<Priority>, Vec<Candidate>>,
+    /// CPUs of unfinished tasks of arrays.
+    array_cpus: f64,
+    /// CPU-seconds of the same by their estimates.
+    array_cpu_s: f64,
+    /// CPUs of replicas that are placed.
+    placed_replica_cpus: f64,
+    /// CPUs of replicas that wait.
+    pending_replica_cpus: f64,
+    /// Services that lack a replica.
+    incomplete_services: Vec<JobId>,
+}
+
+impl TeamLoad {
+    fn add(&mut self, ctx: &Context, job: &RunJob) {
+        if job.spec.is_service() {
+            self.add_service(job);
+        } else {
+            self.add_array(ctx, job);
+        }
+    }
+
+    /// A service has neither an end nor a deadline: what of it is missing is late already, and
+    /// what runs is no work that ends and frees its capacity.
+    fn add_service(&mut self, job: &RunJob) {
+        self.placed_replica_cpus += job.placed.len() as f64 * job.spec.cpus;
+        if job.pending() > 0 {
+            self.pending_replica_cpus += job.pending() as f64 * job.spec.cpus;
+            self.incomplete_services.push(job.id);
+        }
+    }
+
+    fn add_array(&mut self, ctx: &Context, job: &RunJob) {
+        let pending_cpus = job.pending() as f64 * job.spec.cpus;
+        let unfinished_cpus = pending_cpus + job.placed.len() as f64 * job.spec.cpus;
+        self.array_cpus += unfinished_cpus;
+        self.array_cpu_s += unfinished_cpus * job.spec.estimate_s;
+        let candidate = Candidate { job: job.id, pending_cpus, slacks_s: slacks_s(ctx, job) };
+        self.candidates.entry(Reverse(job.spec.priority)).or_default().push(candidate);
+    }
+}
+
+/// The slack in seconds of each job that can meet an objective, team by team and the higher
+/// priorities first: a team may start at once what it lacks of its share, and as much more as
+/// its tasks end.
+pub(in crate::leader) fn find_feasible(
+    ctx: &Context,
+    cluster: &Cluster,
+    fleet_cpus: f64,
+    used: &[Resources],
+) -> HashMap<JobId, f64> {
+    let mut feasible = HashMap::new();
+    for (team, used) in used.iter().enumerate() {
+        let mut load = TeamLoad::default();
+        let open = |job: &&RunJob| job.team == team && job.ended.is_none();
+        for job in cluster.jobs.values().filter(open).filter(|job| !job.health.suspect()) {
+            load.add(ctx, job);
+        }
+        feasible.extend(load.incomplete_services.iter().map(|job| (*job, 0.0)));
+        let share_cpus = match ctx.cfg.teams[team].without_guarantee() {
+            // Nobody knows what the others will leave it. By its quota nothing of it could be
+            // in time, and its longest tasks would go first.
+            true => fleet_cpus,
+            false => Ledger::quota(ctx.cfg, team, fleet_cpus),
+        };
+        let share_cpus = share_cpus.max(used.cpus);
+        let cpus_per_s = (share_cpus - load.placed_replica_cpus).max(0.0) * load.array_cpus
+            / load.array_cpu_s.max(1.0);
+        let mut available_cpus = share_cpus - used.cpus - load.pending_replica_cpus;
+        for (_, candidates) in load.candidates {
+            let pending_cpus: f64 = candidates.iter().map(|c| c.pending_cpus).sum();
+            feasible.extend(feasible_jobs(candidates, available_cpus, cpus_per_s));
+            available_cpus -= pending_cpus;
         }
     }
-    kept.into_iter().map(|(spare, c)| (c.job, spare)).collect()
+    feasible
 }
 
 #[cfg(test)]
--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -1,23 +1,69 @@
-//! Who makes room for work that must not wait.
+//! Preemption: which tasks are stopped for jobs that must not wait (PROTOCOL, "Preemption").
 
-use crate::leader::*;
+use super::assignment::{allowed_by_limit, zone_spread};
+use super::bin_packing::ZoneSpread;
+use super::capacity::{accepts_tasks, FreeCapacity, CPU_TOLERANCE};
+use super::Scheduler;
+use crate::jobs::RunJob;
+use crate::leader::autoscaler::provisioning::MachineKind;
+use crate::leader::cluster::Cluster;
+use crate::leader::Context;
+use crate::machines::{Need, TaskSlot};
+use crate::model::{Attempt, JobId, JobSpec, MachineId, Ms, Priority, TaskId};
+use crate::resources::Resources;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// Workers' leases of slack below which a job preempts others. One with more gets capacity as
+/// tasks end; each preemption costs a save and a start.
+const URGENT_LEASES: f64 = 2.0;
+/// Workers' leases that the first tasks of a job run before they may be preempted: a job whose
+/// first task is stopped as it begins has waited in vain.
+const FIRST_TASK_LEASES: f64 = 3.5;
+/// Times its own save that a task runs before it may be preempted: stopping what has just begun
+/// costs more than it ran.
+const MIN_RUN_PER_SAVE: f64 = 4.0;
+/// Seconds of grace beyond the time that a task needs to save.
+const SAVE_MARGIN_S: f64 = 1.0;
+/// Slack is compared in steps of this many seconds, so that small differences leave the order
+/// to the age of tasks.
+const SLACK_STEP_S: i64 = 30;
 
 /// CPUs that can soon be used, by kind of machine.
 #[derive(Default)]
-struct ComingRoom {
+struct ComingCapacity {
     cpus: BTreeMap<MachineKind, f64>,
 }
 
-impl ComingRoom {
+impl ComingCapacity {
+    /// CPUs that are free, or become free as tasks stop.
+    fn of(ctx: &Context, cluster: &Cluster, free: &[FreeCapacity]) -> Self {
+        let mut coming = ComingCapacity::default();
+        for capacity in free {
+            let machine_type = ctx.types[capacity.type_index].name.clone();
+            let (zone, spot) = (capacity.zone.clone(), capacity.spot);
+            coming.add(MachineKind { machine_type, zone, spot }, capacity.free.cpus);
+        }
+        for machine in cluster.machines.values() {
+            let stopping =
+                machine.entries.values().filter(|slot| slot.holds() && slot.stop.is_some());
+            let cpus: f64 = stopping.filter_map(|slot| slot.need).map(|need| need.cpus).sum();
+            if cpus > 0.0 {
+                coming.add(machine.kind(), cpus);
+            }
+        }
+        coming
+    }
+
     fn add(&mut self, kind: MachineKind, cpus: f64) {
         *self.cpus.entry(kind).or_default() += cpus;
     }
 
-    /// Takes up to `want` CPUs of the kinds that are useful; returns how many it took.
-    fn take(&mut self, want: f64, useful: impl Fn(&MachineKind) -> bool) -> f64 {
+    /// Takes up to `wanted` CPUs of the kinds that are useful; returns how many it took.
+    fn take(&mut self, wanted: f64, useful: impl Fn(&MachineKind) -> bool) -> f64 {
         let mut taken = 0.0;
         for (_, cpus) in self.cpus.iter_mut().filter(|(kind, _)| useful(kind)) {
-            let part = cpus.min(want - taken);
+            let part = cpus.min(wanted - taken);
             *cpus -= part;
             taken += part;
         }
@@ -25,161 +71,237 @@
     }
 }
 
-/// A task that may be stopped for others.
+/// A task that may be preempted.
 #[derive(Clone, Debug)]
-pub(in crate::leader) struct Victim {
+struct Victim {
     machine: MachineId,
     key: (TaskId, Attempt),
     need: Need,
 }
 
-/// Who goes first: lower priorities, then those with the most time to lose or none to win, and
-/// the youngest.
+/// Which victim goes first: lower priorities, then those with the most slack or that are late
+/// anyway, and the youngest.
 type VictimRank = (Priority, i64, Ms);
 
-impl Leader {
-    /// Tasks that may be stopped for others, in the order in which they go. Checkpointing work
-    /// only: what cannot save would lose all it has done.
-    pub(in crate::leader) fn victims(&self, ctx: &Context) -> Vec<Victim> {
-        let mut ranked: Vec<(VictimRank, Victim)> = Vec::new();
-        for m in self.cluster.machines.values().filter(|m| self.usable(ctx, m)) {
-            for (key, e) in &m.entries {
-                let Some(n) = e.need.filter(|n| n.save_s.is_some()) else { continue };
-                // Stopping what has just begun costs more than it ran.
-                let ran = e.running_since.map_or(0, |t| ctx.now - t) as f64 / 1000.0;
-                let young_s = n.save_s.map_or(0.0, |save| 4.0 * save);
-                // A job whose first task is stopped as it begins has waited in vain.
-                let first_s =
-                    if e.first { FIRST_LEASES * ctx.cfg.lease_ms as f64 / 1000.0 } else { 0.0 };
-                let young = ran < young_s.max(first_s);
-                if !e.runs() || e.stop.is_some() || young {
-                    continue;
-                }
-                let spare = self.scheduler.reach.get(&key.0.job);
-                let time = spare.map_or(i64::MIN, |s| -s as i64 / 30);
-                let victim = Victim { machine: m.id.clone(), key: *key, need: n };
-                ranked.push(((n.priority, time, Ms::MAX - e.since), victim));
-            }
-        }
-        sorted(ranked)
+/// A blocked job, and what it may preempt.
+struct Preemptor {
+    team: usize,
+    spec: Arc<JobSpec>,
+    spread: ZoneSpread,
+    /// CPUs that its waiting tasks lack.
+    wanted_cpus: f64,
+    /// CPUs that its team lacks of its guarantee.
+    guarantee_left: f64,
+    /// Whether it can meet an objective and has no slack to wait for tasks to end.
+    urgent: bool,
+    /// Whether its team has waited too long for its guarantee.
+    guarantee_overdue: bool,
+}
+
+impl Preemptor {
+    /// Capacity that the job may not use is none: tasks there would be stopped in vain.
+    fn may_use(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
+        self.spec.permits(machine_type, zone, spot) && self.spread.allowed_in(&self.spec, zone) > 0
     }
 
-    /// Tasks that may be stopped for a team that has waited too long for its guarantee: all that
-    /// hold room, also those that cannot save or have just begun; services last.
-    fn victims_of_guarantees(&self, ctx: &Context) -> Vec<Victim> {
-        let mut ranked: Vec<((bool, VictimRank), Victim)> = Vec::new();
-        for machine in self.cluster.machines.values().filter(|machine| self.usable(ctx, machine)) {
-            for (key, entry) in &machine.entries {
-                let held = entry.need.filter(|_| entry.holds() && entry.stop.is_none());
-                let Some(need) = held else { continue };
-                let service =
-                    self.cluster.jobs.get(&key.0.job).is_some_and(|job| job.spec.is_service());
-                let rank = (need.priority, 0, Ms::MAX - entry.since);
-                let victim = Victim { machine: machine.id.clone(), key: *key, need };
-                ranked.push(((service, rank), victim));
-            }
-        }
-        sorted(ranked)
+    fn satisfied(&self) -> bool {
+        self.wanted_cpus <= CPU_TOLERANCE
     }
 
-    /// CPUs that are free, or come free as tasks are stopped.
-    fn coming_room(&self, ctx: &Context, rooms: &[Room]) -> ComingRoom {
-        let mut coming = ComingRoom::default();
-        for room in rooms {
-            let machine_type = ctx.types[room.type_index].name.clone();
-            let kind = MachineKind { machine_type, zone: room.zone.clone(), spot: room.spot };
-            coming.add(kind, room.cpus);
-        }
-        for machine in self.cluster.machines.values() {
-            let stopped = machine.entries.values().filter(|e| e.holds() && e.stop.is_some());
-            let cpus: f64 = stopped.filter_map(|e| e.need).map(|need| need.cpus).sum();
-            if cpus > 0.0 {
-                coming.add(machine.kind(), cpus);
-            }
-        }
-        coming
+    /// Whether its team's guarantee covers one more of its tasks.
+    fn within_guarantee(&self) -> bool {
+        self.guarantee_left >= self.spec.cpus - CPU_TOLERANCE
+    }
+
+    /// Whether PROTOCOL permits to stop this task for the job: one of lower priority, or one that
+    /// another team runs beyond its guarantee. `borrowed_cpus` is what the task's team uses
+    /// beyond its guarantee.
+    fn may_preempt(&self, victim: &Need, borrowed_cpus: f64) -> bool {
+        let borrowed = borrowed_cpus >= victim.cpus - CPU_TOLERANCE;
+        let reclaims = victim.team != self.team && self.within_guarantee() && borrowed;
+        let outranks = victim.priority < self.spec.priority
+            && (self.within_guarantee() || borrowed)
+            && self.urgent;
+        reclaims || (outranks && !self.guarantee_overdue)
     }
+}
+
+/// Preempts for the blocked jobs of one cycle.
+struct Preemption<'a> {
+    ctx: &'a Context<'a>,
+    cluster: &'a mut Cluster,
+    /// What each team may have in use, by team index.
+    used: &'a [Resources],
+    coming: ComingCapacity,
+    /// CPUs of preempted tasks, by team index.
+    freed_cpus: BTreeMap<usize, f64>,
+    /// Tasks that can save; found when first needed.
+    victims: Option<Vec<Victim>>,
+    /// Tasks that may be stopped for a guarantee; found when first needed.
+    guarantee_victims: Option<Vec<Victim>>,
+    preempted: usize,
+}
 
-    /// Makes room for work that must not wait, at the cost of work that can save.
+impl Scheduler {
+    /// Orders tasks to stop for the blocked jobs that must not wait, and reserves the freed
+    /// capacity for these. Returns how many tasks.
     pub(in crate::leader) fn preempt(
         &mut self,
         ctx: &Context,
-        calls: &mut Calls,
+        cluster: &mut Cluster,
         blocked: &[JobId],
-        used: &[(f64, f64)],
-        rooms: &[Room],
-    ) {
-        let mut coming = self.coming_room(ctx, rooms);
-        let mut freed: BTreeMap<usize, f64> = BTreeMap::new();
-        let mut victims: Option<Vec<Victim>> = None;
-        let mut victims_of_guarantees: Option<Vec<Victim>> = None;
-        let mut stopped = 0;
+        used: &[Resources],
+        free: &[FreeCapacity],
+    ) -> usize {
+        let coming = ComingCapacity::of(ctx, cluster, free);
+        let mut preemption = Preemption {
+            ctx,
+            cluster,
+            used,
+            coming,
+            freed_cpus: BTreeMap::new(),
+            victims: None,
+            guarantee_victims: None,
+            preempted: 0,
+        };
         for id in blocked {
-            let Some(j) = self.cluster.jobs.get(id) else { continue };
-            let team = &ctx.cfg.teams[j.team];
-            let mut want = j.spec.cpus * self.limit_room(ctx, *id, used) as f64;
-            let spread = self.spread_of(*id);
-            let spec = j.spec.clone();
-            // Room that the job may not use is none: its work would be stopped in vain.
-            let useful = |machine_type: &str, zone: &str, spot: bool| {
-                spec.permits(machine_type, zone, spot) && spread.room(&spec, zone) > 0
-            };
-            want -= coming.take(want, |kind| useful(&kind.machine_type, &kind.zone, kind.spot));
-            // A job with time to lose gets room as tasks end; each stop costs a save and a start.
-            let soon_ms = SOON_LEASES * ctx.cfg.lease_ms as f64;
-            let pressed =
-                self.scheduler.reach.get(id).is_some_and(|spare_s| spare_s * 1000.0 < soon_ms);
-            let mut guarantee = (team.cpus - used[j.team].0).max(0.0);
-            if want <= 1e-9 || !(pressed || guarantee >= j.spec.cpus - 1e-9) {
-                continue;
+            if preemption.preempt_for(self, *id) {
+                self.preemption_reservations.insert(*id, ctx.now + ctx.cfg.lease_ms);
             }
-            let overdue = ctx
-                .cfg
-                .guarantee_patience_ms()
-                .is_some_and(|most| self.scheduler.guarantee_waits.overdue(j.team, ctx.now, most));
-            let victims = match overdue {
-                true => {
-                    victims_of_guarantees.get_or_insert_with(|| self.victims_of_guarantees(ctx))
-                }
-                false => victims.get_or_insert_with(|| self.victims(ctx)),
-            };
-            let mut cleared = false;
-            for Victim { machine, key, need: n } in victims.iter() {
-                if want <= 1e-9 {
-                    break;
-                }
-                let borrowed = used[n.team].0
-                    - freed.get(&n.team).copied().unwrap_or(0.0)
-                    - ctx.cfg.teams[n.team].cpus;
-                let lower = n.priority < j.spec.priority
-                    && (guarantee >= j.spec.cpus - 1e-9 || borrowed >= n.cpus - 1e-9)
-                    && pressed;
-                let reclaim = n.team != j.team
-                    && guarantee >= j.spec.cpus - 1e-9
-                    && borrowed >= n.cpus - 1e-9;
-                if !reclaim && (overdue || !lower) {
+        }
+        preemption.preempted
+    }
+
+    /// Tasks that may be preempted by higher priorities, in the order in which they go: those
+    /// that can save, since what cannot would lose all it has done.
+    fn victims(&self, ctx: &Context, cluster: &Cluster) -> Vec<Victim> {
+        let mut ranked: Vec<(VictimRank, Victim)> = Vec::new();
+        for machine in cluster.machines.values().filter(|machine| accepts_tasks(ctx, machine)) {
+            for (key, slot) in &machine.entries {
+                let Some((need, save_s)) = slot.need.and_then(|need| Some((need, need.save_s?)))
+                else {
+                    continue;
+                };
+                if !slot.runs() || slot.stop.is_some() || runs_too_shortly(ctx, slot, save_s) {
                     continue;
                 }
-                let m = self.cluster.machines.get_mut(machine);
-                let m = m.filter(|m| useful(&m.machine_type, &m.zone, m.spot));
-                let e = m.and_then(|m| m.entries.get_mut(key)).filter(|e| e.stop.is_none());
-                let Some(e) = e else { continue };
-                e.stop = Some(n.save_s.map_or(0.0, |s| s + 1.0));
-                e.stop_sent = None;
-                want -= n.cpus;
-                guarantee -= n.cpus;
-                *freed.entry(n.team).or_default() += n.cpus;
-                stopped += 1;
-                cleared = true;
+                let slack_s = self.feasible_slack_s.get(&key.0.job);
+                let by_slack = slack_s.map_or(i64::MIN, |slack_s| -slack_s as i64 / SLACK_STEP_S);
+                let victim = Victim { machine: machine.id.clone(), key: *key, need };
+                ranked.push(((need.priority, by_slack, Ms::MAX - slot.since), victim));
             }
-            if cleared {
-                self.scheduler.reserved.insert(*id, ctx.now + ctx.cfg.lease_ms);
+        }
+        sorted(ranked)
+    }
+}
+
+/// Whether a task has run for too short a time to be preempted.
+fn runs_too_shortly(ctx: &Context, slot: &TaskSlot, save_s: f64) -> bool {
+    let ran_s = slot.running_since.map_or(0, |since| ctx.now - since) as f64 / 1000.0;
+    let lease_s = ctx.cfg.lease_ms as f64;
+    let first_s = if slot.first { FIRST_TASK_LEASES * lease_s / 1000.0 } else { 0.0 };
+    ran_s < (MIN_RUN_PER_SAVE * save_s).max(first_s)
+}
+
+/// Tasks that may be stopped for a team that has waited too long for its guarantee: all that
+/// hold capacity, also those that cannot save or have just begun; services last.
+fn guarantee_victims(ctx: &Context, cluster: &Cluster) -> Vec<Victim> {
+    let mut ranked: Vec<((bool, VictimRank), Victim)> = Vec::new();
+    for machine in cluster.machines.values().filter(|machine| accepts_tasks(ctx, machine)) {
+        for (key, slot) in &machine.entries {
+            let need = slot.need.filter(|_| slot.holds() && slot.stop.is_none());
+            let Some(need) = need else { continue };
+            let service = cluster.jobs.get(&key.0.job).is_some_and(|job| job.spec.is_service());
+            let rank = (need.priority, 0, Ms::MAX - slot.since);
+            let victim = Victim { machine: machine.id.clone(), key: *key, need };
+            ranked.push(((service, rank), victim));
+        }
+    }
+    sorted(ranked)
+}
+
+impl Preemption<'_> {
+    /// Preempts for a blocked job; true if a task was ordered to stop.
+    fn preempt_for(&mut self, scheduler: &Scheduler, id: JobId) -> bool {
+        let Some(mut preemptor) = self.preemptor(scheduler, id) else { return false };
+        let (ctx, cluster) = (self.ctx, &self.cluster);
+        // Taken out while tasks are stopped, and put back after.
+        let overdue = preemptor.guarantee_overdue;
+        let victims = match overdue {
+            true => self.guarantee_victims.take(),
+            false => self.victims.take(),
+        };
+        let victims = victims.unwrap_or_else(|| match overdue {
+            true => guarantee_victims(ctx, cluster),
+            false => scheduler.victims(ctx, cluster),
+        });
+        let before = self.preempted;
+        for victim in &victims {
+            if preemptor.satisfied() {
+                break;
             }
+            self.stop(&mut preemptor, victim);
         }
-        if stopped > 0 {
-            calls.log(JobEvent::TasksPreempted { tasks: stopped });
+        match overdue {
+            true => self.guarantee_victims = Some(victims),
+            false => self.victims = Some(victims),
         }
+        self.preempted > before
     }
+
+    /// What a blocked job wants, beyond what becomes free anyway; nothing if it may not preempt.
+    fn preemptor(&mut self, scheduler: &Scheduler, id: JobId) -> Option<Preemptor> {
+        let (ctx, job) = (self.ctx, self.cluster.jobs.get(&id)?);
+        let allowed = allowed_by_limit(ctx, self.cluster, id, self.used);
+        let mut preemptor = Preemptor {
+            team: job.team,
+            spec: job.spec.clone(),
+            spread: zone_spread(self.cluster, id),
+            wanted_cpus: job.spec.cpus * allowed as f64,
+            guarantee_left: (ctx.cfg.teams[job.team].cpus - self.used[job.team].cpus).max(0.0),
+            urgent: is_urgent(ctx, scheduler, job),
+            guarantee_overdue: ctx.cfg.guarantee_patience_ms().is_some_and(|patience| {
+                scheduler.guarantee_waits.overdue(job.team, ctx.now, patience)
+            }),
+        };
+        preemptor.wanted_cpus -= self.coming.take(preemptor.wanted_cpus, |kind| {
+            preemptor.may_use(&kind.machine_type, &kind.zone, kind.spot)
+        });
+        let entitled = preemptor.urgent || preemptor.within_guarantee();
+        (!preemptor.satisfied() && entitled).then_some(preemptor)
+    }
+
+    /// Orders a task to stop, if the job may preempt it and use its machine.
+    fn stop(&mut self, preemptor: &mut Preemptor, victim: &Victim) {
+        let need = &victim.need;
+        let borrowed_cpus = self.used[need.team].cpus
+            - self.freed_cpus.get(&need.team).copied().unwrap_or(0.0)
+            - self.ctx.cfg.teams[need.team].cpus;
+        if !preemptor.may_preempt(need, borrowed_cpus) {
+            return;
+        }
+        let slot = self
+            .cluster
+            .machines
+            .get_mut(&victim.machine)
+            .filter(|m| preemptor.may_use(&m.machine_type, &m.zone, m.spot))
+            .and_then(|machine| machine.entries.get_mut(&victim.key))
+            .filter(|slot| slot.stop.is_none());
+        let Some(slot) = slot else { return };
+        slot.stop = Some(need.save_s.map_or(0.0, |save_s| save_s + SAVE_MARGIN_S));
+        slot.stop_sent = None;
+        preemptor.wanted_cpus -= need.cpus;
+        preemptor.guarantee_left -= need.cpus;
+        *self.freed_cpus.entry(need.team).or_default() += need.cpus;
+        self.preempted += 1;
+    }
+}
+
+/// Whether a job can meet an objective and has no slack to wait for tasks to end.
+fn is_urgent(ctx: &Context, scheduler: &Scheduler, job: &RunJob) -> bool {
+    let urgent_ms = URGENT_LEASES * ctx.cfg.lease_ms as f64;
+    let slack_s = scheduler.feasible_slack_s.get(&job.id);
+    slack_s.is_some_and(|slack_s| slack_s * 1000.0 < urgent_ms)
 }
 
 fn sorted<R: Ord>(mut ranked: Vec<(R, Victim)>) -> Vec<Victim> {
--- a/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
@@ -1,11 +1,16 @@
 use super::*;
+use crate::jobs::JobCache;
+use crate::leader::Leader;
+use crate::machines::{Machine, TaskPhase};
+use crate::model::{FencingToken, JobKind, Revision, TaskState, WallMs};
 use crate::settings::sample::{a_job, a_type, settings};
-use crate::settings::Team;
+use crate::settings::{Settings, Team};
+use crate::store::records::JobRecord;
 
 /// The first tasks of a job that had waited nine leases were stopped as they began, and
 /// none of it ran for minutes.
 #[test]
-fn first_tasks_are_not_stopped_as_they_begin() {
+fn first_tasks_are_not_preempted_as_they_begin() {
     let (cfg, types, job_cache) = (settings(), [a_type()], JobCache::new(10));
     let at = |now| Context {
         cfg: &cfg,
@@ -45,15 +50,15 @@
     leader.cluster.machines.insert(id.clone(), m);
     let mut victims = |now| {
         leader.cluster.machines.get_mut(&id).unwrap().last_heartbeat = Some(now);
-        leader.victims(&at(now)).len()
+        leader.scheduler.victims(&at(now), &leader.cluster).len()
     };
     assert_eq!((victims(5_000), victims(30_500), victims(36_000)), (0, 1, 2));
 }
 
-/// Work on spot machines was stopped for services that may not use them, pass after pass, and
-/// none was stopped where they could have gone: free spot machines counted as room for them.
+/// Tasks on spot machines were stopped for services that may not use them, cycle after cycle, and
+/// none was stopped where they could have gone: free spot machines counted as capacity for them.
 #[test]
-fn only_work_that_stands_where_the_job_may_run_is_stopped() {
+fn only_tasks_on_machines_that_the_job_may_use_are_preempted() {
     let service = JobSpec {
         kind: JobKind::Service,
         priority: Priority::Production,
@@ -114,17 +119,17 @@
         machine.entries.insert((task, Attempt(index as u64)), entry);
         leader.cluster.machines.insert(machine.id.clone(), machine);
     }
-    leader.scheduler.reach.insert(JobId(2), 0.0);
-    let free_spot = Room {
+    leader.scheduler.feasible_slack_s.insert(JobId(2), 0.0);
+    let free_spot = FreeCapacity {
         machine: MachineId("m-2".into()),
         type_index: 0,
         zone: "b".into(),
         spot: true,
-        cpus: 8.0,
-        gpus: 0.0,
-        memory_gb: 60.0,
+        free: Resources { cpus: 8.0, gpus: 0.0, memory_gb: 60.0 },
     };
-    leader.preempt(&ctx, &mut Calls::default(), &[JobId(2)], &[(16.0, 0.0)], &[free_spot]);
+    let used = [Resources { cpus: 16.0, ..Resources::default() }];
+    let Leader { scheduler, cluster, .. } = &mut leader;
+    scheduler.preempt(&ctx, cluster, &[JobId(2)], &used, &[free_spot]);
     let stopped: Vec<String> = leader
         .cluster
         .machines
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -1,7 +1,24 @@
 use super::*;
+use crate::io::Answer;
+use crate::jobs::JobCache;
+use crate::leader::autoscaler::provisioning::MachineKind;
+use crate::leader::failover::Loading;
+use crate::leader::scheduler::deadline_feasibility::find_feasible;
+use crate::leader::scheduler::reserved_capacity::machines_for_services;
+use crate::leader::Leader;
 use crate::lease_renewal::Knowledge;
+use crate::machines::TaskPhase;
+use crate::model::{
+    AgentEpoch, FencingToken, Heartbeat, JobId, JobKind, MachineType, Revision, TaskCommand,
+    TaskState, TaskStatus,
+};
+use crate::resources::Resources;
 use crate::settings::sample::{a_job, a_type, settings};
-use crate::settings::{Objective, Team};
+use crate::settings::{Objective, Settings, Team};
+use crate::store::calls::Calls;
+use crate::store::records::JobRecord;
+use rand::rngs::SmallRng;
+use rand::SeedableRng;
 
 fn service(tasks: u32, cpus: f64) -> JobSpec {
     let spec = a_job(tasks, false);
@@ -59,10 +76,9 @@
     }
 }
 
-fn place(bench: &Bench, leader: &mut Leader, now: Ms) {
-    use rand::SeedableRng;
-    leader.scheduler.next_place = 0;
-    leader.place(&bench.ctx(now), &mut Calls::default(), &mut SmallRng::seed_from_u64(1));
+fn schedule(bench: &Bench, leader: &mut Leader, now: Ms) {
+    leader.scheduler.next_cycle_at = 0;
+    leader.schedule(&bench.ctx(now), &mut Calls::default(), &mut SmallRng::seed_from_u64(1));
 }
 
 fn where_is(leader: &Leader, job: u64) -> Vec<String> {
@@ -72,13 +88,13 @@
 
 /// Packed on as few machines as possible, all replicas would go with one of them.
 #[test]
-fn replicas_stand_on_different_machines_while_there_are_any() {
+fn replicas_run_on_different_machines_while_there_are_any() {
     let bench = Bench::new(&[service(4, 2.0)], 100.0);
     let mut leader = bench.leads(3, false);
-    place(&bench, &mut leader, 100);
+    schedule(&bench, &mut leader, 100);
     assert_eq!(where_is(&leader, 1).len(), 4);
     let mut few = bench.leads(1, false);
-    place(&bench, &mut few, 100);
+    schedule(&bench, &mut few, 100);
     assert_eq!(where_is(&few, 1).len(), 2);
     assert_eq!(few.cluster.jobs[&JobId(1)].pending(), 0, "two on each are better than none");
 }
@@ -86,29 +102,32 @@
 /// An array would take every place, and a service that comes, or comes back, would wait for
 /// its tasks to end.
 #[test]
-fn room_for_services_is_kept_from_arrays_within_the_guarantee() {
+fn capacity_for_services_is_reserved_from_arrays_within_the_guarantee() {
     let array = a_job(99, true);
-    for (guarantee, held) in [(100.0, 16.0), (20.0, 12.0), (8.0, 0.0)] {
+    for (guarantee, reserved) in [(100.0, 16.0), (20.0, 12.0), (8.0, 0.0)] {
         let bench = Bench::new(&[service(4, 2.0), array.clone()], guarantee);
         let mut leader = bench.leads(4, false);
-        place(&bench, &mut leader, 100);
+        schedule(&bench, &mut leader, 100);
         let free: f64 = leader.cluster.machines.values().map(|m| 8.0 - m.used().0).sum();
-        assert!(free >= held && free <= held + 8.0, "guarantee {guarantee}: {free} held");
+        assert!(
+            free >= reserved && free <= reserved + 8.0,
+            "guarantee {guarantee}: {free} reserved"
+        );
         assert_eq!(leader.cluster.jobs[&JobId(1)].pending(), 0);
     }
 }
 
 /// Held against a job of which nothing runs, it would be left waiting beside room for it.
 #[test]
-fn what_is_held_is_given_to_a_job_that_waits_for_long() {
+fn reserved_capacity_is_given_to_a_starved_job() {
     let bench = Bench::new(&[service(4, 2.0), a_job(2, false)], 100.0);
     let mut leader = bench.leads(1, false);
-    place(&bench, &mut leader, 100);
-    assert!(where_is(&leader, 2).is_empty(), "all is held");
+    schedule(&bench, &mut leader, 100);
+    assert!(where_is(&leader, 2).is_empty(), "all is reserved");
     for m in leader.cluster.machines.values_mut() {
         m.last_heartbeat = Some(50_000);
     }
-    place(&bench, &mut leader, 50_000);
+    schedule(&bench, &mut leader, 50_000);
     assert_eq!(where_is(&leader, 2).len(), 1);
 }
 
@@ -118,7 +137,7 @@
 fn few_silent_machines_with_replicas_are_given_up_and_many_are_not() {
     let bench = Bench::new(&[service(4, 2.0)], 100.0);
     let mut leader = bench.leads(8, false);
-    place(&bench, &mut leader, 100);
+    schedule(&bench, &mut leader, 100);
     let with: Vec<MachineId> =
         where_is(&leader, 1).iter().map(|m| MachineId(m.as_str().into())).collect();
     let now = 10_000;
@@ -127,12 +146,16 @@
             m.last_heartbeat = Some(if silent.contains(&m.id) { at } else { now });
         }
     };
+    let silent = |leader: &Leader| {
+        let reachable_since = leader.liveness.woke;
+        silent_machines_with_replicas(&bench.ctx(now), &leader.cluster, reachable_since)
+    };
     hear(&mut leader, &with[..1], now - 3_400);
-    assert!(leader.silent_with_replicas(&bench.ctx(now)).is_empty(), "too soon");
+    assert!(silent(&leader).is_empty(), "too soon");
     hear(&mut leader, &with[..1], now - 3_600);
-    assert_eq!(leader.silent_with_replicas(&bench.ctx(now)).len(), 1);
+    assert_eq!(silent(&leader).len(), 1);
     leader.liveness.woke = now - 2_000;
-    assert!(leader.silent_with_replicas(&bench.ctx(now)).is_empty(), "we stood still ourselves");
+    assert!(silent(&leader).is_empty(), "we stood still ourselves");
     leader.liveness.woke = 0;
     // Half of a zone.
     let zone: Vec<MachineId> = leader
@@ -144,24 +167,28 @@
         .take(4)
         .collect();
     hear(&mut leader, &zone, now - 3_600);
-    assert!(leader.silent_with_replicas(&bench.ctx(now)).is_empty(), "a cut");
+    assert!(silent(&leader).is_empty(), "a network partition");
     // One without a replica may wait for its lease.
     let bare = leader.cluster.machines.keys().find(|m| !with.contains(m)).unwrap().clone();
     hear(&mut leader, &[bare], now - 3_600);
-    assert!(leader.silent_with_replicas(&bench.ctx(now)).is_empty());
+    assert!(silent(&leader).is_empty());
 }
 
 /// Machines for services do not go back as idle, and are asked for while there are too few.
 #[test]
-fn services_keep_ordinary_machines() {
+fn services_need_on_demand_machines() {
     let bench = Bench::new(&[service(6, 2.0)], 100.0);
     let leader = bench.leads(1, false);
     let kind = |zone: &str, spot| MachineKind { machine_type: "x".into(), zone: zone.into(), spot };
+    let machines = |bench: &Bench, leader: &Leader, kind: &MachineKind| {
+        let sizes = &leader.scheduler.replica_sizes;
+        machines_for_services(&bench.ctx(0), &leader.cluster, sizes, kind)
+    };
     // Three replicas of its own in each zone, and room for two times three: 18 CPUs.
-    assert_eq!(leader.standing(&bench.ctx(0), &kind("a", false)), 3);
-    assert_eq!(leader.standing(&bench.ctx(0), &kind("b", true)), 0);
+    assert_eq!(machines(&bench, &leader, &kind("a", false)), 3);
+    assert_eq!(machines(&bench, &leader, &kind("b", true)), 0);
     let none = Bench::new(&[a_job(6, false)], 100.0);
-    assert_eq!(none.leads(1, false).standing(&none.ctx(0), &kind("a", false)), 0);
+    assert_eq!(machines(&none, &none.leads(1, false), &kind("a", false)), 0);
 }
 
 /// What has no end is no work that ends: as overload it would put every date out of reach.
@@ -173,11 +200,11 @@
     };
     let mut bench = Bench::new(&[service(40, 1.0), a_job(10, true)], 100.0);
     cfg(&mut bench);
-    let mut leader = bench.leads(8, false);
-    leader.scheduler.fleet_cpus = 128.0;
-    let reach = leader.find_reach(&bench.ctx(0), &[(0.0, 0.0)]);
-    assert_eq!(reach.get(&JobId(1)), Some(&0.0), "its replicas are missed");
-    assert!(reach.contains_key(&JobId(2)), "the array can be in time");
+    let leader = bench.leads(8, false);
+    let used = [Resources::default()];
+    let feasible = find_feasible(&bench.ctx(0), &leader.cluster, 128.0, &used);
+    assert_eq!(feasible.get(&JobId(1)), Some(&0.0), "its replicas are missed");
+    assert!(feasible.contains_key(&JobId(2)), "the array can be in time");
 }
 
 /// Left where it is until the machine is taken, a replica would be missed for a lease; it has
@@ -186,7 +213,7 @@
 fn replicas_leave_a_machine_that_is_about_to_go() {
     let bench = Bench::new(&[service(2, 2.0), a_job(1, true)], 100.0);
     let mut leader = bench.leads(2, false);
-    place(&bench, &mut leader, 100);
+    schedule(&bench, &mut leader, 100);
     let id = MachineId(where_is(&leader, 1)[0].as_str().into());
     let heartbeat = Heartbeat {
         machine: id.clone(),
@@ -207,7 +234,6 @@
         let (task, attempt) = (*task, *attempt);
         heartbeat.tasks.push(TaskStatus { task, attempt, state: TaskState::Running });
     }
-    use rand::SeedableRng;
     let mut rng = SmallRng::seed_from_u64(1);
     let ctx = bench.ctx(200);
     let (cfg, job_cache) = (ctx.cfg, ctx.job_cache);
