--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -351,21 +351,21 @@
             Purpose::Rent { token, requisition } => {
                 self.with_leader(|leader, ctx, calls, _| {
                     if leader.token == token {
-                        leader.rent_answer(ctx, calls, &requisition, reply);
+                        leader.provisioning_answer(ctx, calls, &requisition, reply);
                     }
                 });
             }
             Purpose::Release { token, machines } => {
                 self.with_leader(|leader, ctx, calls, _| {
                     if leader.token == token {
-                        leader.release_answer(ctx, calls, machines, reply);
+                        leader.termination_answer(ctx, calls, machines, reply);
                     }
                 });
             }
             Purpose::List { token } => {
                 self.with_leader(|leader, ctx, calls, _| {
                     if leader.token == token {
-                        leader.list_answer(ctx, calls, reply);
+                        leader.inventory_answer(ctx, calls, reply);
                     }
                 });
             }
--- /dev/null
+++ b/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
@@ -0,0 +1,92 @@
+//! The machines that a plan counts on, and how many each kind needs.
+
+use super::demand::missing_for_constrained_jobs;
+use super::provisioning::{kinds_by_price, MachineKind};
+use crate::leader::cluster::Cluster;
+use crate::leader::scheduler::reserved_capacity::{machines_for_services, ReplicaSizes};
+use crate::leader::Context;
+use crate::machines::{Decommission, Machine};
+use std::collections::BTreeMap;
+
+/// Machines that are counted on, those on their way included.
+pub(in crate::leader) struct Fleet {
+    by_type: BTreeMap<String, usize>,
+    by_kind: BTreeMap<MachineKind, usize>,
+}
+
+impl Fleet {
+    /// Counts these machines.
+    pub(in crate::leader) fn count(live: &[&Machine]) -> Self {
+        let mut fleet = Fleet { by_type: BTreeMap::new(), by_kind: BTreeMap::new() };
+        for machine in live {
+            *fleet.by_type.entry(machine.machine_type.clone()).or_default() += 1;
+            *fleet.by_kind.entry(machine.kind()).or_default() += 1;
+        }
+        fleet
+    }
+
+    /// Machines of a type.
+    pub(in crate::leader) fn of_type(&self, name: &str) -> usize {
+        self.by_type.get(name).copied().unwrap_or(0)
+    }
+
+    /// Machines of a kind.
+    pub(in crate::leader) fn of_kind(&self, kind: &MachineKind) -> usize {
+        self.by_kind.get(kind).copied().unwrap_or(0)
+    }
+
+    /// Machines of a kind, to be changed.
+    pub(in crate::leader) fn of_kind_mut(&mut self, kind: MachineKind) -> &mut usize {
+        self.by_kind.entry(kind).or_default()
+    }
+}
+
+/// The machines that are counted on: neither going, nor overdue, nor quarantined.
+pub(in crate::leader) fn live_machines<'a>(
+    ctx: &Context,
+    cluster: &'a Cluster,
+) -> Vec<&'a Machine> {
+    cluster
+        .machines
+        .values()
+        .filter(|m| m.decommission == Decommission::No && !m.late && !m.notice(ctx.now))
+        .filter(|m| !m.faulty(ctx.now, ctx.cfg.lease_ms))
+        .collect()
+}
+
+/// Machines that each kind needs whatever they cost.
+pub(in crate::leader) struct KindNeeds {
+    for_services: BTreeMap<MachineKind, usize>,
+    missing: BTreeMap<MachineKind, usize>,
+}
+
+impl KindNeeds {
+    /// What services and constrained jobs need, beside the live machines.
+    pub(in crate::leader) fn find(
+        ctx: &Context,
+        cluster: &Cluster,
+        sizes: &ReplicaSizes,
+        live: &[&Machine],
+        fleet: &Fleet,
+    ) -> Self {
+        let mut needs = KindNeeds { for_services: BTreeMap::new(), missing: BTreeMap::new() };
+        for kind in kinds_by_price(ctx.types, |_| 0) {
+            let for_services = machines_for_services(ctx, cluster, sizes, &kind);
+            let missing = missing_for_constrained_jobs(ctx, cluster, live, &kind)
+                .max(for_services.saturating_sub(fleet.of_kind(&kind)));
+            needs.for_services.insert(kind.clone(), for_services);
+            needs.missing.insert(kind, missing);
+        }
+        needs
+    }
+
+    /// Machines of a kind that services need, in all.
+    pub(in crate::leader) fn for_services(&self, kind: &MachineKind) -> usize {
+        self.for_services.get(kind).copied().unwrap_or(0)
+    }
+
+    /// Machines of a kind that services or constrained jobs lack.
+    pub(in crate::leader) fn missing(&self, kind: &MachineKind) -> usize {
+        self.missing.get(kind).copied().unwrap_or(0)
+    }
+}
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -1,81 +1,146 @@
-//! What the cloud's list says of machines.
+//! Reconciliation of the known machines with the cloud's list of them (PROTOCOL,
+//! `GET /rentals`).
 
-use crate::leader::*;
+use super::returned::ReturnedMachines;
+use crate::io::{CloudReply, CloudRequest};
+use crate::leader::cluster::Cluster;
+use crate::leader::Context;
+use crate::machines::{Decommission, Machine};
+use crate::model::{FencingToken, ListedMachine, ListedState, MachineId, Ms};
+use crate::store::calls::{Calls, Purpose};
+use crate::store::rate_limiter::CallPriority;
 use std::collections::HashSet;
 
-impl Leader {
-    pub fn list_answer(&mut self, ctx: &Context, calls: &mut Calls, reply: CloudReply) {
-        self.autoscaler.rental.list_in_flight = false;
-        let CloudReply::Listed { machines, more } = reply else {
-            self.autoscaler.rental.next_list = ctx.now + ctx.cfg.lease_ms / 10;
-            self.autoscaler.rental.listing = None;
-            return;
-        };
-        let mut all = self.autoscaler.rental.listing.take().unwrap_or_default();
-        all.extend(machines);
-        if more && all.len() < 20_000 {
-            self.autoscaler.rental.listing = Some(all);
-            self.autoscaler.rental.next_list = ctx.now;
+/// Machines of one list at the most; the rest is dropped.
+const MAX_LISTED: usize = 20_000;
+/// The least time between two lists.
+const MIN_LIST_INTERVAL_MS: Ms = 1000;
+/// Milliseconds by which a list may be older than its lags tell.
+const LIST_AGE_MARGIN_MS: Ms = 1000;
+/// The greatest age in seconds that is taken from a list.
+const MAX_AGE_S: f64 = 1e6;
+
+/// A list that was read.
+pub(in crate::leader) struct Listing {
+    /// The machines.
+    pub(in crate::leader) machines: Vec<ListedMachine>,
+    /// Whether it names all machines.
+    pub(in crate::leader) complete: bool,
+}
+
+/// The list that is being read, page by page.
+#[derive(Default)]
+pub(in crate::leader) struct Inventory {
+    /// No page is requested before.
+    next_page_at: Ms,
+    /// The pages read so far, if it is not the first that is read next.
+    pages: Option<Vec<ListedMachine>>,
+    /// When the first page was requested.
+    requested_at: Ms,
+    in_flight: bool,
+}
+
+impl Inventory {
+    /// Requests the next page, if it is due and the rate of calls allows it.
+    pub(in crate::leader) fn request_page(
+        &mut self,
+        ctx: &Context,
+        token: FencingToken,
+        calls: &mut Calls,
+    ) {
+        if self.in_flight
+            || ctx.now < self.next_page_at
+            || !calls.cloud.take(ctx.now, 1.0, CallPriority::Rest)
+        {
             return;
         }
-        self.autoscaler.rental.next_list = ctx.now + (ctx.cfg.list_lag_ms / 2).max(1000);
-        if !more {
-            self.remove_unlisted(ctx, calls, &all);
-        }
-        for l in all {
-            if self.autoscaler.returned.contains(&l.machine) {
-                continue;
-            }
-            let asked_at = ctx.now.saturating_sub((l.age_s.clamp(0.0, 1e6) * 1000.0) as Ms);
-            let asked_at = (l.state == ListedState::Booting).then_some(asked_at);
-            if let Some(m) = self.cluster.machines.get_mut(&l.machine) {
-                m.asked_at = m.asked_at.or(asked_at);
-                m.listed = Some((l.state, ctx.now));
-                m.first_listed.get_or_insert(ctx.now);
-                if m.endpoint.is_empty() {
-                    m.endpoint = l.endpoint;
-                }
-                continue;
-            }
-            // Rented by an earlier leader, or carried out late.
-            let mut m = Machine::new(l.machine.clone(), &l.machine_type, &l.zone, l.spot, ctx.now);
-            m.endpoint = l.endpoint;
-            m.listed = Some((l.state, ctx.now));
-            m.first_listed = Some(ctx.now);
-            m.known_since = ctx.now.saturating_sub((l.age_s.clamp(0.0, 1e6) * 1000.0) as Ms);
-            m.asked_at = asked_at;
-            calls.log(MachineEvent::Discovered { machine: l.machine.clone() });
-            self.cluster.machines.insert(l.machine.clone(), m);
-            self.add_to_registry(ctx, &l.machine);
+        let last = self.pages.as_ref().and_then(|machines| machines.last());
+        let after = last.map(|listed| listed.machine.to_string());
+        if after.is_none() {
+            self.requested_at = ctx.now;
         }
+        self.in_flight = true;
+        calls.cloud(Purpose::List { token }, CloudRequest::List { after }, ctx.cfg.lease_ms / 2);
     }
 
-    /// Machines that a list shows to be gone: one that was listed stays listed until it is
-    /// gone, and a list is at most two lags old. What ran there need not wait for its lease.
-    pub(in crate::leader) fn remove_unlisted(
+    /// Takes a page; returns the list once all pages are read.
+    pub(in crate::leader) fn take_page(
         &mut self,
         ctx: &Context,
-        calls: &mut Calls,
-        all: &[ListedMachine],
-    ) {
-        let oldest = ctx.cfg.list_lag_ms * 5 / 2 + 1000;
-        let listed: HashSet<&MachineId> = all.iter().map(|l| &l.machine).collect();
-        let gone: Vec<MachineId> = self
-            .cluster
+        reply: CloudReply,
+    ) -> Option<Listing> {
+        self.in_flight = false;
+        let CloudReply::Listed { machines: page, more } = reply else {
+            self.next_page_at = ctx.now + ctx.cfg.lease_ms / 10;
+            self.pages = None;
+            return None;
+        };
+        let mut machines = self.pages.take().unwrap_or_default();
+        machines.extend(page);
+        if more && machines.len() < MAX_LISTED {
+            self.pages = Some(machines);
+            self.next_page_at = ctx.now;
+            return None;
+        }
+        self.next_page_at = ctx.now + (ctx.cfg.list_lag_ms / 2).max(MIN_LIST_INTERVAL_MS);
+        Some(Listing { machines, complete: !more })
+    }
+
+    /// Machines that a complete list shows to be gone: one that was listed stays listed until it
+    /// is gone, and a list is at most two lags old. What ran there need not wait for its lease.
+    pub(in crate::leader) fn find_gone(
+        &self,
+        ctx: &Context,
+        cluster: &Cluster,
+        listed: &[ListedMachine],
+    ) -> Vec<MachineId> {
+        let oldest_ms = ctx.cfg.list_lag_ms * 5 / 2 + LIST_AGE_MARGIN_MS;
+        let listed: HashSet<&MachineId> = listed.iter().map(|listed| &listed.machine).collect();
+        let listed_before = |machine: &Machine| {
+            machine.first_listed.is_some_and(|at| self.requested_at > at + oldest_ms)
+        };
+        let silent = |machine: &Machine| {
+            machine.last_heartbeat.is_none_or(|at| ctx.now > at + ctx.cfg.heartbeat_interval_ms)
+        };
+        cluster
             .machines
             .values()
-            .filter(|m| {
-                m.first_listed.is_some_and(|t| self.autoscaler.rental.list_sent > t + oldest)
-            })
-            .filter(|m| {
-                m.last_heartbeat.is_none_or(|t| ctx.now > t + ctx.cfg.heartbeat_interval_ms)
-            })
+            .filter(|machine| listed_before(machine) && silent(machine))
             .filter(|m| m.decommission != Decommission::Releasing && !listed.contains(&m.id))
-            .map(|m| m.id.clone())
-            .collect();
-        for id in gone {
-            calls.log(MachineEvent::Gone { machine: id.clone() });
-            self.remove_gone(ctx, calls, &id);
+            .map(|machine| machine.id.clone())
+            .collect()
+    }
+}
+
+/// Takes what the list says of a machine; returns the machine if it was not known: one that an
+/// earlier leader requested, or a request that was carried out late.
+pub(in crate::leader) fn reconcile(
+    ctx: &Context,
+    cluster: &mut Cluster,
+    returned: &ReturnedMachines,
+    listed: ListedMachine,
+) -> Option<Machine> {
+    if returned.contains(&listed.machine) {
+        return None;
+    }
+    let age_ms = (listed.age_s.clamp(0.0, MAX_AGE_S) * 1000.0) as Ms;
+    let requested_at = ctx.now.saturating_sub(age_ms);
+    let booting_since = (listed.state == ListedState::Booting).then_some(requested_at);
+    if let Some(machine) = cluster.machines.get_mut(&listed.machine) {
+        machine.asked_at = machine.asked_at.or(booting_since);
+        machine.listed = Some((listed.state, ctx.now));
+        machine.first_listed.get_or_insert(ctx.now);
+        if machine.endpoint.is_empty() {
+            machine.endpoint = listed.endpoint;
         }
+        return None;
     }
+    let ListedMachine { machine: id, machine_type, zone, spot, .. } = listed;
+    let mut machine = Machine::new(id, &machine_type, &zone, spot, ctx.now);
+    machine.endpoint = listed.endpoint;
+    machine.listed = Some((listed.state, ctx.now));
+    machine.first_listed = Some(ctx.now);
+    machine.known_since = requested_at;
+    machine.asked_at = booting_since;
+    Some(machine)
 }
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -1,47 +1,190 @@
 //! The autoscaler of a leader: how many machines there are, of which kinds, and in which zones.
+//!
+//! A plan ([`scale_out`], [`drain`]) is made twice a heartbeat interval: it compares the machines
+//! that are counted on ([`fleet`]) with those that the work at hand pays for
+//! ([`capacity_target`]). [`scale_in`] terminates what is drained, failed or lost, and
+//! [`inventory`] reconciles the known machines with the cloud's list.
 
-pub mod inventory;
 pub mod provisioning;
 pub mod provisioning_time;
 pub mod returned;
-pub mod scale_in;
-pub mod scale_out;
 
-use crate::model::Ms;
+pub(in crate::leader) mod inventory;
+pub(in crate::leader) mod partitions;
+pub(in crate::leader) mod scale_in;
+
+mod capacity_target;
+mod demand;
+mod drain;
+mod fleet;
+mod scale_out;
+
+use crate::events::MachineEvent;
+use crate::io::CloudReply;
+use crate::leader::cluster::Cluster;
+use crate::leader::{Context, Leader};
+use crate::machines::Machine;
+use crate::model::{MachineId, Ms};
 use crate::settings::Settings;
-use provisioning::Provisioning;
+use crate::store::calls::Calls;
+use capacity_target::DemandPeak;
+use inventory::Inventory;
+use partitions::ZonePartitions;
+use provisioning::ProvisioningQueue;
+use provisioning_time::ProvisioningTimes;
 use returned::ReturnedMachines;
+use scale_in::{LeaderState, TerminationCall};
 use std::collections::BTreeMap;
 
 /// The state of the autoscaler.
 pub struct Autoscaler {
-    /// Requests to the cloud and what is known of its answers.
-    pub(in crate::leader) rental: Provisioning,
-    /// Machines returned of late.
+    /// Requests to the cloud that were not answered yet.
+    pub(in crate::leader) provisioning: ProvisioningQueue,
+    /// How long machines take to come up.
+    pub(in crate::leader) provisioning_times: ProvisioningTimes,
+    /// The cloud's list of machines.
+    pub(in crate::leader) inventory: Inventory,
+    /// The call that terminates machines.
+    termination: TerminationCall,
+    /// Machines terminated of late.
     pub(in crate::leader) returned: ReturnedMachines,
-    /// Since when there are more machines than work pays for.
-    pub(in crate::leader) surplus_since: Option<Ms>,
-    /// Machines that work of late could use, fading; nothing is known at first.
-    pub(in crate::leader) peak: f64,
-    /// When the peak was last taken.
-    pub(in crate::leader) peak_at: Ms,
+    /// Since when there are more machines than the work pays for.
+    surplus_since: Option<Ms>,
+    /// Machines that work of late could use.
+    peak: DemandPeak,
+    /// No plan is made before.
+    next_plan_at: Ms,
     /// The zone with the most machines.
     pub(in crate::leader) primary_zone: Option<String>,
-    /// Zones that were cut off of late, and until when they count as such.
-    pub(in crate::leader) cut_until: BTreeMap<String, Ms>,
+    /// Zones that are cut off.
+    partitions: ZonePartitions,
 }
 
 impl Autoscaler {
     /// As of the election.
     pub fn new(settings: &Settings, now: Ms) -> Self {
         Autoscaler {
-            rental: Provisioning::default(),
+            provisioning: ProvisioningQueue::default(),
+            provisioning_times: ProvisioningTimes::default(),
+            inventory: Inventory::default(),
+            termination: TerminationCall::default(),
             returned: ReturnedMachines::new(settings),
             surplus_since: None,
-            peak: f64::MAX,
-            peak_at: now,
+            peak: DemandPeak::new(now),
+            next_plan_at: 0,
             primary_zone: None,
-            cut_until: BTreeMap::new(),
+            partitions: ZonePartitions::default(),
+        }
+    }
+
+    /// Finds the zone with the most machines; true if it is another one than before.
+    fn update_primary_zone(&mut self, cluster: &Cluster) -> bool {
+        let mut machines: BTreeMap<&str, usize> = BTreeMap::new();
+        for machine in cluster.machines.values() {
+            *machines.entry(&machine.zone).or_default() += 1;
+        }
+        let most = machines.into_iter().max_by_key(|(_, machines)| *machines);
+        let primary_zone = most.map(|(zone, _)| zone.to_string());
+        if primary_zone.is_none() || primary_zone == self.primary_zone {
+            return false;
+        }
+        self.primary_zone = primary_zone;
+        true
+    }
+}
+
+impl Leader {
+    /// Makes the calls to the cloud that are due: the list of machines, and provisioning
+    /// requests by a new plan.
+    pub(in crate::leader) fn call_cloud(&mut self, ctx: &Context, calls: &mut Calls) {
+        if !ctx.holds_valid_lease || ctx.types.is_empty() {
+            return;
+        }
+        self.autoscaler.inventory.request_page(ctx, self.token, calls);
+        if ctx.now >= self.autoscaler.next_plan_at {
+            self.autoscaler.next_plan_at = ctx.now + ctx.cfg.heartbeat_interval_ms / 2;
+            self.plan_fleet(ctx, calls);
+        }
+        self.autoscaler.send_requests(ctx, self.token, calls);
+    }
+
+    fn plan_fleet(&mut self, ctx: &Context, calls: &mut Calls) {
+        let sizes = &self.scheduler.replica_sizes;
+        self.autoscaler.plan(ctx, &mut self.cluster, sizes, self.token, calls);
+    }
+
+    /// Terminates machines that are drained, failed or lost.
+    pub(in crate::leader) fn scale_in(&mut self, ctx: &Context, calls: &mut Calls) {
+        let leader = LeaderState {
+            token: self.token,
+            elected_at: self.since,
+            reachable_since: self.liveness.woke,
+        };
+        self.autoscaler.scale_in(ctx, &mut self.cluster, leader, calls);
+    }
+
+    /// Has the zone with the most machines written, if it is another one than before.
+    pub(in crate::leader) fn note_primary_zone(&mut self) {
+        if self.autoscaler.update_primary_zone(&self.cluster) {
+            self.writer.preferred_zone_due = true;
+        }
+    }
+
+    /// Takes the cloud's answer to a provisioning request.
+    pub fn provisioning_answer(
+        &mut self,
+        ctx: &Context,
+        calls: &mut Calls,
+        requisition: &str,
+        reply: CloudReply,
+    ) {
+        let provisioned = self.autoscaler.take_provisioning_answer(ctx, requisition, reply, calls);
+        for machine in provisioned {
+            if !self.cluster.machines.contains_key(&machine.id) {
+                self.add_machine(ctx, machine);
+            }
         }
     }
+
+    /// Takes the cloud's answer to a termination of machines.
+    pub fn termination_answer(
+        &mut self,
+        ctx: &Context,
+        calls: &mut Calls,
+        machines: Vec<MachineId>,
+        reply: CloudReply,
+    ) {
+        if self.autoscaler.take_termination_answer(ctx, &reply) {
+            for id in machines {
+                self.remove_gone(ctx, calls, &id);
+            }
+        }
+    }
+
+    /// Takes a page of the cloud's list of machines.
+    pub fn inventory_answer(&mut self, ctx: &Context, calls: &mut Calls, reply: CloudReply) {
+        let Some(listing) = self.autoscaler.inventory.take_page(ctx, reply) else { return };
+        if listing.complete {
+            let inventory = &self.autoscaler.inventory;
+            for id in inventory.find_gone(ctx, &self.cluster, &listing.machines) {
+                calls.log(MachineEvent::Gone { machine: id.clone() });
+                self.remove_gone(ctx, calls, &id);
+            }
+        }
+        for listed in listing.machines {
+            let returned = &self.autoscaler.returned;
+            let unknown = inventory::reconcile(ctx, &mut self.cluster, returned, listed);
+            if let Some(machine) = unknown {
+                calls.log(MachineEvent::Discovered { machine: machine.id.clone() });
+                self.add_machine(ctx, machine);
+            }
+        }
+    }
+
+    /// Adds a machine that was not known, also to the machine registry.
+    fn add_machine(&mut self, ctx: &Context, machine: Machine) {
+        let id = machine.id.clone();
+        self.cluster.machines.insert(id.clone(), machine);
+        self.add_to_registry(ctx, &id);
+    }
 }
--- a/crates/basaltrail-core/src/leader/autoscaler/provisioning_time.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning_time.rs
@@ -1,127 +1,160 @@
-//! How long new machines take to come, and which are not counted on any more.
+//! How long new machines take to come up, and which are not counted on any more.
 //!
-//! A machine on its way stands for room while work waits. One that is late by what has
-//! been seen of late may never come, so that room is rented elsewhere; where most are
-//! late, only a few are tried until machines come.
+//! A provisioned machine counts as capacity while work waits. One that is overdue by what was
+//! observed of late may never come, so other machines are requested instead; in a zone where
+//! most are overdue, only a few are tried until machines come up.
+//!
+//! Times are measured in nominal ones: those that the cloud states of the type.
 
-use crate::model::*;
+use crate::model::{MachineType, Ms};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Nominal boot times after which a machine is late, where nothing else was seen.
-const LATE: f64 = 2.5;
-/// The same, over what all but a few took of late.
-const LATE_SEEN: f64 = 1.5;
-/// Nominal boot times after which one is given back, where nothing else was seen.
-pub const NEVER: f64 = 4.0;
-/// Nominal boot times after which none is counted on, whatever was seen.
-const MOST: f64 = 6.0;
-/// One in so many boots is few.
+/// Nominal times after which a machine is overdue, where nothing longer was observed.
+const OVERDUE: f64 = 2.5;
+/// The same, as a multiple of what all but a few took of late.
+const OVERDUE_OBSERVED: f64 = 1.5;
+/// Nominal times after which a machine is abandoned, where nothing longer was observed.
+pub const ABANDONED: f64 = 4.0;
+/// Nominal times after which no machine is counted on, whatever was observed.
+const MAX_OVERDUE: f64 = 6.0;
+/// One in so many machines is few.
 const FEW: usize = 8;
-/// Boot times kept by zone.
-const KEPT: usize = 16;
-/// Nominal boot times for which what was seen counts.
-const LASTING: f64 = 20.0;
-/// Machines on their way at once in a zone where most are late.
-const TRIAL: usize = 2;
+/// Observations kept by type and zone.
+const MAX_OBSERVATIONS: usize = 16;
+/// Nominal times for which an observation counts.
+const OBSERVATION_LIFETIME: f64 = 20.0;
+/// Machines that may be on their way at once in a zone where most are overdue.
+const TRIAL_MACHINES: usize = 2;
 
+/// Observations of a type in a zone.
 #[derive(Debug, Default)]
-struct Zone {
-    /// When machines came, and after how many nominal boot times.
-    came: VecDeque<(Ms, f64)>,
-    /// When machines were given back that never came.
-    missed: VecDeque<Ms>,
-    /// Machines on their way: in time, and late.
-    coming: usize,
-    late: usize,
+struct ZoneObservations {
+    /// When machines came up, and after how many nominal times.
+    arrivals: VecDeque<(Ms, f64)>,
+    /// When machines were abandoned.
+    abandoned: VecDeque<Ms>,
+    /// Machines on their way that are in time.
+    in_time: usize,
+    /// Machines on their way that are overdue.
+    overdue: usize,
+}
+
+/// A machine on its way.
+#[derive(Clone, Copy, Debug)]
+pub struct MachineOnItsWay<'a> {
+    /// Its type.
+    pub machine_type: &'a MachineType,
+    /// Its zone.
+    pub zone: &'a str,
+    /// Whether it is overdue.
+    pub overdue: bool,
 }
 
-/// What is known of a type's boots in each zone.
+/// What was observed of the time that machines take to come up, by type and zone.
 #[derive(Debug, Default)]
 pub struct ProvisioningTimes {
-    zones: BTreeMap<(String, String), Zone>,
+    zones: BTreeMap<(String, String), ZoneObservations>,
 }
 
 impl ProvisioningTimes {
-    fn zone(&mut self, t: &MachineType, zone: &str) -> &mut Zone {
-        self.zones.entry((t.name.clone(), zone.to_string())).or_default()
+    fn get(&self, machine_type: &MachineType, zone: &str) -> Option<&ZoneObservations> {
+        self.zones.get(&(machine_type.name.clone(), zone.to_string()))
+    }
+
+    fn entry(&mut self, machine_type: &MachineType, zone: &str) -> &mut ZoneObservations {
+        self.zones.entry((machine_type.name.clone(), zone.to_string())).or_default()
     }
 
-    /// A machine has come, so long after it was asked for.
-    pub fn came(&mut self, t: &MachineType, zone: &str, now: Ms, took: Ms) {
-        let z = self.zone(t, zone);
-        if z.came.len() >= KEPT {
-            z.came.pop_front();
+    /// Notes that a machine came up `took` milliseconds after it was requested.
+    pub fn note_arrival(&mut self, machine_type: &MachineType, zone: &str, now: Ms, took: Ms) {
+        let observations = self.entry(machine_type, zone);
+        if observations.arrivals.len() >= MAX_OBSERVATIONS {
+            observations.arrivals.pop_front();
         }
-        z.came.push_back((now, took as f64 / nominal_ms(t)));
+        observations.arrivals.push_back((now, took as f64 / nominal_ms(machine_type)));
     }
 
-    /// A machine is given back that never came. Were that forgotten, a zone in trouble
-    /// would be trusted as soon as the last one has gone back.
-    pub fn missed(&mut self, t: &MachineType, zone: &str, now: Ms) {
-        let z = self.zone(t, zone);
-        if z.missed.len() >= KEPT {
-            z.missed.pop_front();
+    /// Notes that a machine was abandoned. Were that forgotten, a zone in trouble would be
+    /// trusted as soon as the last of its machines is terminated.
+    pub fn note_abandoned(&mut self, machine_type: &MachineType, zone: &str, now: Ms) {
+        let observations = self.entry(machine_type, zone);
+        if observations.abandoned.len() >= MAX_OBSERVATIONS {
+            observations.abandoned.pop_front();
         }
-        z.missed.push_back(now);
+        observations.abandoned.push_back(now);
     }
 
-    /// How long all but a few boots of late took, in nominal ones. A single machine that
-    /// takes several times as long is no reason to wait so long for all.
-    fn usual(&self, t: &MachineType, zone: &str, now: Ms) -> f64 {
-        let Some(z) = self.zones.get(&(t.name.clone(), zone.to_string())) else { return 0.0 };
-        let recent = |at: Ms| now.saturating_sub(at) as f64 <= LASTING * nominal_ms(t);
-        let mut took: Vec<f64> =
-            z.came.iter().filter(|(at, _)| recent(*at)).map(|(_, took)| *took).collect();
-        took.sort_by(f64::total_cmp);
-        let few = took.len() / FEW;
-        took.iter().rev().nth(few).copied().unwrap_or(0.0)
+    /// How long all but a few machines took of late, in nominal times. A single one that takes
+    /// several times as long is no reason to wait so long for all.
+    fn observed(&self, machine_type: &MachineType, zone: &str, now: Ms) -> f64 {
+        let Some(observations) = self.get(machine_type, zone) else { return 0.0 };
+        let lifetime_ms = OBSERVATION_LIFETIME * nominal_ms(machine_type);
+        let mut times: Vec<f64> = observations
+            .arrivals
+            .iter()
+            .filter(|(at, _)| now.saturating_sub(*at) as f64 <= lifetime_ms)
+            .map(|(_, took)| *took)
+            .collect();
+        times.sort_by(f64::total_cmp);
+        let few = times.len() / FEW;
+        times.iter().rev().nth(few).copied().unwrap_or(0.0)
     }
 
-    /// The age from which a machine on its way is not counted on.
-    pub fn late_after(&self, t: &MachineType, zone: &str, now: Ms) -> Ms {
-        let usual = self.usual(t, zone, now);
-        ((LATE_SEEN * usual).clamp(LATE, MOST) * nominal_ms(t)) as Ms
+    /// The age in milliseconds from which a machine on its way is overdue: not counted on.
+    pub fn overdue_after(&self, machine_type: &MachineType, zone: &str, now: Ms) -> Ms {
+        let observed = self.observed(machine_type, zone, now);
+        let nominal_times = (OVERDUE_OBSERVED * observed).clamp(OVERDUE, MAX_OVERDUE);
+        (nominal_times * nominal_ms(machine_type)) as Ms
     }
 
-    /// The age at which it is given back. Where machines are seen to come late, later:
-    /// else each would go just before it came, and another be paid for in its place.
-    pub fn never_after(&self, t: &MachineType, zone: &str, now: Ms) -> Ms {
-        let usual = self.usual(t, zone, now);
-        ((LATE_SEEN * usual + 1.0).clamp(NEVER, MOST + 1.0) * nominal_ms(t)) as Ms
+    /// The age in milliseconds at which it is abandoned: terminated. Where machines are seen to
+    /// be overdue, later: else each would be terminated just before it comes up, and another
+    /// paid for in its place.
+    pub fn abandoned_after(&self, machine_type: &MachineType, zone: &str, now: Ms) -> Ms {
+        let observed = self.observed(machine_type, zone, now);
+        let nominal_times = (OVERDUE_OBSERVED * observed + 1.0).clamp(ABANDONED, MAX_OVERDUE + 1.0);
+        (nominal_times * nominal_ms(machine_type)) as Ms
     }
 
-    /// Counts the machines on their way anew, by type, zone and whether they are late.
-    pub fn count<'a>(&mut self, on_way: impl Iterator<Item = (&'a MachineType, &'a str, bool)>) {
-        for z in self.zones.values_mut() {
-            (z.coming, z.late) = (0, 0);
+    /// Counts the machines on their way anew.
+    pub fn count<'a>(&mut self, on_their_way: impl Iterator<Item = MachineOnItsWay<'a>>) {
+        for observations in self.zones.values_mut() {
+            (observations.in_time, observations.overdue) = (0, 0);
         }
-        for (t, zone, late) in on_way {
-            let z = self.zone(t, zone);
-            z.coming += !late as usize;
-            z.late += late as usize;
+        for machine in on_their_way {
+            let observations = self.entry(machine.machine_type, machine.zone);
+            observations.in_time += !machine.overdue as usize;
+            observations.overdue += machine.overdue as usize;
         }
     }
 
-    /// How many more machines may be asked for in a zone beside those asked for already.
-    pub fn room(&self, t: &MachineType, zone: &str, asked: usize, now: Ms) -> usize {
-        let Some(z) = self.zones.get(&(t.name.clone(), zone.to_string())) else {
-            return usize::MAX;
-        };
-        // What came since the late ones were asked for shows that machines come.
-        let since = NEVER * nominal_ms(t);
-        let recent = |at: &Ms| now.saturating_sub(*at) as f64 <= since;
-        let came = z.came.iter().filter(|(at, _)| recent(at)).count();
-        let missed = z.late + z.missed.iter().filter(|at| recent(at)).count();
-        match missed >= TRIAL && missed > came {
-            true => TRIAL.saturating_sub(z.coming + asked),
+    /// How many more machines may be requested in a zone, beside those that were requested and
+    /// not answered yet.
+    pub fn allowance(
+        &self,
+        machine_type: &MachineType,
+        zone: &str,
+        requested: usize,
+        now: Ms,
+    ) -> usize {
+        let Some(observations) = self.get(machine_type, zone) else { return usize::MAX };
+        // What came up since the overdue ones were requested shows that machines come up.
+        let window_ms = ABANDONED * nominal_ms(machine_type);
+        let recent = |at: &Ms| now.saturating_sub(*at) as f64 <= window_ms;
+        let arrived = observations.arrivals.iter().filter(|(at, _)| recent(at)).count();
+        let abandoned = observations.abandoned.iter().filter(|at| recent(at)).count();
+        let missing = observations.overdue + abandoned;
+        match missing >= TRIAL_MACHINES && missing > arrived {
+            true => TRIAL_MACHINES.saturating_sub(observations.in_time + requested),
             false => usize::MAX,
         }
     }
 }
 
-/// Boot times of 0 are taken for a second, and senseless ones for some days.
-fn nominal_ms(t: &MachineType) -> f64 {
-    t.boot_s.clamp(1.0, 1e6) * 1000.0
+/// The nominal time of a type. One of 0 is taken for a second, and a senseless one for some
+/// days.
+fn nominal_ms(machine_type: &MachineType) -> f64 {
+    machine_type.boot_s.clamp(1.0, 1e6) * 1000.0
 }
 
 #[cfg(test)]
--- a/crates/basaltrail-core/src/leader/autoscaler/returned.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/returned.rs
@@ -1,15 +1,15 @@
-//! Machines returned to the cloud of late.
+//! Machines terminated of late: late heartbeats and lists that still name them are ignored.
 
 use crate::model::MachineId;
 use crate::settings::Settings;
 use std::collections::{HashSet, VecDeque};
 
-/// Machines returned of late, per megabyte; their late heartbeats are not taken for new machines.
-const RETURNED_PER_MB: f64 = 40.0;
+/// Machines kept per megabyte of the controller's memory.
+const MACHINES_PER_MB: f64 = 40.0;
 /// Machines kept however little memory there is.
-const RETURNED_LEAST: usize = 64;
+const MIN_MACHINES: usize = 64;
 
-/// The machines returned last, up to a bound.
+/// The machines terminated last, up to a bound.
 pub struct ReturnedMachines {
     order: VecDeque<MachineId>,
     names: HashSet<MachineId>,
@@ -17,22 +17,23 @@
 }
 
 impl ReturnedMachines {
-    /// A whole fleet may go back and late copies of its heartbeats follow.
+    /// None yet. A whole fleet may be terminated and late copies of its heartbeats follow, so as
+    /// many are kept as may report to one controller.
     pub fn new(settings: &Settings) -> Self {
-        let by_memory = (settings.memory_mb * RETURNED_PER_MB) as usize;
+        let by_memory = (settings.memory_mb * MACHINES_PER_MB) as usize;
         ReturnedMachines {
             order: VecDeque::new(),
             names: HashSet::new(),
-            most: settings.max_machines.max(by_memory).max(RETURNED_LEAST),
+            most: settings.max_machines.max(by_memory).max(MIN_MACHINES),
         }
     }
 
-    /// Whether the machine was returned of late.
+    /// Whether the machine was terminated of late.
     pub fn contains(&self, id: &MachineId) -> bool {
         self.names.contains(id)
     }
 
-    /// Adds a machine; the oldest one makes room for it.
+    /// Adds a machine; the oldest one is dropped if there are too many.
     pub fn add(&mut self, id: &MachineId) {
         if self.names.insert(id.clone()) {
             self.order.push_back(id.clone());
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -1,185 +1,241 @@
-//! Machines given back, and what silence of many of them means.
+//! Scale-in: which machines are terminated, and why.
 
-use crate::leader::autoscaler::provisioning_time::NEVER;
+use super::provisioning_time::ABANDONED;
+use super::Autoscaler;
+use crate::events::{MachineEvent, ReleaseReason};
+use crate::io::{CloudReply, CloudRequest};
+use crate::leader::cluster::Cluster;
+use crate::leader::scheduler::capacity::machine_type;
 use crate::leader::scheduler::services::{silent_machines_with_replicas, FEW_OF_ZONE};
-use crate::leader::*;
+use crate::leader::Context;
+use crate::machines::{Decommission, Machine};
+use crate::model::{FencingToken, ListedState, MachineId, Ms};
+use crate::store::calls::{Calls, Purpose};
+use crate::store::rate_limiter::CallPriority;
+use std::collections::{BTreeMap, BTreeSet};
 
-impl Leader {
-    /// Gives back what is drained, failed or lost.
-    pub(in crate::leader) fn returns(&mut self, ctx: &Context, calls: &mut Calls) {
-        let ready = ctx.holds_valid_lease && !ctx.types.is_empty();
-        let busy = self.autoscaler.rental.release_in_flight
-            || ctx.now < self.autoscaler.rental.release_not_before;
-        if !ready || busy {
-            return;
+/// Machines that one call may terminate (PROTOCOL, `POST /rentals/release`).
+const MAX_MACHINES_PER_CALL: usize = 100;
+/// Milliseconds after the announced time of a reclaim from which the machine counts as taken.
+const RECLAIM_MARGIN_MS: Ms = 500;
+/// Lags of the cloud's list after which a machine must be listed: twice what PROTOCOL states
+/// (`GET /rentals`: up to two).
+const LIST_LAGS: Ms = 4;
+/// Milliseconds beyond that, for the interval at which the list is read.
+const LIST_MARGIN_MS: Ms = 4000;
+/// Leases of silence after which a machine outside of a network partition is terminated.
+const SILENT_LEASES: Ms = 3;
+/// Leases of silence after which no network partition explains it.
+const SILENT_FOR_LONG_LEASES: Ms = 12;
+/// Leases beyond the longest time to come up after which a machine never heard is terminated.
+const NEVER_HEARD_LEASES: f64 = 2.0;
+
+/// The call that terminates machines; one at a time.
+#[derive(Default)]
+pub(in crate::leader) struct TerminationCall {
+    in_flight: bool,
+    not_before: Ms,
+}
+
+/// What scale-in knows of the leader.
+#[derive(Clone, Copy)]
+pub(in crate::leader) struct LeaderState {
+    /// Its fencing token.
+    pub(in crate::leader) token: FencingToken,
+    /// When it was elected.
+    pub(in crate::leader) elected_at: Ms,
+    /// When it was last able to answer workers again: silence of machines counts from there.
+    pub(in crate::leader) reachable_since: Ms,
+}
+
+/// What the termination of a machine depends on beside the machine.
+struct Criteria<'a> {
+    ctx: &'a Context<'a>,
+    autoscaler: &'a Autoscaler,
+    reachable_since: Ms,
+    /// Machines with replicas that are silent though nearly all of their zone are heard.
+    silent_with_replicas: BTreeSet<MachineId>,
+    /// Zones in which few machines were not heard since the failover, once it is half a lease
+    /// ago.
+    few_unheard: BTreeSet<&'a str>,
+    /// The longest nominal boot time of all types.
+    boot_ms: f64,
+}
+
+impl<'a> Criteria<'a> {
+    fn new(
+        ctx: &'a Context<'a>,
+        autoscaler: &'a Autoscaler,
+        cluster: &'a Cluster,
+        leader: LeaderState,
+    ) -> Self {
+        let LeaderState { elected_at, reachable_since, .. } = leader;
+        let settled = ctx.now > elected_at.max(reachable_since) + ctx.cfg.lease_ms / 2;
+        let boot_s = ctx.types.iter().map(|t| t.boot_s).fold(1.0, f64::max);
+        Criteria {
+            ctx,
+            autoscaler,
+            reachable_since,
+            silent_with_replicas: silent_machines_with_replicas(ctx, cluster, reachable_since),
+            few_unheard: if settled { zones_with_few_unheard(cluster) } else { BTreeSet::new() },
+            boot_ms: boot_s * 1000.0,
         }
-        let boot_ms = ctx.types.iter().map(|t| t.boot_s).fold(1.0, f64::max) * 1000.0;
-        let lag = ctx.cfg.list_lag_ms;
-        self.note_cuts(ctx);
-        let woke = self.liveness.woke;
-        // After a takeover older work waits for a word of every machine that may hold some.
-        // Those few that are silent when the others have spoken are most likely dead, and
-        // the answer to their release makes sure of it sooner than their lease does. Many
-        // silent ones of a zone are cut off, and come back.
-        let unheard = |m: &Machine| {
-            !m.reconciled && m.answers_without_token == 0 && m.last_heartbeat.is_none()
-        };
-        let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for m in self.cluster.machines.values() {
-            let zone = zones.entry(&m.zone).or_default();
-            zone.0 += 1;
-            zone.1 += unheard(m) as usize;
+    }
+
+    /// Why a machine is terminated, if it is.
+    fn reason(&self, machine: &Machine) -> Option<ReleaseReason> {
+        if self.is_reclaimed(machine) {
+            return Some(ReleaseReason::Reclaimed);
         }
-        let given_up = silent_machines_with_replicas(ctx, &self.cluster, self.liveness.woke);
-        let late = ctx.now > self.since.max(woke) + ctx.cfg.lease_ms / 2;
-        let few = |zone: &str| late && zones.get(zone).is_some_and(|(n, s)| s * FEW_OF_ZONE <= *n);
-        let mut go = Vec::new();
-        for m in self.cluster.machines.values() {
-            let age = ctx.now - m.known_since;
-            let seen = m.listed.is_some_and(|(_, at)| ctx.now <= at + lag * 4 + 4000);
-            let failed = matches!(m.listed, Some((ListedState::Failed, _)));
-            let silence = ctx.now - m.heard_at.unwrap_or(m.known_since).max(woke);
-            // One that reports and does not hear is of no use.
-            let up = m.last_heartbeat.is_some()
-                && !m.lease_expired
-                && (silence <= ctx.cfg.lease_ms * 3 || !m.empty());
-            let cut = self.autoscaler.cut_until.contains_key(&m.zone);
-            // Its time is over by its own word; the answer makes sure that it is gone.
-            let taken = m.gone_at.is_some_and(|t| ctx.now > t + 500)
-                && m.last_heartbeat
-                    .is_some_and(|t| ctx.now > t.max(woke) + ctx.cfg.heartbeat_interval_ms);
-            let reason = if taken {
-                ReleaseReason::Reclaimed
-            } else if given_up.contains(&m.id) {
-                ReleaseReason::ReplicasSilent
-            } else if unheard(m) && few(&m.zone) {
-                ReleaseReason::SilentSinceFailover
-            } else if up && m.decommission != Decommission::No && m.empty() && !m.notice(ctx.now) {
-                ReleaseReason::Drained
-            } else if up && m.empty() && m.faulty(ctx.now, ctx.cfg.lease_ms) {
-                ReleaseReason::Quarantined
-            } else if up || !m.reconciled {
-                continue;
-            } else if failed {
-                ReleaseReason::Failed
-            } else if !seen && silence > ctx.cfg.lease_ms + lag * 4 + 4000 && age > lag * 4 + 4000 {
-                ReleaseReason::NotListed
-            } else if m.last_heartbeat.is_some() && !cut && silence > ctx.cfg.lease_ms * 3 {
-                ReleaseReason::Silent
-            } else if m.late && m.given_up {
-                ReleaseReason::NeverUp
-            } else if m.last_heartbeat.is_none()
-                && !cut
-                && age as f64 > boot_ms * NEVER + 2.0 * ctx.cfg.lease_ms as f64
-            {
-                ReleaseReason::NeverHeard
-            } else if silence > ctx.cfg.lease_ms * 12 {
-                ReleaseReason::SilentForLong
-            } else {
-                continue;
-            };
-            go.push((m.id.clone(), reason));
-            if go.len() >= RELEASE_MOST {
-                break;
-            }
+        if self.silent_with_replicas.contains(&machine.id) {
+            return Some(ReleaseReason::ReplicasSilent);
         }
-        if go.is_empty() || !calls.cloud.take(ctx.now, 1.0, CallPriority::Completion) {
-            return;
+        if is_unheard(machine) && self.few_unheard.contains(machine.zone.as_str()) {
+            return Some(ReleaseReason::SilentSinceFailover);
         }
-        for (id, reason) in &go {
-            if let Some(m) = self.cluster.machines.get_mut(id) {
-                m.decommission = Decommission::Releasing;
-                let t = ctx.types.iter().find(|t| t.name == m.machine_type);
-                if let Some(t) = t.filter(|_| m.given_up && m.last_heartbeat.is_none()) {
-                    self.autoscaler.rental.boots.missed(t, &m.zone, ctx.now);
-                }
-            }
-            calls.log(MachineEvent::ScaleIn { machine: id.clone(), reason: *reason });
+        if self.is_up(machine) {
+            return self.reason_while_up(machine);
         }
-        let go: Vec<MachineId> = go.into_iter().map(|(id, _)| id).collect();
-        self.autoscaler.rental.release_in_flight = true;
-        let purpose = Purpose::Release { token: self.token, machines: go.clone() };
-        calls.cloud(purpose, CloudRequest::Terminate(go), ctx.cfg.lease_ms / 2);
+        // What an earlier leader started there may still run.
+        machine.reconciled.then(|| self.reason_while_down(machine)).flatten()
     }
 
-    /// Whether most machines of a zone that were in use under an earlier leader have not
-    /// spoken yet: that leader may have ended within a cut.
-    pub(in crate::leader) fn unheard(&self, zone: &str) -> bool {
-        let (mut all, mut silent) = (0, 0);
-        for m in self.cluster.machines.values().filter(|m| m.expected && m.zone == zone) {
-            all += 1;
-            silent += m.last_heartbeat.is_none() as usize;
-        }
-        all > 2 && silent * 2 > all
+    /// Its time is over by its own word; the answer proves that it is gone.
+    fn is_reclaimed(&self, machine: &Machine) -> bool {
+        let now = self.ctx.now;
+        let missed_after = self.ctx.cfg.heartbeat_interval_ms;
+        machine.gone_at.is_some_and(|at| now > at + RECLAIM_MARGIN_MS)
+            && machine
+                .last_heartbeat
+                .is_some_and(|at| now > at.max(self.reachable_since) + missed_after)
+    }
+
+    /// Milliseconds since it last showed that it receives our answers.
+    fn silence_ms(&self, machine: &Machine) -> Ms {
+        let heard_at = machine.heard_at.unwrap_or(machine.known_since);
+        self.ctx.now - heard_at.max(self.reachable_since)
     }
 
-    /// Zones most of whose machines went silent: cut off rather than broken. They
-    /// count as such for a while after, since their machines come back one by one.
-    pub(in crate::leader) fn note_cuts(&mut self, ctx: &Context) {
-        let mut count: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for m in self.cluster.machines.values().filter(|m| m.last_heartbeat.is_some()) {
-            let c = count.entry(&m.zone).or_default();
-            c.0 += 1;
-            c.1 += m.lease_expired as usize;
+    /// Whether it reports and is of use: one that does not receive our answers is not.
+    fn is_up(&self, machine: &Machine) -> bool {
+        let receives = self.silence_ms(machine) <= self.ctx.cfg.lease_ms * SILENT_LEASES;
+        machine.last_heartbeat.is_some() && !machine.lease_expired && (receives || !machine.empty())
+    }
+
+    fn reason_while_up(&self, machine: &Machine) -> Option<ReleaseReason> {
+        let now = self.ctx.now;
+        if !machine.empty() {
+            return None;
         }
-        for (zone, (n, lease_expired)) in count {
-            if n > 2 && lease_expired * 2 > n {
-                self.autoscaler.cut_until.insert(zone.to_string(), ctx.now + ctx.cfg.lease_ms);
-            }
+        if machine.decommission != Decommission::No && !machine.notice(now) {
+            return Some(ReleaseReason::Drained);
         }
-        self.autoscaler.cut_until.retain(|_, until| *until > ctx.now);
+        machine.faulty(now, self.ctx.cfg.lease_ms).then_some(ReleaseReason::Quarantined)
     }
 
-    /// Whether this controller seems to have lost the workers: most of those that reported to
-    /// it went silent, in its own zone too, well before their leases end.
-    pub(in crate::leader) fn find_lost(&self, ctx: &Context) -> bool {
-        let silent_after = ctx.cfg.lease_ms * 2 / 5;
-        let (mut all, mut silent, mut near, mut near_silent) = (0, 0, 0, 0);
-        for m in self.cluster.machines.values().filter(|m| m.decommission == Decommission::No) {
-            let Some(at) = m.last_heartbeat else { continue };
-            let is_silent = (ctx.now > at.max(self.liveness.woke) + silent_after) as usize;
-            all += 1;
-            silent += is_silent;
-            if m.zone == ctx.cfg.zone {
-                near += 1;
-                near_silent += is_silent;
-            }
+    fn reason_while_down(&self, machine: &Machine) -> Option<ReleaseReason> {
+        let Context { now, cfg, .. } = *self.ctx;
+        let silence_ms = self.silence_ms(machine);
+        let age_ms = now - machine.known_since;
+        let list_ms = cfg.list_lag_ms * LIST_LAGS + LIST_MARGIN_MS;
+        let listed = machine.listed.is_some_and(|(_, at)| now <= at + list_ms);
+        let never_heard = machine.last_heartbeat.is_none();
+        let partitioned = self.autoscaler.partitions.contains(&machine.zone);
+        let longest_ms = self.boot_ms * ABANDONED + NEVER_HEARD_LEASES * cfg.lease_ms as f64;
+        if matches!(machine.listed, Some((ListedState::Failed, _))) {
+            Some(ReleaseReason::Failed)
+        } else if !listed && silence_ms > cfg.lease_ms + list_ms && age_ms > list_ms {
+            Some(ReleaseReason::NotListed)
+        } else if !never_heard && !partitioned && silence_ms > cfg.lease_ms * SILENT_LEASES {
+            Some(ReleaseReason::Silent)
+        } else if machine.late && machine.given_up {
+            Some(ReleaseReason::NeverUp)
+        } else if never_heard && !partitioned && age_ms as f64 > longest_ms {
+            Some(ReleaseReason::NeverHeard)
+        } else if silence_ms > cfg.lease_ms * SILENT_FOR_LONG_LEASES {
+            Some(ReleaseReason::SilentForLong)
+        } else {
+            None
         }
-        all > 2 && silent * 3 > all * 2 && near_silent * 3 >= near * 2
     }
+}
 
-    /// Leaves word of the zone with the most machines.
-    pub(in crate::leader) fn note_preferred_zone(&mut self) {
-        let mut count: BTreeMap<&str, usize> = BTreeMap::new();
-        for m in self.cluster.machines.values() {
-            *count.entry(&m.zone).or_default() += 1;
-        }
-        let primary_zone = count.into_iter().max_by_key(|(_, n)| *n).map(|(z, _)| z.to_string());
-        if primary_zone.is_some() && primary_zone != self.autoscaler.primary_zone {
-            self.autoscaler.primary_zone = primary_zone;
-            self.writer.preferred_zone_due = true;
-        }
+/// Whether a machine of an earlier leader has not been heard since the failover.
+fn is_unheard(machine: &Machine) -> bool {
+    !machine.reconciled && machine.answers_without_token == 0 && machine.last_heartbeat.is_none()
+}
+
+/// Zones in which few machines have not been heard since the failover. Until they are heard,
+/// work of earlier leaders waits for them; when the others have been heard these are most likely
+/// dead, and the answer to their termination proves it sooner than their lease does. Many of a
+/// zone are cut off, and come back.
+fn zones_with_few_unheard(cluster: &Cluster) -> BTreeSet<&str> {
+    let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
+    for machine in cluster.machines.values() {
+        let zone = zones.entry(&machine.zone).or_default();
+        zone.0 += 1;
+        zone.1 += is_unheard(machine) as usize;
     }
+    let few = |(_, (all, unheard)): &(&str, (usize, usize))| unheard * FEW_OF_ZONE <= *all;
+    zones.into_iter().filter(few).map(|(zone, _)| zone).collect()
+}
 
-    pub fn release_answer(
+impl Autoscaler {
+    /// Terminates machines that are drained, failed or lost.
+    pub(in crate::leader) fn scale_in(
         &mut self,
         ctx: &Context,
+        cluster: &mut Cluster,
+        leader: LeaderState,
         calls: &mut Calls,
-        machines: Vec<MachineId>,
-        reply: CloudReply,
     ) {
-        self.autoscaler.rental.release_in_flight = false;
-        if reply == CloudReply::Terminated {
-            for id in machines {
-                self.remove_gone(ctx, calls, &id);
-            }
-        } else {
-            // They stay marked: a release that was given up may still be carried out.
-            self.autoscaler.rental.release_not_before = ctx.now + ctx.cfg.lease_ms / 10;
+        let ready = ctx.holds_valid_lease && !ctx.types.is_empty();
+        if !ready || self.termination.in_flight || ctx.now < self.termination.not_before {
+            return;
+        }
+        self.partitions.note(ctx, cluster);
+        let criteria = Criteria::new(ctx, self, cluster, leader);
+        let terminated: Vec<(MachineId, ReleaseReason)> = cluster
+            .machines
+            .values()
+            .filter_map(|m| criteria.reason(m).map(|reason| (m.id.clone(), reason)))
+            .take(MAX_MACHINES_PER_CALL)
+            .collect();
+        if terminated.is_empty() || !calls.cloud.take(ctx.now, 1.0, CallPriority::Completion) {
+            return;
+        }
+        for (id, reason) in &terminated {
+            self.note_termination(ctx, cluster, id);
+            calls.log(MachineEvent::ScaleIn { machine: id.clone(), reason: *reason });
+        }
+        let machines: Vec<MachineId> = terminated.into_iter().map(|(id, _)| id).collect();
+        self.termination.in_flight = true;
+        let purpose = Purpose::Release { token: leader.token, machines: machines.clone() };
+        calls.cloud(purpose, CloudRequest::Terminate(machines), ctx.cfg.lease_ms / 2);
+    }
+
+    /// From here on the machine is not to be used, whatever the cloud answers.
+    fn note_termination(&mut self, ctx: &Context, cluster: &mut Cluster, id: &MachineId) {
+        let Some(machine) = cluster.machines.get_mut(id) else { return };
+        machine.decommission = Decommission::Releasing;
+        let never_came = machine.given_up && machine.last_heartbeat.is_none();
+        if let Some(t) = machine_type(ctx.types, &machine.machine_type).filter(|_| never_came) {
+            self.provisioning_times.note_abandoned(t, &machine.zone, ctx.now);
         }
     }
-}
 
-#[cfg(test)]
-#[path = "scale_in_tests.rs"]
-mod tests;
+    /// Takes the answer to a termination; true if the machines are gone. If not, they stay
+    /// marked: a call that was given up may still be carried out.
+    pub(in crate::leader) fn take_termination_answer(
+        &mut self,
+        ctx: &Context,
+        reply: &CloudReply,
+    ) -> bool {
+        self.termination.in_flight = false;
+        let gone = *reply == CloudReply::Terminated;
+        if !gone {
+            self.termination.not_before = ctx.now + ctx.cfg.lease_ms / 10;
+        }
+        gone
+    }
+}
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -119,7 +119,12 @@
         });
         let machine_type = ctx.types.iter().find(|t| t.name == m.machine_type);
         if let (Some(at), Some(machine_type)) = (m.asked_at, machine_type) {
-            self.autoscaler.rental.boots.came(machine_type, &m.zone, ctx.now, ctx.now - at);
+            self.autoscaler.provisioning_times.note_arrival(
+                machine_type,
+                &m.zone,
+                ctx.now,
+                ctx.now - at,
+            );
         }
     }
 
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -2,13 +2,12 @@
 //! it must be written.
 
 use crate::events::{
-    DrainReason, JobEvent, LeadershipEvent, MachineEvent, ReleaseReason, RoundSummary, StoreEvent,
-    TeamSummary,
+    JobEvent, LeadershipEvent, MachineEvent, RoundSummary, StoreEvent, TeamSummary,
 };
 use crate::fairness::Ledger;
 use crate::io::*;
 use crate::jobs::{JobCache, RunJob};
-use crate::leader::autoscaler::provisioning::{MachineKind, ProvisioningRequest};
+use crate::leader::autoscaler::partitions::workers_unreachable;
 use crate::machines::*;
 use crate::model::*;
 use crate::settings::Settings;
@@ -59,26 +58,6 @@
     changes: usize,
 }
 
-#[derive(Clone, Copy, Debug, Default)]
-struct Demand {
-    machines: f64,
-    work: f64,
-}
-
-/// What is wanted of one type, as ordinary or as spot machines.
-struct Want {
-    name: String,
-    spot: bool,
-    /// Its price per CPU over the cheapest.
-    ratio: f64,
-    /// Machines of the type to be held for the guarantees, in all.
-    ready: usize,
-    /// Machines of the type that could be used now, or are held ready, in all.
-    target: usize,
-    /// Machines of the type up to which this kind pays.
-    most: usize,
-}
-
 /// What the reply to a flush asks of the controller.
 #[derive(Default)]
 pub struct WriteOutcome {
@@ -89,23 +68,12 @@
     pub rejected: Option<String>,
 }
 
-/// A kind of machine this many times as dear as the cheapest is not kept ready.
-const DEAR: f64 = 1.5;
-/// The part of its boot time for which a dear machine must find work.
-const DEAR_PAYS: f64 = 0.7;
 /// The part of its estimate that a task nearly always runs.
 const SURELY_RUNS: f64 = 0.7;
 /// Jobs that fail everywhere, of which a successor is told.
 const SUSPECTS_TOLD: usize = 64;
-/// The cloud takes no larger rental.
-const RENT_MOST: usize = 50;
-/// Rentals on their way at once: one after the other, a fleet that begins with no machine
-/// would come up by the time of an answer for each.
-const RENTALS_MOST: usize = 8;
 /// Jobs that wait to be read, per megabyte; what a report names beyond that is read later.
 const UNREAD_PER_MB: f64 = 40.0;
-/// Nor more names in one release.
-const RELEASE_MOST: usize = 100;
 /// Bytes of one transaction, of the 64 KiB that the state service takes.
 const TXN_BYTES: usize = 56 * 1024;
 /// Workers' leases for which a write rests that the state service rejected.
@@ -195,9 +163,10 @@
             self.scheduler.visited += self.cluster.machines.len() as u64;
             self.liveness.next_watch = ctx.now + ctx.cfg.heartbeat_interval_ms / 20;
             self.watch_machines(ctx, calls);
-            self.liveness.lost_workers = self.find_lost(ctx);
+            self.liveness.lost_workers =
+                workers_unreachable(ctx, &self.cluster, self.liveness.woke);
             self.finish_jobs();
-            self.returns(ctx, calls);
+            self.scale_in(ctx, calls);
         }
         if ctx.now >= self.round_ends {
             self.round_ends = ctx.now + (ctx.cfg.policy.round_s * 1000.0) as Ms;
@@ -206,7 +175,7 @@
                 j.account.granted = 0.0;
             }
             self.writer.ledger_due = true;
-            self.note_preferred_zone();
+            self.note_primary_zone();
             self.log_round(ctx, calls);
             self.plan_allotments(ctx, calls);
             self.scheduler.changed = true;
@@ -221,7 +190,7 @@
         if ctx.holds_valid_lease {
             self.allotting.send(ctx.cfg, ctx.now, (self.token, self.mod_revision), calls);
         }
-        self.cloud(ctx, calls);
+        self.call_cloud(ctx, calls);
     }
 
     /// Leases that have surely ended, and machines that went silent. Not at every input:
--- a/crates/basaltrail-core/src/leader/scheduler/capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/capacity.rs
@@ -70,6 +70,14 @@
     types.iter().position(|machine_type| machine_type.name == name)
 }
 
+/// The machine type of this name, if it is known.
+pub(in crate::leader) fn machine_type<'a>(
+    types: &'a [MachineType],
+    name: &str,
+) -> Option<&'a MachineType> {
+    types.iter().find(|machine_type| machine_type.name == name)
+}
+
 /// Whether a machine may be given new tasks now.
 pub(in crate::leader) fn accepts_tasks(ctx: &Context, machine: &Machine) -> bool {
     machine.reconciled
--- a/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
@@ -4,7 +4,7 @@
 //! its machines, would wait for them. Capacity for some of the largest service of each class of
 //! late is kept free, within the guarantees of their teams.
 
-use super::capacity::{FreeCapacity, CPU_TOLERANCE};
+use super::capacity::{machine_type, FreeCapacity, CPU_TOLERANCE};
 use super::services::is_high_priority_service;
 use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::cluster::Cluster;
@@ -194,8 +194,8 @@
     sizes: &ReplicaSizes,
     kind: &MachineKind,
 ) -> usize {
-    let machine_type = ctx.types.iter().find(|t| t.name == kind.machine_type);
-    let Some(machine_type) = machine_type.filter(|_| !kind.spot) else { return 0 };
+    let known_type = machine_type(ctx.types, &kind.machine_type);
+    let Some(machine_type) = known_type.filter(|_| !kind.spot) else { return 0 };
     let zones = machine_type.zones.len().max(1);
     let belongs_here = |spec: &JobSpec| {
         let zone_allowed = spec.zone.as_ref().is_none_or(|zone| *zone == kind.zone);
