--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -2,15 +2,12 @@
 //! it must be written.
 
 use crate::events::{
-    DrainReason, JobEvent, LeadershipEvent, MachineEvent, ReleaseReason, RoundSummary, StoreEvent,
-    TeamSummary,
+    JobEvent, LeadershipEvent, MachineEvent, RoundSummary, StoreEvent, TeamSummary,
 };
 use crate::fairness::Ledger;
 use crate::io::*;
 use crate::jobs::{JobCache, RunJob};
-use crate::leader::autoscaler::provisioning::{MachineKind, ProvisioningRequest};
-use crate::leader::scheduler::bin_packing::{choose, Room, Spread, Wish};
-use crate::leader::scheduler::deadline_feasibility::{in_reach, Candidate};
+use crate::leader::autoscaler::partitions::workers_unreachable;
 use crate::machines::*;
 use crate::model::*;
 use crate::settings::Settings;
@@ -25,7 +22,6 @@
 use persistence::Writer;
 use rand::rngs::SmallRng;
 use scheduler::Scheduler;
-use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 pub mod autoscaler;
@@ -62,43 +58,6 @@
     changes: usize,
 }
 
-#[derive(Clone, Copy, Debug, Default)]
-struct Demand {
-    machines: f64,
-    work: f64,
-}
-
-/// What is wanted of one type, as ordinary or as spot machines.
-struct Want {
-    name: String,
-    spot: bool,
-    /// Its price per CPU over the cheapest.
-    ratio: f64,
-    /// Machines of the type to be held for the guarantees, in all.
-    ready: usize,
-    /// Machines of the type that could be used now, or are held ready, in all.
-    target: usize,
-    /// Machines of the type up to which this kind pays.
-    most: usize,
-}
-
-/// Seconds a job can still lose, by objective that it may meet, the nearest last.
-/// Estimates are often wrong, so a little overdue still counts.
-fn spares_s(ctx: &Context, j: &RunJob) -> Vec<f64> {
-    let age = (ctx.wall - j.at) as f64 / 1000.0;
-    let mut spares: Vec<f64> = ctx
-        .cfg
-        .completion_objectives_s(&j.spec)
-        .map(|due| due - age - j.spec.estimate_s)
-        .filter(|spare| *spare > -0.3 * j.spec.estimate_s)
-        .chain(
-            ctx.cfg.start_objectives_s(&j.spec).map(|due| due - age).filter(|spare| *spare > 0.0),
-        )
-        .collect();
-    spares.sort_by(|a, b| b.total_cmp(a));
-    spares
-}
-
 /// What the reply to a flush asks of the controller.
 #[derive(Default)]
 pub struct WriteOutcome {
@@ -109,31 +68,12 @@
     pub rejected: Option<String>,
 }
 
-/// A kind of machine this many times as dear as the cheapest is not kept ready.
-const DEAR: f64 = 1.5;
-/// The part of its boot time for which a dear machine must find work.
-const DEAR_PAYS: f64 = 0.7;
-/// Workers' leases that a job waits for its first task before it goes first.
-const UNBEGUN_LEASES: WallMs = 9;
-/// Workers' leases that a job must have to lose to wait for room rather than stop others.
-const SOON_LEASES: f64 = 2.0;
-/// Workers' leases that the first tasks of a job run before they may be stopped for others.
-const FIRST_LEASES: f64 = 3.5;
 /// The part of its estimate that a task nearly always runs.
 const SURELY_RUNS: f64 = 0.7;
 /// Jobs that fail everywhere, of which a successor is told.
 const SUSPECTS_TOLD: usize = 64;
-/// The cloud takes no larger rental.
-const RENT_MOST: usize = 50;
-/// Rentals on their way at once: one after the other, a fleet that begins with no machine
-/// would come up by the time of an answer for each.
-const RENTALS_MOST: usize = 8;
-/// One in so many machines of a zone that are silent after a takeover is few.
-const UNHEARD_FEW: usize = 8;
 /// Jobs that wait to be read, per megabyte; what a report names beyond that is read later.
 const UNREAD_PER_MB: f64 = 40.0;
-/// Nor more names in one release.
-const RELEASE_MOST: usize = 100;
 /// Bytes of one transaction, of the 64 KiB that the state service takes.
 const TXN_BYTES: usize = 56 * 1024;
 /// Workers' leases for which a write rests that the state service rejected.
@@ -223,9 +163,10 @@
             self.scheduler.visited += self.cluster.machines.len() as u64;
             self.liveness.next_watch = ctx.now + ctx.cfg.heartbeat_interval_ms / 20;
             self.watch_machines(ctx, calls);
-            self.liveness.lost_workers = self.find_lost(ctx);
+            self.liveness.lost_workers =
+                workers_unreachable(ctx, &self.cluster, self.liveness.woke);
             self.finish_jobs();
-            self.returns(ctx, calls);
+            self.scale_in(ctx, calls);
         }
         if ctx.now >= self.round_ends {
             self.round_ends = ctx.now + (ctx.cfg.policy.round_s * 1000.0) as Ms;
@@ -234,7 +175,7 @@
                 j.account.granted = 0.0;
             }
             self.writer.ledger_due = true;
-            self.note_preferred_zone();
+            self.note_primary_zone();
             self.log_round(ctx, calls);
             self.plan_allotments(ctx, calls);
             self.scheduler.changed = true;
@@ -243,13 +184,13 @@
             && ctx.holds_valid_lease
             && ctx.job_cache_is_fresh
         {
-            self.place(ctx, calls, rng);
+            self.schedule(ctx, calls, rng);
         }
         self.flush(ctx, calls);
         if ctx.holds_valid_lease {
             self.allotting.send(ctx.cfg, ctx.now, (self.token, self.mod_revision), calls);
         }
-        self.cloud(ctx, calls);
+        self.call_cloud(ctx, calls);
     }
 
     /// Leases that have surely ended, and machines that went silent. Not at every input:
