--- a/crates/basaltrail-admission/src/lib.rs
+++ b/crates/basaltrail-admission/src/lib.rs
@@ -1,21 +1,25 @@
 //! Admission of submissions, agreed between all controllers, without I/O.
 //!
-//! The leader bounds the backlog of each team and hands out parts of it, allotments, to the
-//! controllers ([`Planner`]). A controller admits out of its allotment in memory ([`Gate`]) and makes the
-//! acceptance conditional on the mod revision of the allotment's record. What is known of the records,
-//! and of what was accepted under each, is a [`View`], which every controller keeps.
+//! The leader bounds the backlog of each team and hands out parts of the bound, admission quotas,
+//! to the controllers ([`QuotaPlanner`]). A controller admits submissions out of its quotas in
+//! memory ([`QuotaLimiter`]) and makes each acceptance conditional on the mod revision of the
+//! quota's record, so that nothing is accepted out of a record that has been replaced. What is
+//! known of the records, and of what was accepted under each, is a [`QuotaCache`], which every
+//! controller keeps by its watch of the store.
 #![warn(missing_docs)]
 
-mod allotment;
-mod gate;
+mod limiter;
 mod planner;
+mod quota;
+mod quota_cache;
 mod revision;
-mod room;
-mod view;
+mod work_amount;
 
-pub use allotment::{Allotment, ClassRoom, Demand, OTHER_CLASSES};
-pub use gate::{Gate, Mode, Outcome, Reason, Refusal, Ticket};
-pub use planner::{Bounds, ClassLoad, Grant, Planner, TeamLoad, Written};
+pub use limiter::{
+    AcceptanceOutcome, QuotaLimiter, QuotaMode, QuotaRejection, RejectionReason, Reservation,
+};
+pub use planner::{BacklogBounds, ClassLoad, QuotaPlanner, QuotaWrite, TeamLoad, WriteResult};
+pub use quota::{AdmissionQuota, JobDemand, QuotaEntry, OTHER_CLASSES};
+pub use quota_cache::{Acceptance, CachedQuota, ControllerProcess, QuotaCache};
 pub use revision::Revision;
-pub use room::Room;
-pub use view::{Acceptance, Held, View};
+pub use work_amount::WorkAmount;
--- a/crates/basaltrail-admission/src/revision.rs
+++ b/crates/basaltrail-admission/src/revision.rs
@@ -10,6 +10,11 @@
 impl Revision {
     /// The mod revision of a key that does not exist.
     pub const NONE: Revision = Revision(0);
+
+    /// The revision of the change that follows.
+    pub fn next(self) -> Self {
+        Revision(self.0 + 1)
+    }
 }
 
 impl fmt::Display for Revision {
--- a/crates/basaltrail-admission/tests/model.rs
+++ b/crates/basaltrail-admission/tests/model.rs
@@ -8,31 +8,31 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-const NODES: usize = 3;
+const CONTROLLERS: usize = 3;
 const TEAM: &str = "t";
 const CLASSES: [&str; 2] = ["large", "small"];
-const BOUNDS: Bounds = Bounds { horizon_s: 100.0, jobs: 240, round_s: 10.0 };
+const BOUNDS: BacklogBounds = BacklogBounds { horizon_s: 100.0, jobs: 240, round_s: 10.0 };
 const GUARANTEED: f64 = 100.0;
 
 /// What is written, in the order of the revisions.
 #[derive(Clone)]
 enum Record {
     Controller { controller: usize, incarnation: u64 },
-    Allotment(Allotment),
+    Quota(AdmissionQuota),
     Job { id: u64, acceptance: Acceptance },
 }
 
 /// A transaction on its way.
 #[derive(Clone)]
 enum Write {
-    Accept { from: (usize, u64), id: u64, ticket: Ticket, class: &'static str },
-    Allot { leader: u64, grant: Grant },
+    Accept { from: (usize, u64), id: u64, reservation: Reservation, class: &'static str },
+    Quota { leader: u64, write: QuotaWrite },
 }
 
 struct Process {
     incarnation: u64,
-    view: View,
-    gate: Gate,
+    cache: QuotaCache,
+    limiter: QuotaLimiter,
     /// How much of the log it has read.
     read: usize,
     frozen_until: u64,
@@ -47,8 +47,8 @@
     mod_revisions: BTreeMap<String, Revision>,
     controllers: Vec<Process>,
     leader: usize,
-    leader_stamp: u64,
-    planner: Planner,
+    leader_revision: u64,
+    planner: QuotaPlanner,
     writes: Vec<(u64, Write, bool)>,
     jobs: BTreeMap<u64, Acceptance>,
     next_job: u64,
@@ -59,7 +59,7 @@
     /// The most that were accepted and not ended.
     most: usize,
     flood: Option<usize>,
-    /// Whether acceptances are conditional on the allotment's mod revision.
+    /// Whether acceptances are conditional on the quota's mod revision.
     fenced: bool,
 }
 
@@ -78,17 +78,17 @@
     }
 }
 
-fn demand(class: &str) -> Demand {
+fn demand(class: &str) -> JobDemand {
     let (cpus, run_s) = if class == "large" { (2.0, 40.0) } else { (1.0, 5.0) };
-    Demand { team: TEAM.into(), class: class.into(), cpus, run_s: Some(run_s) }
+    JobDemand { team: TEAM.into(), class: class.into(), cpus, run_s: Some(run_s) }
 }
 
 impl Model {
     fn new(seed: u64, fenced: bool) -> Self {
         let process = |controller: usize| Process {
             incarnation: 1,
-            view: View::default(),
-            gate: Gate::new(&name(controller), 1, Mode::Allotted),
+            cache: QuotaCache::default(),
+            limiter: QuotaLimiter::new(&name(controller), 1, QuotaMode::Enforced),
             read: 0,
             frozen_until: 0,
             began: 0,
@@ -98,10 +98,10 @@
             t: 0,
             log: Vec::new(),
             mod_revisions: BTreeMap::new(),
-            controllers: (0..NODES).map(process).collect(),
+            controllers: (0..CONTROLLERS).map(process).collect(),
             leader: 0,
-            leader_stamp: 1,
-            planner: Planner::default(),
+            leader_revision: 1,
+            planner: QuotaPlanner::default(),
             writes: Vec::new(),
             jobs: BTreeMap::new(),
             next_job: 0,
@@ -112,7 +112,7 @@
             flood: None,
             fenced,
         };
-        for controller in 0..NODES {
+        for controller in 0..CONTROLLERS {
             model.log.push(Record::Controller { controller, incarnation: 1 });
         }
         model
@@ -121,7 +121,7 @@
     /// Served and guaranteed are always the same here, and so is the bound. Nobody asks for a
     /// class that is not named, so the least share of those is never taken.
     fn bound(&self) -> u32 {
-        let bound = Planner::bound(&BOUNDS, &team(Vec::new()), GUARANTEED, NODES).jobs;
+        let bound = QuotaPlanner::bound(&BOUNDS, &team(Vec::new()), GUARANTEED, CONTROLLERS).jobs;
         bound - bound / 2 / (CLASSES.len() as u32 + 1)
     }
 
@@ -129,7 +129,7 @@
     fn load(&self) -> TeamLoad {
         let read = &self.log[..self.controllers[self.leader].read];
         let mut classes: Vec<ClassLoad> = CLASSES
-            .map(|class| ClassLoad { class: class.into(), waiting: Room::default() })
+            .map(|class| ClassLoad { class: class.into(), waiting: WorkAmount::default() })
             .to_vec();
         for record in read {
             let Record::Job { id, acceptance } = record else { continue };
@@ -150,9 +150,9 @@
             let earlier = &self.log[..process.read];
             match &self.log[process.read] {
                 Record::Controller { controller, incarnation } => {
-                    process.view.learn_controller(&name(*controller), *incarnation, mod_revision);
+                    process.cache.put_controller(&name(*controller), *incarnation, mod_revision);
                 }
-                Record::Allotment(allotment) => {
+                Record::Quota(quota) => {
                     let complete = process.read >= process.began;
                     // Of what was read from a list, ended jobs are missing.
                     let jobs = &self.jobs;
@@ -162,16 +162,11 @@
                         }
                         _ => None,
                     });
-                    process.view.learn_allotment(
-                        allotment.clone(),
-                        mod_revision,
-                        accepted,
-                        complete,
-                    );
+                    process.cache.put_quota(quota.clone(), mod_revision, accepted, complete);
                 }
                 Record::Job { id, acceptance } => {
                     if process.read >= process.began || self.jobs.contains_key(id) {
-                        process.view.learn_acceptance(acceptance);
+                        process.cache.count_acceptance(acceptance);
                     }
                 }
             }
@@ -191,11 +186,11 @@
         if lost || late {
             // Its sender gives up before that.
             match &write {
-                Write::Accept { from, ticket, .. } if self.is_there(*from) => {
-                    self.controllers[from.0].gate.settle(ticket, Outcome::Used);
+                Write::Accept { from, reservation, .. } if self.is_there(*from) => {
+                    self.controllers[from.0].limiter.settle(reservation, AcceptanceOutcome::Used);
                 }
-                Write::Allot { leader, grant } if *leader == self.leader_stamp => {
-                    self.planner.written(grant, Written::Perhaps);
+                Write::Quota { leader, write } if *leader == self.leader_revision => {
+                    self.planner.record_result(write, WriteResult::Unknown);
                 }
                 _ => {}
             }
@@ -212,8 +207,8 @@
 
     fn carry_out(&mut self, write: Write, unheard: bool) {
         match write {
-            Write::Accept { from, id, ticket, class } => {
-                let (_, mod_revision) = ticket.condition().unwrap();
+            Write::Accept { from, id, reservation, class } => {
+                let (_, mod_revision) = reservation.precondition().unwrap();
                 let key = name(from.0);
                 let moved = self.fenced && self.mod_revisions.get(&key) != Some(&mod_revision);
                 if !moved && !self.jobs.contains_key(&id) {
@@ -227,26 +222,27 @@
                 if unheard || !self.is_there(from) {
                     return;
                 }
-                let gate = &mut self.controllers[from.0].gate;
+                let limiter = &mut self.controllers[from.0].limiter;
                 match moved {
                     true => {
-                        gate.moved(&ticket);
-                        gate.settle(&ticket, Outcome::NotUsed);
+                        limiter.mark_replaced(&reservation);
+                        limiter.settle(&reservation, AcceptanceOutcome::NotUsed);
                     }
-                    false => gate.settle(&ticket, Outcome::Used),
+                    false => limiter.settle(&reservation, AcceptanceOutcome::Used),
                 }
             }
-            Write::Allot { leader, grant } => {
-                let key = grant.allotment.controller.clone();
+            Write::Quota { leader, write } => {
+                let key = write.quota.controller.clone();
                 let mod_revision = self.mod_revisions.get(&key).copied().unwrap_or(Revision::NONE);
-                let done = leader == self.leader_stamp && mod_revision == grant.replaces;
+                let done = leader == self.leader_revision && mod_revision == write.replaces;
                 if done {
-                    self.log.push(Record::Allotment(grant.allotment.clone()));
+                    self.log.push(Record::Quota(write.quota.clone()));
                     self.mod_revisions.insert(key, Revision(self.log.len() as u64));
                 }
-                if !unheard && leader == self.leader_stamp {
-                    let outcome = if done { Written::Done } else { Written::Not };
-                    self.planner.written(&grant, outcome);
+                if !unheard && leader == self.leader_revision {
+                    let outcome =
+                        if done { WriteResult::Committed } else { WriteResult::NotExecuted };
+                    self.planner.record_result(&write, outcome);
                 }
             }
         }
@@ -259,7 +255,7 @@
         for (_, write, unheard) in due {
             self.carry_out(write, unheard);
         }
-        for controller in 0..NODES {
+        for controller in 0..CONTROLLERS {
             if self.t < self.controllers[controller].frozen_until {
                 continue;
             }
@@ -271,20 +267,22 @@
             for _ in 0..asks {
                 let class = CLASSES[self.rng.random_range(0..CLASSES.len())];
                 let process = &mut self.controllers[controller];
-                let Ok(ticket) = process.gate.admit(&process.view, demand(class)) else { continue };
-                if !process.gate.is_current(&process.view, &ticket) {
+                let Ok(reservation) = process.limiter.admit(&process.cache, demand(class)) else {
+                    continue;
+                };
+                if !process.limiter.is_current(&process.cache, &reservation) {
                     continue;
                 }
                 self.next_job += 1;
                 let (from, id) = ((controller, process.incarnation), self.next_job);
-                self.send(Write::Accept { from, id, ticket, class });
+                self.send(Write::Accept { from, id, reservation, class });
             }
         }
         if self.t >= self.next_plan && self.t >= self.controllers[self.leader].frozen_until {
             self.next_plan = self.t + 10;
-            let (load, view) = (self.load(), &self.controllers[self.leader].view);
-            for grant in self.planner.plan(view, &BOUNDS, &[load]) {
-                self.send(Write::Allot { leader: self.leader_stamp, grant });
+            let (load, cache) = (self.load(), &self.controllers[self.leader].cache);
+            for write in self.planner.plan(cache, &BOUNDS, &[load]) {
+                self.send(Write::Quota { leader: self.leader_revision, write });
             }
         }
         // Some jobs end.
@@ -304,7 +302,7 @@
     }
 
     fn trouble(&mut self) {
-        let controller = self.rng.random_range(0..NODES);
+        let controller = self.rng.random_range(0..CONTROLLERS);
         match self.rng.random_range(0..6) {
             0 => self.controllers[controller].frozen_until = self.t + self.rng.random_range(5..80),
             1 => {
@@ -312,15 +310,15 @@
                 let incarnation = self.controllers[controller].incarnation + 1;
                 self.controllers[controller] = Process {
                     incarnation,
-                    view: View::default(),
-                    gate: Gate::new(&name(controller), incarnation, Mode::Allotted),
+                    cache: QuotaCache::default(),
+                    limiter: QuotaLimiter::new(&name(controller), incarnation, QuotaMode::Enforced),
                     read: 0,
                     frozen_until: 0,
                     began: self.log.len(),
                 };
                 self.log.push(Record::Controller { controller, incarnation });
                 if controller == self.leader {
-                    self.lead((controller + 1) % NODES);
+                    self.lead((controller + 1) % CONTROLLERS);
                 }
             }
             2 => self.lead(controller),
@@ -333,8 +331,8 @@
     /// was written before it acts.
     fn lead(&mut self, controller: usize) {
         self.leader = controller;
-        self.leader_stamp += 1;
-        self.planner = Planner::default();
+        self.leader_revision += 1;
+        self.planner = QuotaPlanner::default();
         self.read(controller);
     }
 }
@@ -363,7 +361,7 @@
     assert!(most as u32 >= BOUNDS.jobs * 3 / 4, "{most}: the bound was never near");
 }
 
-/// The same model with acceptances that do not name their allotment's mod revision.
+/// The same model with acceptances that do not name their quota's mod revision.
 #[test]
 #[should_panic(expected = "jobs accepted")]
 fn without_the_stamp_more_is_accepted() {
--- a/crates/basaltrail-core/src/controller/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -1,210 +1,242 @@
-//! What this controller may accept: its allotments, and submissions that wait for the next one.
+//! What this controller may accept: its admission quotas, and the record of its process by which
+//! it asks for them.
 
-use super::*;
+use super::request_queue::NewJob;
+use super::Controller;
+use crate::answer::{Answer, UnavailableReason};
 use crate::events::AdmissionEvent;
-use basaltrail_admission::{Allotment, Gate, Mode, Outcome, Reason, Refusal, Ticket};
+use crate::io::{KeyValue, Precondition, PutRequest, StoreRequest};
+use crate::jobs::JobCache;
+use crate::model::{JobSpec, Ms, Revision};
+use crate::settings::Settings;
+use crate::store::calls::StorePurpose;
+use crate::store::rate_limiter::CallPriority;
+use crate::store::records::{
+    controller_key, decode, encode, quota_key, ControllerRecord, CONTROLLERS_PREFIX,
+};
+use basaltrail_admission::{
+    AcceptanceOutcome, AdmissionQuota, QuotaLimiter, QuotaMode, QuotaRejection, RejectionReason,
+    Reservation, WorkAmount,
+};
+use rand::rngs::SmallRng;
+use rand::Rng;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest that somebody is told to wait, in seconds; PROTOCOL's users follow no more.
-const RETRY_MOST_S: u32 = 30;
+/// The longest that a user is told to wait, in seconds (PROTOCOL: `Retry-After` counts up to 30 s).
+const MAX_RETRY_AFTER_S: u32 = 30;
 
 /// This controller's side of admission.
 pub(super) struct ControllerAdmission {
-    gate: Gate,
+    limiter: QuotaLimiter,
     controller: String,
     incarnation: u64,
-    /// A record of this process is on its way.
+    /// The record of this process is being written.
     announcing: bool,
     next_announcement: Ms,
-    /// An allotment is used up here and not for the leader: this process writes its record
-    /// again, which asks for another, once a round at most.
-    asks_again: bool,
-    next_ask: Ms,
-    /// Submissions told to come back since the last line about it, by reason.
-    refused: BTreeMap<Reason, u64>,
+    /// A quota is used up here and not for the leader: this process writes its record again, by
+    /// which it requests another quota, once a round at most.
+    replacement_needed: bool,
+    next_replacement_request: Ms,
+    /// Submissions that were not admitted since the last line about it, by reason.
+    rejected: BTreeMap<RejectionReason, u64>,
     /// The same by team, since the process began.
-    refused_by_team: Vec<u64>,
+    rejected_by_team: Vec<u64>,
     next_log: Ms,
-    /// Records that could not be read are logged once each.
+    /// Keys of records that could not be read: each is logged once.
     unreadable: BTreeSet<String>,
 }
 
 impl ControllerAdmission {
-    /// Until a leader is seen, a controller goes by its own policy: where allotments are to bind, it
+    /// Until a leader is seen, a controller goes by its own policy: where quotas are to bind, it
     /// accepts nothing before it has one.
     pub(super) fn new(cfg: &Settings) -> Self {
         let mode = match cfg.policy.admission {
-            Some(_) => Mode::Allotted,
-            None => Mode::Open,
+            Some(_) => QuotaMode::Enforced,
+            None => QuotaMode::Unlimited,
         };
         ControllerAdmission {
-            gate: Gate::new(&cfg.controller, cfg.incarnation, mode),
+            limiter: QuotaLimiter::new(&cfg.controller, cfg.incarnation, mode),
             controller: cfg.controller.clone(),
             incarnation: cfg.incarnation,
             announcing: false,
             next_announcement: 0,
-            asks_again: false,
-            next_ask: 0,
-            refused: BTreeMap::new(),
-            refused_by_team: vec![0; cfg.teams.len()],
+            replacement_needed: false,
+            next_replacement_request: 0,
+            rejected: BTreeMap::new(),
+            rejected_by_team: vec![0; cfg.teams.len()],
             next_log: 0,
             unreadable: BTreeSet::new(),
         }
     }
 
-    pub(super) fn binds(&self) -> bool {
-        self.gate.mode() == Mode::Allotted
+    /// Whether quotas bind.
+    pub(super) fn quotas_bind(&self) -> bool {
+        self.limiter.mode() == QuotaMode::Enforced
     }
 
+    /// Reserves what a submission takes.
     pub(super) fn admit(
         &mut self,
         job_cache: &JobCache,
         spec: &JobSpec,
-    ) -> Result<Ticket, Refusal> {
-        let admitted = self.gate.admit(&job_cache.admission, spec.demand());
-        if matches!(admitted, Err(Refusal { reason: Reason::Full, .. })) {
-            self.asks_again |= self.gate.is_misjudged(&job_cache.admission, &spec.team);
+    ) -> Result<Reservation, QuotaRejection> {
+        let admitted = self.limiter.admit(&job_cache.quotas, spec.demand());
+        if matches!(admitted, Err(QuotaRejection { reason: RejectionReason::BacklogFull, .. })) {
+            self.replacement_needed |=
+                self.limiter.needs_replacement(&job_cache.quotas, &spec.team);
         }
         admitted
     }
 
+    /// Reserves for a submission anew, out of the present quota.
+    pub(super) fn renew(
+        &mut self,
+        job_cache: &JobCache,
+        new: &NewJob,
+    ) -> Result<Reservation, QuotaRejection> {
+        self.limiter.renew(&job_cache.quotas, new.reservation.clone())
+    }
+
+    /// Whether the quota of a submission has not been replaced, as far as is known.
     pub(super) fn is_current(&self, job_cache: &JobCache, new: &NewJob) -> bool {
-        self.gate.is_current(&job_cache.admission, &new.ticket)
+        self.limiter.is_current(&job_cache.quotas, &new.reservation)
     }
 
-    /// What must still be so when the job is accepted.
-    pub(super) fn condition(&self, new: &NewJob) -> Option<Precondition> {
-        let (team, mod_revision) = new.ticket.condition()?;
-        Some(Precondition::new(allotment_key(team, &self.controller), mod_revision))
+    /// The quota that must still be as it was when the job is accepted.
+    pub(super) fn precondition(&self, new: &NewJob) -> Option<Precondition> {
+        let (team, mod_revision) = new.reservation.precondition()?;
+        Some(Precondition::new(quota_key(team, &self.controller), mod_revision))
     }
 
-    pub(super) fn settle(&mut self, new: &NewJob, outcome: Outcome) {
-        self.gate.settle(&new.ticket, outcome);
+    /// Takes what became of an acceptance.
+    pub(super) fn settle(&mut self, new: &NewJob, outcome: AcceptanceOutcome) {
+        self.limiter.settle(&new.reservation, outcome);
     }
 
-    /// Whether an acceptance failed since its allotment has moved on.
-    pub(super) fn conflicts(&mut self, new: &NewJob, failed: &[String]) -> bool {
-        let moved = self.condition(new).is_some_and(|p| failed.contains(&p.key));
-        if moved {
-            self.gate.moved(&new.ticket);
+    /// Whether an acceptance failed since its quota has been replaced. `failed` are the keys of the
+    /// preconditions that failed.
+    pub(super) fn quota_replaced(&mut self, new: &NewJob, failed: &[String]) -> bool {
+        let replaced = self.precondition(new).is_some_and(|quota| failed.contains(&quota.key));
+        if replaced {
+            self.limiter.mark_replaced(&new.reservation);
         }
-        moved
+        replaced
     }
 
-    /// When the user of a submission is told to come back. Those who are refused together do
-    /// not return together.
-    pub(super) fn refuse(&mut self, rng: &mut SmallRng, refusal: Refusal) -> Answer {
-        let Refusal { reason, retry_after_s } = refusal;
-        *self.refused.entry(reason).or_default() += 1;
+    /// The answer to a submission that is not admitted. Users who are rejected together do not
+    /// return together.
+    pub(super) fn not_admitted(&mut self, rng: &mut SmallRng, rejection: QuotaRejection) -> Answer {
+        let QuotaRejection { reason, retry_after_s } = rejection;
+        *self.rejected.entry(reason).or_default() += 1;
         let spread = rng.random_range(0..=retry_after_s / 2 + 1);
-        let retry_after_s = (retry_after_s + spread).clamp(1, RETRY_MOST_S);
-        let why = match reason {
-            Reason::Full => "the team's backlog is full",
-            Reason::Moved => "its allotment moves",
-            Reason::NoAllotment => "no allotment yet",
-        };
-        Answer::Unavailable { retry_after_s, why }
+        let retry_after_s = (retry_after_s + spread).clamp(1, MAX_RETRY_AFTER_S);
+        Answer::Unavailable { retry_after_s, reason: UnavailableReason::NotAdmitted(reason) }
     }
 
-    /// Whether this process has to write that it is there.
+    /// Whether the record of this process has to be written.
     fn announcement_due(&self, job_cache: &JobCache, now: Ms) -> bool {
-        let known = job_cache.admission.presence(&self.controller);
-        let told = known.is_some_and(|(incarnation, _)| incarnation == self.incarnation);
-        let due = match told {
-            true => self.asks_again && now >= self.next_ask,
+        let known = job_cache.quotas.process(&self.controller);
+        let announced = known.is_some_and(|process| process.incarnation == self.incarnation);
+        let due = match announced {
+            true => self.replacement_needed && now >= self.next_replacement_request,
             false => now >= self.next_announcement,
         };
-        self.binds() && !self.announcing && due
+        self.quotas_bind() && !self.announcing && due
     }
 
-    /// Its record was written, or was not: the watch tells.
+    /// The record of this process was written, or was not: the watch tells which.
     pub(super) fn announced(&mut self, now: Ms, cfg: &Settings) {
         self.announcing = false;
-        self.asks_again = false;
+        self.replacement_needed = false;
         self.next_announcement = now + cfg.heartbeat_interval_ms / 4;
-        self.next_ask = now + (cfg.policy.round_s * 1000.0) as Ms;
+        self.next_replacement_request = now + cfg.round_ms();
     }
 
-    pub(super) fn refused_of(&self, team: usize) -> u64 {
-        self.refused_by_team.get(team).copied().unwrap_or(0)
+    /// Submissions of a team that were not admitted since the process began.
+    pub(super) fn rejected_of_team(&self, team: usize) -> u64 {
+        self.rejected_by_team.get(team).copied().unwrap_or(0)
     }
 
-    /// What is left of a team's allotment here, by entry.
-    pub(super) fn left(&self, job_cache: &JobCache, team: &str) -> Vec<basaltrail_admission::Room> {
-        self.gate.left(&job_cache.admission, team)
+    /// What is left of a team's quota here, by entry.
+    pub(super) fn remaining(&self, job_cache: &JobCache, team: &str) -> Vec<WorkAmount> {
+        self.limiter.remaining(&job_cache.quotas, team)
     }
 }
 
 impl Controller {
-    /// Whether allotments bind is the leader's to say; a controller of an earlier version that leads
-    /// hands out none.
-    pub(super) fn follow_admission(&mut self) {
-        if let Some(allots) = self.election.leader_allots() {
-            let mode = if allots { Mode::Allotted } else { Mode::Open };
-            if mode != self.admission.gate.mode() {
-                self.admission.gate.set_mode(mode);
-                if allots {
-                    // What was written of allotments before is listed only where they bind.
-                    self.job_watch.compacted();
-                }
-                self.calls.log(AdmissionEvent::Mode { quotas_bind: allots });
-            }
-        }
+    /// Follows the leader in whether quotas bind, announces this process, and logs.
+    pub(super) fn update_admission(&mut self) {
+        self.follow_quota_mode();
         if self.job_watch.is_loaded()
             && self.admission.announcement_due(&self.job_cache, self.now)
-            && self.calls.pay(self.now, CallPriority::Request)
-            && self.calls.writes.take(self.now, 1.0, CallPriority::Request)
+            && self.calls.try_acquire(self.now, CallPriority::Request)
+            && self.calls.write_rate.try_acquire(self.now, 1.0, CallPriority::Request)
         {
             self.announce();
         }
-        self.log_refusals();
+        self.log_rejections();
+    }
+
+    /// Whether quotas bind is the leader's to say; a controller of an earlier version that leads
+    /// hands out none.
+    fn follow_quota_mode(&mut self) {
+        let Some(quotas_bind) = self.election.leader_allots() else { return };
+        let mode = if quotas_bind { QuotaMode::Enforced } else { QuotaMode::Unlimited };
+        if mode == self.admission.limiter.mode() {
+            return;
+        }
+        self.admission.limiter.set_mode(mode);
+        if quotas_bind {
+            // Quotas that were written before are listed only where they bind.
+            self.job_watch.restart_list();
+        }
+        self.calls.log(AdmissionEvent::Mode { quotas_bind });
     }
 
     fn announce(&mut self) {
         self.admission.announcing = true;
         let ControllerAdmission { controller, incarnation, .. } = &self.admission;
         let record = ControllerRecord { controller: controller.clone(), incarnation: *incarnation };
-        // An earlier process of this name that is late changes nothing: the mod revision has moved on.
-        let mod_revision = self
-            .job_cache
-            .admission
-            .presence(controller)
-            .map_or(Revision::NONE, |(_, mod_revision)| mod_revision);
+        // A write of an earlier process of this name that comes late changes nothing: the mod
+        // revision is another by then.
+        let known = self.job_cache.quotas.process(controller);
+        let mod_revision = known.map_or(Revision::NONE, |process| process.mod_revision);
         let key = controller_key(controller);
-        let op = StoreRequest::Transaction {
+        let request = StoreRequest::Transaction {
             preconditions: vec![Precondition::new(key.clone(), mod_revision)],
-            puts: vec![PutRequest { key, value: encode(&record), lease_id: None }],
+            puts: vec![PutRequest::new(key, encode(&record))],
             deletes: Vec::new(),
         };
-        self.calls.state(Purpose::Announce, op, self.cfg.leader_lease_ms() / 4);
+        let timeout_ms = self.cfg.leader_lease_ms() / 4;
+        self.calls.send_to_store(StorePurpose::AnnounceController, request, timeout_ms);
     }
 
-    /// Takes the record of a process or an allotment.
+    /// Takes the record of a controller's process or a quota; `in_order` says whether every change
+    /// before it is known.
     pub(super) fn apply_admission(&mut self, item: &KeyValue, in_order: bool) {
-        let readable = if item.key.starts_with(&format!("{ADMISSION_PREFIX}n/")) {
+        let readable = if item.key.starts_with(CONTROLLERS_PREFIX) {
             decode::<ControllerRecord>(&item.value).map(|record| {
-                self.job_cache.admission.learn_controller(
+                self.job_cache.quotas.put_controller(
                     &record.controller,
                     record.incarnation,
                     item.mod_revision,
                 );
             })
         } else {
-            let allotment = decode::<Allotment>(&item.value).filter(Allotment::is_sound);
-            allotment.map(|allotment| {
-                self.job_cache.put_allotment(allotment, item.mod_revision, in_order)
-            })
+            let quota = decode::<AdmissionQuota>(&item.value).filter(AdmissionQuota::is_valid);
+            quota.map(|quota| self.job_cache.put_quota(quota, item.mod_revision, in_order))
         };
         if readable.is_none() {
-            // Nothing is accepted on it: whatever stood there before has another mod revision.
-            self.lose_allotment(&item.key, item.mod_revision);
+            // Nothing is accepted on it: the quota that it replaced has another mod revision.
+            self.drop_unreadable_quota(&item.key, item.mod_revision);
         }
     }
 
-    fn lose_allotment(&mut self, key: &str, mod_revision: Revision) {
+    fn drop_unreadable_quota(&mut self, key: &str, mod_revision: Revision) {
         for team in &self.cfg.teams {
-            for controller in self.job_cache.admission.controller_names() {
-                if allotment_key(&team.name, &controller) == key {
-                    self.job_cache.admission.lose_allotment(&team.name, &controller, mod_revision);
+            for controller in self.job_cache.quotas.controller_names() {
+                if quota_key(&team.name, &controller) == key {
+                    self.job_cache.quotas.drop_quota(&team.name, &controller, mod_revision);
                 }
             }
         }
@@ -215,48 +247,24 @@
         }
     }
 
-    /// Submissions whose allotment has moved on ask again; they wait for the next one for a
-    /// moment only.
-    pub(super) fn renew_moved(&mut self) {
-        for new in std::mem::take(&mut self.requests.moved) {
-            let NewJob { job, spec, asks, alone, ticket, waits_until } = new;
-            match self.admission.gate.renew(&self.job_cache.admission, ticket.clone()) {
-                Ok(ticket) => {
-                    let new = NewJob { job, spec, asks, alone, ticket, waits_until };
-                    self.requests.submits.push(new);
-                }
-                Err(refusal) if refusal.reason == Reason::Moved && self.now < waits_until => {
-                    let new = NewJob { job, spec, asks, alone, ticket, waits_until };
-                    self.requests.moved.push(new);
-                }
-                Err(refusal) => {
-                    self.count_refusal(&spec.team);
-                    let refused = Some(Rejection::Later(refusal));
-                    let asks =
-                        asks.into_iter().map(|ask| ClientRequest { refused, ..ask }).collect();
-                    self.requests.check_again(job, asks);
-                }
-            }
-        }
-    }
-
-    pub(super) fn count_refusal(&mut self, team: &str) {
+    /// Counts a submission that was not admitted, for operators.
+    pub(super) fn count_rejection(&mut self, team: &str) {
         if let Some(team) = self.cfg.team(team) {
-            self.admission.refused_by_team[team] += 1;
+            self.admission.rejected_by_team[team] += 1;
         }
     }
 
-    /// One line a round about submissions that were told to come back.
-    fn log_refusals(&mut self) {
+    /// Logs once a round how many submissions were not admitted.
+    fn log_rejections(&mut self) {
         if self.now < self.admission.next_log {
             return;
         }
-        self.admission.next_log = self.now + (self.cfg.policy.round_s * 1000.0) as Ms;
-        let refused = std::mem::take(&mut self.admission.refused);
-        if refused.is_empty() {
+        self.admission.next_log = self.now + self.cfg.round_ms();
+        let rejected = std::mem::take(&mut self.admission.rejected);
+        if rejected.is_empty() {
             return;
         }
-        self.calls.log(AdmissionEvent::Refused { reasons: refused.into_iter().collect() });
+        self.calls.log(AdmissionEvent::Refused { reasons: rejected.into_iter().collect() });
     }
 }
 
--- a/crates/basaltrail-core/src/controller/admission_tests.rs
+++ b/crates/basaltrail-core/src/controller/admission_tests.rs
@@ -1,10 +1,15 @@
 use super::*;
+use crate::io::{Effect, Input, StoreReply};
+use crate::machines::types::MachineTypes;
+use crate::model::{CallId, JobId, RequestId};
 use crate::settings::sample::{a_job, a_type, settings};
 use crate::settings::{AdmissionPolicy, Policy, Team};
-use basaltrail_admission::ClassRoom;
+use crate::store::records::{active_job_key, JobRecord, ACTIVE_JOBS_PREFIX};
+use basaltrail_admission::QuotaEntry;
+use std::sync::Arc;
 
-const ACTIVE_STAMP: Revision = Revision(9);
-const ALLOTMENT_STAMP: Revision = Revision(5);
+const ACTIVE_REVISION: Revision = Revision(9);
+const QUOTA_REVISION: Revision = Revision(5);
 
 fn controller(policy: Option<AdmissionPolicy>) -> Controller {
     let team =
@@ -13,23 +18,23 @@
     let policy = Policy { admission: policy, ..base.policy.clone() };
     let cfg = Settings { teams: vec![team], policy, ..base };
     let mut controller = Controller::new(Arc::new(cfg), 1);
-    controller.job_watch.page(Revision(1));
-    controller.job_watch.listed(0);
+    controller.job_watch.page_read(Revision(1));
+    controller.job_watch.list_completed(0);
     controller.types = MachineTypes::of(vec![a_type()]);
     controller
 }
 
-fn allotment(incarnation: u64, jobs: u32) -> KeyValue {
-    let class = ClassRoom { class: "c".into(), jobs, work: 1e6, wait_s: 4 };
-    let allotment = Allotment {
+fn quota(incarnation: u64, jobs: u32) -> KeyValue {
+    let class = QuotaEntry { class: "c".into(), jobs, work: 1e6, retry_after_s: 4 };
+    let quota = AdmissionQuota {
         team: "t".into(),
         controller: "n0".into(),
         incarnation,
         horizon_s: 100.0,
         classes: vec![class],
     };
-    let (key, value) = (allotment_key("t", "n0"), encode(&allotment));
-    KeyValue { key, value, mod_revision: ALLOTMENT_STAMP, lease_id: None }
+    let (key, value) = (quota_key("t", "n0"), encode(&quota));
+    KeyValue { key, value, mod_revision: QUOTA_REVISION, lease_id: None }
 }
 
 /// Submits a job and gives the transaction that would accept it, if there is one, and answers.
@@ -55,51 +60,51 @@
     (effects.iter().find_map(accepts), effects)
 }
 
-/// A transaction that is carried out after its allotment has moved on would accept what nobody
+/// A transaction that is carried out after its quota was replaced would accept what nobody
 /// counts any more.
 #[test]
-fn an_acceptance_names_the_stamp_of_its_allotment() {
+fn an_acceptance_is_conditional_on_the_revision_of_its_quota() {
     let mut controller = controller(Some(AdmissionPolicy::default()));
-    controller.apply(&allotment(1, 9));
+    controller.apply(&quota(1, 9));
     let (txn, _) = submit(&mut controller, 7, a_job(1, true));
     let Some((_, StoreRequest::Transaction { preconditions, puts, .. })) = txn else {
         panic!("not sent")
     };
     assert!(
-        preconditions.contains(&Precondition::new(allotment_key("t", "n0"), ALLOTMENT_STAMP)),
+        preconditions.contains(&Precondition::new(quota_key("t", "n0"), QUOTA_REVISION)),
         "{preconditions:?}"
     );
     let record: JobRecord = decode(&puts[0].value).unwrap();
-    assert_eq!(record.by.as_deref(), Some("n0"), "the leader counts it");
+    assert_eq!(record.accepted_by.as_deref(), Some("n0"), "the leader counts it");
 }
 
 #[test]
-fn an_acceptance_whose_allotment_moved_on_waits_for_the_next_one() {
+fn an_acceptance_whose_quota_was_replaced_waits_for_the_next_one() {
     let mut controller = controller(Some(AdmissionPolicy::default()));
-    controller.apply(&allotment(1, 9));
+    controller.apply(&quota(1, 9));
     let (txn, _) = submit(&mut controller, 7, a_job(1, true));
-    let failed = vec![allotment_key("t", "n0")];
+    let failed = vec![quota_key("t", "n0")];
     let reply = StoreReply::Conflict { failed };
     let effects = controller.step(1_100, 0, Input::Store { op: txn.unwrap().0, reply });
     assert!(!effects.iter().any(|e| matches!(e, Effect::Answer { .. })), "{effects:?}");
-    assert_eq!(controller.requests.moved.len(), 1);
-    controller.apply(&KeyValue { mod_revision: Revision(12), ..allotment(1, 9) });
+    assert_eq!(controller.requests.awaiting_quota.len(), 1);
+    controller.apply(&KeyValue { mod_revision: Revision(12), ..quota(1, 9) });
     let effects = controller.step(1_200, 0, Input::Tick);
     let names = |e: &Effect| match e {
         Effect::Store { call: StoreRequest::Transaction { preconditions, .. }, .. } => {
-            preconditions.contains(&Precondition::new(allotment_key("t", "n0"), Revision(12)))
+            preconditions.contains(&Precondition::new(quota_key("t", "n0"), Revision(12)))
         }
         _ => false,
     };
     assert!(effects.iter().any(names), "{effects:?}");
 }
 
-/// Without an allotment nothing is accepted: before it is known, of an earlier process, used up,
+/// Without a quota nothing is accepted: before it is known, of an earlier process, used up,
 /// or not to be read.
 #[test]
-fn nothing_is_accepted_without_an_allotment() {
-    let unreadable = KeyValue { value: "[]".into(), ..allotment(1, 9) };
-    for item in [None, Some(allotment(2, 9)), Some(allotment(1, 0)), Some(unreadable)] {
+fn nothing_is_accepted_without_a_quota() {
+    let unreadable = KeyValue { value: "[]".into(), ..quota(1, 9) };
+    for item in [None, Some(quota(2, 9)), Some(quota(1, 0)), Some(unreadable)] {
         let mut controller = controller(Some(AdmissionPolicy::default()));
         item.iter().for_each(|item| controller.apply(item));
         let (txn, _) = submit(&mut controller, 7, a_job(1, true));
@@ -112,7 +117,7 @@
 /// Another controller took it, by other limits or while this controller had not read of it: a repeat of an
 /// accepted job is never told that it can't run, or that the backlog is full.
 #[test]
-fn a_repeat_of_what_another_node_accepted_is_not_refused() {
+fn a_repeat_of_what_another_controller_accepted_is_not_rejected() {
     let too_wide = JobSpec { cpus: 101.0, ..a_job(1, true) };
     for (policy, spec) in [(None, too_wide), (Some(AdmissionPolicy::default()), a_job(1, true))] {
         let mut controller = controller(policy);
@@ -122,31 +127,33 @@
         let answered = |effects: &[Effect]| {
             effects.iter().any(|e| matches!(e, Effect::Answer { req: RequestId(7), .. }))
         };
-        assert!(!answered(&effects), "refused before it was looked up");
-        let check = effects.iter().find_map(|e| match e {
+        assert!(!answered(&effects), "rejected before it was looked up");
+        let confirmation = effects.iter().find_map(|e| match e {
             Effect::Store {
                 op,
                 call: StoreRequest::Transaction { preconditions, puts, .. },
                 ..
-            } if puts.is_empty() && preconditions.iter().any(|p| p.key == active_key(JobId(7))) => {
+            } if puts.is_empty()
+                && preconditions.iter().any(|p| p.key == active_job_key(JobId(7))) =>
+            {
                 Some(*op)
             }
             _ => None,
         });
-        let failed = vec![active_key(JobId(7))];
+        let failed = vec![active_job_key(JobId(7))];
         let reply = StoreReply::Conflict { failed };
-        let effects = controller.step(1_600, 0, Input::Store { op: check.unwrap(), reply });
+        let effects = controller.step(1_600, 0, Input::Store { op: confirmation.unwrap(), reply });
         let read = effects.iter().find_map(|e| match e {
             Effect::Store { op, call: StoreRequest::Get(key), .. }
-                if *key == active_key(JobId(7)) =>
+                if *key == active_job_key(JobId(7)) =>
             {
                 Some(*op)
             }
             _ => None,
         });
         let value = encode(&JobRecord::new(0, spec));
-        let key = active_key(JobId(7));
-        let item = KeyValue { key, value, mod_revision: ACTIVE_STAMP, lease_id: None };
+        let key = active_job_key(JobId(7));
+        let item = KeyValue { key, value, mod_revision: ACTIVE_REVISION, lease_id: None };
         let reply = StoreReply::KeyValue(item);
         let effects = controller.step(1_700, 0, Input::Store { op: read.unwrap(), reply });
         let known = |e: &Effect| {
@@ -157,17 +164,17 @@
 }
 
 /// Acceptances without an answer count as used here, and if they were not carried out, not for
-/// the leader: it would never replace the allotment, and the controller would refuse for ever.
+/// the leader: it would never replace the quota, and the controller would reject submissions for ever.
 #[test]
-fn a_node_whose_acceptances_were_lost_asks_for_another_allotment() {
+fn a_controller_whose_acceptances_were_lost_requests_another_quota() {
     let mut controller = controller(Some(AdmissionPolicy::default()));
-    controller.job_cache.admission.learn_controller("n0", 1, Revision(2));
-    controller.apply(&allotment(1, 1));
+    controller.job_cache.quotas.put_controller("n0", 1, Revision(2));
+    controller.apply(&quota(1, 1));
     let (txn, _) = submit(&mut controller, 7, a_job(1, true));
     let lost = Input::Store { op: txn.unwrap().0, reply: StoreReply::Unknown };
     controller.step(1_100, 0, lost);
     let (txn, effects) = submit(&mut controller, 200, a_job(1, true));
-    assert!(txn.is_none(), "the allotment is used up");
+    assert!(txn.is_none(), "the quota is used up");
     let announces = |e: &Effect| match e {
         Effect::Store { call: StoreRequest::Transaction { preconditions, puts, .. }, .. } => {
             preconditions.contains(&Precondition::new(controller_key("n0"), Revision(2)))
@@ -176,8 +183,8 @@
         _ => false,
     };
     assert!(effects.iter().any(announces), "{effects:?}");
-    // The leader takes the record for a wish, since it is newer than the allotment.
-    controller.job_cache.admission.learn_controller("n0", 1, Revision(11));
-    let held = controller.job_cache.admission.held("t", "n0").unwrap();
-    assert!(controller.job_cache.admission.asks_again(held));
+    // The record is newer than the quota, by which the leader knows the request.
+    controller.job_cache.quotas.put_controller("n0", 1, Revision(11));
+    let cached = controller.job_cache.quotas.quota("t", "n0").unwrap();
+    assert!(controller.job_cache.quotas.replacement_requested(cached));
 }
--- a/crates/basaltrail-core/src/controller/client_requests.rs
+++ b/crates/basaltrail-core/src/controller/client_requests.rs
@@ -1,243 +1,166 @@
-//! Submissions, polls and cancels: what is sent for them and answered.
+//! Submissions, polls and cancellations as they come in, and what is answered at once.
 
-use super::*;
-use basaltrail_admission::Outcome;
+use super::request_queue::{ClientRequest, NewJob, Rejection, RequestKind};
+use super::Controller;
+use crate::answer::{Answer, InvalidReason, UnavailableReason, UnschedulableReason};
+use crate::model::{JobId, JobSpec, MachineType, RequestId};
+use crate::settings::Settings;
+use crate::store::records::{encode, JobRecord};
 
-impl Controller {
-    pub(super) fn flush_requests(&mut self) {
-        let patience = self.cfg.leader_lease_ms() / 5;
-        self.renew_moved();
-        // New jobs go out at once; those that come meanwhile go together next.
-        if !self.requests.submits.is_empty() && self.requests.submits_in_flight < 2 {
-            let n = self.requests.submits.len().min(self.cfg.transaction_ops.max(1));
-            if self.calls.writes.take(self.now, n as f64, CallPriority::Request)
-                && self.calls.pay(self.now, CallPriority::Request)
-            {
-                self.send_submissions(n);
-            } else if self.requests.submits.len() > self.cfg.transaction_ops.max(1) * 2 {
-                // More than can be written soon: say so now.
-                for new in std::mem::take(&mut self.requests.submits) {
-                    self.admission.settle(&new, Outcome::NotUsed);
-                    self.busy(new.asks, 2, "too many submissions");
-                }
-            }
-        }
-        // Polls are gathered for a moment and checked together.
-        let gather = (self.cfg.heartbeat_interval_ms / 10).min(150);
-        let conditions = self.cfg.transaction_ops * 4;
-        let full = self.requests.jobs_to_check() * 2 >= conditions;
-        if self.requests.jobs_to_check() > 0
-            && self.requests.checks_in_flight < 4
-            && (full || self.now >= self.requests.checks_since + gather)
-        {
-            if self.calls.pay(self.now, CallPriority::Request) {
-                let (jobs, preconditions) =
-                    self.requests.take_checks(&self.job_cache, conditions.max(2));
-                self.requests.checks_in_flight += 1;
-                self.requests.checks_since = self.now;
-                let op = StoreRequest::Transaction {
-                    preconditions,
-                    puts: Vec::new(),
-                    deletes: Vec::new(),
-                };
-                self.calls.state(Purpose::Check(jobs), op, patience);
-            } else if self.now > self.requests.checks_since + 1000 {
-                let asks = self.requests.give_up_checks();
-                self.busy(asks, 1, "no check possible");
-            }
-        }
-        while !self.requests.reads.is_empty() && self.calls.pay(self.now, CallPriority::Request) {
-            let (job, asks) = self.requests.reads.remove(0);
-            self.calls.state(
-                Purpose::ReadActive { job, asks },
-                StoreRequest::Get(active_key(job)),
-                patience,
-            );
-        }
-    }
-
-    /// Sends up to `most` submissions in one transaction, each on the condition of its allotment.
-    fn send_submissions(&mut self, most: usize) {
-        let mut batch: Vec<NewJob> = Vec::new();
-        let mut bytes = 0;
-        let mut puts = Vec::new();
-        let mut preconditions = Vec::new();
-        while batch.len() < most && !self.requests.submits.is_empty() {
-            let new = self.requests.submits.remove(0);
-            if !self.admission.is_current(&self.job_cache, &new) {
-                self.requests.moved.push(NewJob { waits_until: self.now, ..new });
-                continue;
-            }
-            let value = encode(&self.record_of(&new));
-            bytes += value.len();
-            let alone = new.alone || batch.first().is_some_and(|b| b.alone);
-            if (alone || bytes > 48 * 1024) && !batch.is_empty() {
-                self.requests.submits.insert(0, new);
-                break;
-            }
-            preconditions.push(Precondition::absent(active_key(new.job)));
-            preconditions.push(Precondition::absent(final_key(new.job)));
-            if let Some(condition) = self.admission.condition(&new) {
-                if !preconditions.contains(&condition) {
-                    preconditions.push(condition);
-                }
-            }
-            puts.push(PutRequest { key: active_key(new.job), value, lease_id: None });
-            batch.push(new);
-        }
-        if batch.is_empty() {
-            return;
-        }
-        self.requests.submits_in_flight += 1;
-        let op = StoreRequest::Transaction { preconditions, puts, deletes: Vec::new() };
-        let patience = self.cfg.leader_lease_ms() / 5;
-        self.calls.state(Purpose::Submit(batch), op, patience);
-    }
+/// Requests that may wait at once, per megabyte of memory: one takes a few kilobytes with its
+/// description, and the rest of the memory is for jobs and machines.
+const WAITING_PER_MB: f64 = 40.0;
+/// The least number of requests that may wait at once.
+const MIN_WAITING: f64 = 64.0;
+/// Seconds after which a request is repeated that a moment may help.
+pub(super) const RETRY_SOON_S: u32 = 1;
+/// Seconds after which a submission is repeated while too many jobs are active.
+const RETRY_TOO_MANY_JOBS_S: u32 = 10;
+/// Rounding allowed when a demand is compared with a team's limit, in CPUs or GPUs.
+const LIMIT_TOLERANCE: f64 = 1e-9;
 
-    /// The record of a job that this controller accepts now.
-    pub(super) fn record_of(&self, new: &NewJob) -> JobRecord {
-        let by = self.admission.condition(new).map(|_| self.cfg.controller.clone());
-        JobRecord { at: self.wall, spec: (*new.spec).clone(), by }
+/// Why a job can never run; none if it can. The answer is the same on every controller.
+fn unschedulable_reason(
+    settings: &Settings,
+    types: &[MachineType],
+    spec: &JobSpec,
+) -> Option<UnschedulableReason> {
+    let Some(team) = settings.team(&spec.team) else {
+        return Some(UnschedulableReason::UnknownTeam);
+    };
+    let team = &settings.teams[team];
+    // The replicas of a service run all at once, and for good.
+    let at_once = if spec.is_service() { f64::from(spec.tasks) } else { 1.0 };
+    if spec.cpus * at_once > team.cpus_max + LIMIT_TOLERANCE
+        || spec.gpus * at_once > team.gpus_max + LIMIT_TOLERANCE
+    {
+        return Some(UnschedulableReason::OverTeamLimit);
     }
-
-    pub(super) fn busy(&mut self, asks: Vec<ClientRequest>, retry_after_s: u32, why: &'static str) {
-        for a in asks {
-            self.requests.waiting = self.requests.waiting.saturating_sub(1);
-            self.calls.answer(a.req, Answer::Unavailable { retry_after_s, why });
-        }
-    }
-
-    pub(super) fn too_many(&mut self, req: RequestId) -> bool {
-        let most = (self.cfg.memory_mb * WAITING_PER_MB).max(64.0) as usize;
-        if self.requests.waiting < most && self.job_watch.is_loaded() {
-            return false;
-        }
-        let why = if self.job_watch.is_loaded() { "too many requests" } else { "starting" };
-        self.calls.answer(req, Answer::Unavailable { retry_after_s: 1, why });
-        true
+    if !types.iter().any(|machine| machine.allowed(spec) && machine.holds(spec) > 0) {
+        return Some(UnschedulableReason::NoMachineType);
     }
+    None
+}
 
-    pub(super) fn submit(&mut self, req: RequestId, job: JobId, spec: Box<JobSpec>) {
-        if self.job_cache.ended(job).is_some() {
-            if let Some(answer) = self.requests.view(&self.job_cache, job) {
-                return self.calls.answer(req, answer);
-            }
-        }
-        if self.too_many(req) {
+impl Controller {
+    /// Takes a submission.
+    pub(super) fn submit(&mut self, id: RequestId, job: JobId, spec: Box<JobSpec>) {
+        if self.answer_ended(id, job) || self.reject_overload(id) {
             return;
         }
-        let ask = ClientRequest::new(req, RequestKind::Submit);
+        let request = ClientRequest::new(id, RequestKind::Submit);
         if self.job_cache.active.contains_key(&job) {
-            return self.requests.check(self.now, job, ask);
+            return self.requests.confirm(self.now, job, request);
         }
         if self.types.known().is_empty() {
-            return self
-                .calls
-                .answer(req, Answer::Unavailable { retry_after_s: 1, why: "types unknown" });
-        }
-        if let Some(why) = unschedulable_reason(&self.cfg, self.types.known(), &spec) {
-            let refused = Some(Rejection::Unschedulable(why));
-            return self.requests.check(self.now, job, ClientRequest { refused, ..ask });
+            let reason = UnavailableReason::MachineTypesUnknown;
+            return self.answer_unavailable(id, RETRY_SOON_S, reason);
         }
-        let by = Some(self.cfg.controller.clone());
-        let record = JobRecord { at: self.wall, spec: (*spec).clone(), by };
-        if encode(&record).len() > self.cfg.value_bytes {
-            let refused = Some(Rejection::Invalid("the description is too long to keep"));
-            return self.requests.check(self.now, job, ClientRequest { refused, ..ask });
+        // It may be known all the same: then its user is told so.
+        if let Some(rejection) = self.permanent_rejection(&spec) {
+            let request = ClientRequest::rejected(id, rejection);
+            return self.requests.confirm(self.now, job, request);
         }
         if self.job_cache.active.len() >= self.cfg.max_active_jobs() {
-            return self
-                .calls
-                .answer(req, Answer::Unavailable { retry_after_s: 10, why: "too many jobs" });
+            let reason = UnavailableReason::TooManyJobs;
+            return self.answer_unavailable(id, RETRY_TOO_MANY_JOBS_S, reason);
         }
-        let waiting = self.requests.submits.iter_mut().chain(&mut self.requests.moved);
-        if let Some(new) = waiting.into_iter().find(|new| new.job == job) {
+        let mut waiting =
+            self.requests.submissions.iter_mut().chain(&mut self.requests.awaiting_quota);
+        if let Some(new) = waiting.find(|new| new.job == job) {
             self.requests.waiting += 1;
-            return new.asks.push(ask);
+            return new.requests.push(request);
         }
         match self.admission.admit(&self.job_cache, &spec) {
-            Ok(ticket) => {
+            Ok(reservation) => {
                 self.requests.waiting += 1;
-                let (asks, waits_until) = (vec![ask], self.now);
-                let new = NewJob { job, spec, asks, alone: false, ticket, waits_until };
-                self.requests.submits.push(new);
+                self.requests.submissions.push(NewJob {
+                    job,
+                    spec,
+                    requests: vec![request],
+                    alone: false,
+                    reservation,
+                    quota_wait_until: self.now,
+                });
             }
             // It may be known all the same: then its user is told so.
-            Err(refusal) => {
-                self.count_refusal(&spec.team);
-                let refused = Some(Rejection::Later(refusal));
-                self.requests.check(self.now, job, ClientRequest { refused, ..ask });
+            Err(rejection) => {
+                self.count_rejection(&spec.team);
+                let request = ClientRequest::rejected(id, Rejection::NotAdmitted(rejection));
+                self.requests.confirm(self.now, job, request);
             }
         }
     }
 
-    /// What the user of a submission is told that is neither taken nor known.
-    fn not_taken(&mut self, refused: Option<Rejection>) -> Answer {
-        match refused {
-            Some(Rejection::Later(refusal)) => self.admission.refuse(&mut self.rng, refusal),
-            Some(Rejection::Unschedulable(why)) => Answer::Unschedulable(why),
-            Some(Rejection::Invalid(why)) => Answer::Invalid(why),
-            None => Answer::Unavailable { retry_after_s: 1, why: "not decided" },
-        }
+    /// Why a submission is not accepted here at any time, if it is not.
+    fn permanent_rejection(&self, spec: &JobSpec) -> Option<Rejection> {
+        if let Some(reason) = unschedulable_reason(&self.cfg, self.types.known(), spec) {
+            return Some(Rejection::Unschedulable(reason));
+        }
+        let accepted_by = Some(self.cfg.controller.clone());
+        let record = JobRecord { accepted_at: self.wall, spec: spec.clone(), accepted_by };
+        let too_long = encode(&record).len() > self.cfg.value_bytes;
+        too_long.then_some(Rejection::Invalid(InvalidReason::DescriptionTooLong))
     }
 
-    pub(super) fn ask(&mut self, req: RequestId, job: JobId, kind: RequestKind) {
-        if self.job_cache.ended(job).is_some() {
-            if let Some(answer) = self.requests.view(&self.job_cache, job) {
-                return self.calls.answer(req, answer);
-            }
-        }
-        if self.too_many(req) {
+    /// Takes a poll or a cancellation.
+    pub(super) fn poll_or_cancel(&mut self, id: RequestId, job: JobId, kind: RequestKind) {
+        if self.answer_ended(id, job) || self.reject_overload(id) {
             return;
         }
-        let ask = ClientRequest::new(req, kind);
+        let request = ClientRequest::new(id, kind);
         if kind == RequestKind::Cancel {
             self.requests.waiting += 1;
-            self.cancel(job, vec![ask]);
+            self.cancel(job, vec![request]);
         } else {
-            self.requests.check(self.now, job, ask);
+            self.requests.confirm(self.now, job, request);
         }
     }
 
-    pub(super) fn cancel(&mut self, job: JobId, asks: Vec<ClientRequest>) {
-        let Some(a) = self.job_cache.active.get(&job) else {
-            self.requests.reads.push((job, asks));
-            return;
-        };
-        let mod_revision = a.mod_revision;
-        if !self.calls.writes.take(self.now, 2.0, CallPriority::Request)
-            || !self.calls.pay(self.now, CallPriority::Request)
-        {
-            return self.busy(asks, 1, "too many changes");
+    /// Answers a request for a job whose outcome is known; false if it is not.
+    fn answer_ended(&mut self, id: RequestId, job: JobId) -> bool {
+        if self.job_cache.outcome(job).is_none() {
+            return false;
         }
-        let op = StoreRequest::Transaction {
-            preconditions: vec![Precondition::new(active_key(job), mod_revision)],
-            puts: vec![PutRequest {
-                key: final_key(job),
-                value: encode(&JobOutcome::Cancelled),
-                lease_id: None,
-            }],
-            deletes: vec![active_key(job)],
+        let Some(answer) = self.requests.job_answer(&self.job_cache, job) else { return false };
+        self.calls.answer(id, answer);
+        true
+    }
+
+    /// Answers that no request can be taken now; false if it can.
+    fn reject_overload(&mut self, id: RequestId) -> bool {
+        let max_waiting = (self.cfg.memory_mb * WAITING_PER_MB).max(MIN_WAITING) as usize;
+        let reason = if !self.job_watch.is_loaded() {
+            UnavailableReason::Starting
+        } else if self.requests.waiting >= max_waiting {
+            UnavailableReason::TooManyRequests
+        } else {
+            return false;
         };
-        let patience = self.cfg.leader_lease_ms() / 5;
-        self.calls.state(Purpose::Cancel { job, asks }, op, patience);
+        self.answer_unavailable(id, RETRY_SOON_S, reason);
+        true
     }
 
-    /// Answers those who waited for a job whose entry was confirmed just now.
-    pub(super) fn confirmed(&mut self, job: JobId, asks: Vec<ClientRequest>) {
-        for ask in asks {
-            let view = self.requests.view(&self.job_cache, job);
-            if ask.kind == RequestKind::Cancel && self.job_cache.active.contains_key(&job) {
-                self.cancel(job, vec![ask]);
-                continue;
-            }
-            self.requests.waiting = self.requests.waiting.saturating_sub(1);
-            let answer = match (view, ask.kind) {
-                (Some(v), _) => v,
-                (None, RequestKind::Submit) => self.not_taken(ask.refused),
-                (None, _) => Answer::NotFound,
-            };
-            self.calls.answer(ask.req, answer);
+    /// Answers a request that does not count as waiting.
+    fn answer_unavailable(&mut self, id: RequestId, retry_after_s: u32, reason: UnavailableReason) {
+        self.calls.answer(id, Answer::Unavailable { retry_after_s, reason });
+    }
+
+    /// Answers requests that wait, and counts them as waiting no more.
+    pub(super) fn answer_waiting_unavailable(
+        &mut self,
+        requests: Vec<ClientRequest>,
+        retry_after_s: u32,
+        reason: UnavailableReason,
+    ) {
+        for request in requests {
+            self.answer_waiting(request.id, Answer::Unavailable { retry_after_s, reason });
         }
     }
+
+    /// Answers a request that waits, and counts it as waiting no more.
+    pub(super) fn answer_waiting(&mut self, id: RequestId, answer: Answer) {
+        self.requests.waiting = self.requests.waiting.saturating_sub(1);
+        self.calls.answer(id, answer);
+    }
 }
--- a/crates/basaltrail-core/src/controller/heartbeats.rs
+++ b/crates/basaltrail-core/src/controller/heartbeats.rs
@@ -1,24 +1,28 @@
-//! Workers' reports: who may answer them, and what is logged of the answers.
+//! Heartbeats of workers: whether this controller may answer them, and what is logged of the
+//! answers. The rules of an answer that renews a worker's lease stand in [`crate::lease_renewal`].
 
-use super::*;
-use crate::events::{HeartbeatEvent, HeartbeatSummary, HeartbeatVerdict};
-use crate::lease_renewal::{Knowledge, Refusal};
+use super::Controller;
+use crate::answer::Answer;
+use crate::events::{HeartbeatEvent, HeartbeatSummary, HeartbeatVerdict, LeadershipEvent};
+use crate::lease_renewal::{AnswerCounters, Knowledge, Refusal};
+use crate::model::{FencingToken, Heartbeat, RequestId, Revision};
 use std::collections::BTreeSet;
 
 impl Controller {
-    pub(super) fn heartbeat(&mut self, req: RequestId, heartbeat: &Heartbeat) {
+    /// Answers a heartbeat.
+    pub(super) fn heartbeat(&mut self, id: RequestId, heartbeat: &Heartbeat) {
         let decision = self.answer_worker(heartbeat);
         self.log_decision(heartbeat, &decision);
         let answer = match decision {
             Ok(answer) => answer,
             Err(refusal) => {
-                self.answers.count_refusal(refusal);
+                self.heartbeat_counters.count_refusal(refusal);
                 let leader = self.election.leader_hint().filter(|l| *l != self.cfg.controller);
                 refusal.answer(leader.map(str::to_string))
             }
         };
         self.check_renewal(heartbeat, &answer);
-        self.calls.answer(req, answer);
+        self.calls.answer(id, answer);
     }
 
     /// What this controller may rely on now.
@@ -28,7 +32,7 @@
             cfg: &self.cfg,
             job_cache: &self.job_cache,
             now: self.now,
-            // The right may have begun in this very step.
+            // The lease may have been acquired in this very step.
             lease_held_since: holds_valid_lease.then(|| self.lease_held_since.unwrap_or(self.now)),
             jobs_as_of: self.job_watch.as_of(),
         }
@@ -38,7 +42,7 @@
         let knowledge = self.knowledge();
         let permit = knowledge.permit(heartbeat);
         let unknown = match permit {
-            // Without the right or recent knowledge the report is not even taken.
+            // Without a valid lease or a fresh job cache the heartbeat is not even taken.
             Err(refusal @ (Refusal::NotEntitled | Refusal::JobsNotRead)) => return Err(refusal),
             Err(_) => knowledge.unknown_jobs(heartbeat),
             Ok(_) => BTreeSet::new(),
@@ -52,14 +56,14 @@
         .unwrap_or(Err(Refusal::NotEntitled))
     }
 
-    /// The invariant of [`crate::lease_renewal`], judged by the answer alone. A violation is
-    /// reported and the answer goes out: ending the process would help nobody.
+    /// Checks the invariant of [`crate::lease_renewal`] by the answer alone. A violation is logged
+    /// and the answer goes out: ending the process would help nobody.
     fn check_renewal(&mut self, heartbeat: &Heartbeat, answer: &Answer) {
         let Answer::Commands { commands, .. } = answer else { return };
-        self.answers.count_orders(commands);
+        self.heartbeat_counters.count_orders(commands);
         let kept = self.knowledge().kept_without_knowledge(heartbeat, answer);
         for task in &kept {
-            self.answers.violations += 1;
+            self.heartbeat_counters.violations += 1;
             let machine = heartbeat.machine.clone();
             self.calls.log(HeartbeatEvent::RenewalViolation { machine, task: *task });
         }
@@ -86,16 +90,16 @@
         });
     }
 
-    /// One line a round about the answers to workers and the knowledge they rested on.
-    pub(super) fn log_answers(&mut self) {
-        if self.now < self.next_answers_log {
+    /// Logs once a round how heartbeats were answered, and on what knowledge.
+    pub(super) fn log_heartbeat_summary(&mut self) {
+        if self.now < self.next_heartbeat_summary {
             return;
         }
-        self.next_answers_log = self.now + (self.cfg.policy.round_s * 1000.0) as Ms;
-        if self.answers == AnswerCounters::default() {
+        self.next_heartbeat_summary = self.now + self.cfg.round_ms();
+        if self.heartbeat_counters == AnswerCounters::default() {
             return;
         }
-        let counters = std::mem::take(&mut self.answers);
+        let counters = std::mem::take(&mut self.heartbeat_counters);
         self.calls.log(HeartbeatEvent::Summary(HeartbeatSummary {
             token: self.election.leader_term().map_or(FencingToken(0), |term| term.token),
             holds_valid_lease: self.election.holds_valid_lease(self.now),
@@ -105,15 +109,15 @@
         }));
     }
 
-    /// A line whenever this controller learns of another leader.
+    /// Logs whenever this controller learns of another leader.
     pub(super) fn log_leader(&mut self) {
         let leader = self.election.leader_hint();
-        if leader == self.leader_logged.as_deref() {
+        if leader == self.logged_leader.as_deref() {
             return;
         }
         let (token, revision) = self.election.seen();
         let leader = leader.map(str::to_string);
-        self.leader_logged.clone_from(&leader);
+        self.logged_leader.clone_from(&leader);
         self.calls.log(LeadershipEvent::LeaderSeen { leader, term: token, revision });
     }
 }
--- a/crates/basaltrail-core/src/controller/inspection.rs
+++ b/crates/basaltrail-core/src/controller/inspection.rs
@@ -1,11 +1,15 @@
-//! What operators are told of limits, use and allotments.
+//! What operators are told of limits, use and quotas.
 
-use super::*;
+use super::Controller;
+use crate::answer::Answer;
 use crate::inspection::{ClassReport, LimitsReport, TeamReport};
-use basaltrail_admission::{Room, OTHER_CLASSES};
+use crate::model::{RequestId, Revision};
+use basaltrail_admission::{WorkAmount, OTHER_CLASSES};
+use std::collections::BTreeMap;
 
 impl Controller {
-    pub(super) fn inspect(&mut self, req: RequestId) {
+    /// Answers an operator.
+    pub(super) fn inspect(&mut self, id: RequestId) {
         let used = self.with_leader(|leader, ctx, _, _| leader.use_by_team(ctx));
         let used = used.filter(|_| self.leading());
         let teams = (0..self.cfg.teams.len()).map(|team| self.team_report(team, used.as_deref()));
@@ -13,29 +17,31 @@
             controller: self.cfg.controller.clone(),
             leader: self.election.leader_hint().map(str::to_string),
             revision: self.job_watch.revision().unwrap_or(Revision::NONE),
-            allotted: self.admission.binds(),
+            allotted: self.admission.quotas_bind(),
             teams: teams.collect(),
         };
-        self.calls.answer(req, Answer::Limits(Box::new(report)));
+        self.calls.answer(id, Answer::Limits(Box::new(report)));
     }
 
+    /// `used` are the CPUs that each team uses, which only the leader knows.
     fn team_report(&self, index: usize, used: Option<&[f64]>) -> TeamReport {
         let team = &self.cfg.teams[index];
         let mut classes: BTreeMap<String, ClassReport> = BTreeMap::new();
-        let class = |name: &str| ClassReport { class: name.into(), ..ClassReport::default() };
+        let empty = |name: &str| ClassReport { class: name.into(), ..ClassReport::default() };
         for job in self.job_cache.active.values().filter(|job| job.spec.team == team.name) {
             let name = &job.spec.class;
-            classes.entry(name.clone()).or_insert_with(|| class(name)).jobs += 1;
+            classes.entry(name.clone()).or_insert_with(|| empty(name)).jobs += 1;
         }
-        let held = self.job_cache.admission.held(&team.name, &self.cfg.controller);
-        let left = self.admission.left(&self.job_cache, &team.name);
-        if let Some(held) = held.filter(|_| self.admission.binds() && !left.is_empty()) {
-            let pair = |room: Room| Some((room.jobs, room.work));
-            for (entry, left) in held.allotment.classes.iter().zip(left) {
+        let cached = self.job_cache.quotas.quota(&team.name, &self.cfg.controller);
+        let remaining = self.admission.remaining(&self.job_cache, &team.name);
+        let binds = self.admission.quotas_bind() && !remaining.is_empty();
+        if let Some(cached) = cached.filter(|_| binds) {
+            let pair = |amount: WorkAmount| Some((amount.jobs, amount.work));
+            for (entry, remaining) in cached.quota.classes.iter().zip(remaining) {
                 let name = &entry.class;
-                let report = classes.entry(name.clone()).or_insert_with(|| class(name));
-                report.allotted = pair(entry.room());
-                report.left = pair(left);
+                let report = classes.entry(name.clone()).or_insert_with(|| empty(name));
+                report.allotted = pair(entry.amount());
+                report.left = pair(remaining);
             }
         }
         // The entry for all other classes comes last.
@@ -45,7 +51,7 @@
             guaranteed: team.cpus,
             limit: team.cpus_max.is_finite().then_some(team.cpus_max),
             used: used.map(|used| used[index]),
-            refused: self.admission.refused_of(index),
+            refused: self.admission.rejected_of_team(index),
             classes: classes.into_values().chain(others).collect(),
         }
     }
--- /dev/null
+++ b/crates/basaltrail-core/src/controller/job_watching.rs
@@ -0,0 +1,191 @@
+//! How the job cache is kept up to date: the list of the jobs, the watches that follow it, and the
+//! records that they bring.
+
+use super::Controller;
+use crate::events::{JobEvent, StoreEvent};
+use crate::io::{KeyValue, StoreReply, StoreRequest, WatchEvent};
+use crate::jobs::watch::{JobWatchCall, WatchKind};
+use crate::model::{JobId, Ms, Revision};
+use crate::store::calls::{ListPart, StorePurpose};
+use crate::store::rate_limiter::CallPriority;
+use crate::store::records::{
+    active_job_key, decode, parse_job, JobRecord, ACTIVE_JOBS_PREFIX, ADMISSION_PREFIX,
+    JOBS_PREFIX, OUTCOMES_PREFIX,
+};
+use std::collections::BTreeSet;
+
+/// Keys of one page of the list; the store gives 1,000 at the most (PROTOCOL, "GET /kv").
+const PAGE_KEYS: u32 = 500;
+
+impl Controller {
+    /// Lists the jobs, or opens the watch again, if that is due and the rate limit allows.
+    pub(super) fn watch_jobs(&mut self) {
+        let Some(call) = self.job_watch.call_due(self.now) else { return };
+        if !self.calls.try_acquire(self.now, CallPriority::Request) {
+            return;
+        }
+        self.job_watch.sent(WatchKind::Waiting);
+        match call {
+            JobWatchCall::List => self.send_list(ListPart::Jobs, None, self.now),
+            JobWatchCall::Watch { after } => {
+                // Short enough that a watch that hangs costs little of `cancel_s`.
+                let wait_ms = self.cfg.watch_timeout_ms();
+                let timeout_ms = wait_ms + self.cfg.leader_lease_ms() / 2;
+                self.send_watch(WatchKind::Waiting, after, wait_ms, timeout_ms);
+            }
+        }
+    }
+
+    /// Overtakes a watch that hangs, or that was opened before the leader's lease was acquired.
+    pub(super) fn catch_up(&mut self) {
+        let Some(since) = self.lease_held_since else { return };
+        let timeout_ms = self.cfg.leader_lease_ms() / 4;
+        let max_age = self.cfg.watch_timeout_ms() + timeout_ms;
+        if let Some(after) = self.job_watch.catch_up_due(since, self.now, max_age) {
+            self.job_watch.sent(WatchKind::CatchUp);
+            self.calls.try_acquire(self.now, CallPriority::Lease);
+            self.send_watch(WatchKind::CatchUp, after, 0, timeout_ms);
+        }
+    }
+
+    /// Whether what ended before our lease was acquired is known, and what is known is no older
+    /// than a watch that is answered leaves it. Users may have been told elsewhere that a job is
+    /// cancelled while this process stood still, was cut off or held no lease: until that is read,
+    /// no task is started.
+    pub(super) fn job_cache_is_fresh(&self) -> bool {
+        let max_age = self.cfg.watch_timeout_ms()
+            + self.cfg.leader_lease_ms() / 2
+            + self.cfg.heartbeat_interval_ms;
+        self.lease_held_since.is_some_and(|since| self.job_watch.is_fresh(since, self.now, max_age))
+    }
+
+    fn send_list(&mut self, part: ListPart, after: Option<String>, sent: Ms) {
+        let timeout_ms = self.cfg.leader_lease_ms() / 2;
+        let prefix = part.prefix().to_string();
+        let request = StoreRequest::List { prefix, after: after.clone(), limit: PAGE_KEYS };
+        self.calls.send_to_store(StorePurpose::ListJobs { part, after, sent }, request, timeout_ms);
+    }
+
+    fn send_watch(&mut self, kind: WatchKind, after: Revision, wait_ms: Ms, timeout_ms: Ms) {
+        let request = StoreRequest::Watch { prefix: JOBS_PREFIX.into(), after, wait_ms };
+        let purpose = StorePurpose::WatchJobs { sent: self.now, kind };
+        self.calls.send_to_store(purpose, request, timeout_ms);
+    }
+
+    /// Takes the reply to a watch of the jobs.
+    pub(super) fn watch_replied(&mut self, kind: WatchKind, sent: Ms, reply: StoreReply) {
+        // Changes come in crowds; one watch for each would cost too much.
+        let soon = self.now + self.cfg.heartbeat_interval_ms / 10;
+        let later = self.now + self.cfg.heartbeat_interval_ms / 4;
+        match reply {
+            StoreReply::Events { revision, events } => {
+                self.job_watch.answered(kind, soon);
+                for event in &events {
+                    self.apply_event(event);
+                }
+                self.job_watch.events_received(revision, sent);
+                if self.verbose && (kind == WatchKind::CatchUp || !events.is_empty()) {
+                    self.calls.log(JobEvent::WatchAnswered {
+                        revision,
+                        events: events.len(),
+                        kind,
+                        took_ms: self.now - sent,
+                    });
+                }
+            }
+            StoreReply::Compacted => {
+                self.job_watch.answered(kind, soon);
+                self.job_watch.restart_list();
+            }
+            _ => self.job_watch.answered(kind, later),
+        }
+    }
+
+    /// Takes a page of the list.
+    pub(super) fn list_replied(
+        &mut self,
+        part: ListPart,
+        after: Option<String>,
+        sent: Ms,
+        reply: StoreReply,
+    ) {
+        let StoreReply::Page { items, more, revision } = reply else {
+            self.job_watch.list_failed(self.now + self.cfg.heartbeat_interval_ms / 4);
+            return;
+        };
+        for item in &items {
+            self.apply(item);
+        }
+        if part == ListPart::Jobs {
+            self.remove_unlisted(&items, after.as_deref(), more, revision);
+        }
+        // The watch starts where the first page was read.
+        let first = self.job_watch.page_read(revision);
+        if more {
+            return self.send_list(part, items.last().map(|item| item.key.clone()), sent);
+        }
+        if part == ListPart::Jobs && self.admission.quotas_bind() {
+            return self.send_list(ListPart::Admission, None, sent);
+        }
+        self.job_watch.list_completed(sent);
+        self.calls.log(JobEvent::Listed {
+            revision: first,
+            active: self.job_cache.active.len(),
+            took_ms: self.now - sent,
+        });
+    }
+
+    /// Removes active jobs whose keys are in the range of a page and that are not listed there.
+    fn remove_unlisted(
+        &mut self,
+        items: &[KeyValue],
+        after: Option<&str>,
+        more: bool,
+        revision: Revision,
+    ) {
+        let from = after.unwrap_or(ACTIVE_JOBS_PREFIX);
+        let to = items.last().filter(|_| more).map(|item| item.key.as_str());
+        let listed: BTreeSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
+        let in_range = |key: &str| key > from && to.is_none_or(|to| key <= to);
+        let unlisted = |job: &&JobId| {
+            let key = active_job_key(**job);
+            in_range(&key) && !listed.contains(key.as_str())
+        };
+        let gone: Vec<JobId> = self.job_cache.active.keys().filter(unlisted).copied().collect();
+        for job in gone {
+            self.job_cache.remove_active(job, revision.next());
+        }
+    }
+
+    fn apply_event(&mut self, event: &WatchEvent) {
+        match event {
+            WatchEvent::Put(item) => self.apply_record(item, true),
+            WatchEvent::Delete { key, mod_revision } => {
+                if let Some(job) = key.strip_prefix(ACTIVE_JOBS_PREFIX).and_then(parse_job) {
+                    self.job_cache.remove_active(job, *mod_revision);
+                }
+            }
+        }
+    }
+
+    /// Takes a record that was read alone or from a list.
+    pub(super) fn apply(&mut self, item: &KeyValue) {
+        self.apply_record(item, false);
+    }
+
+    /// Takes a record; `in_order` says whether every change before it is known.
+    fn apply_record(&mut self, item: &KeyValue, in_order: bool) {
+        if let Some(job) = item.key.strip_prefix(ACTIVE_JOBS_PREFIX).and_then(parse_job) {
+            match decode::<JobRecord>(&item.value) {
+                Some(record) => self.job_cache.put_active(job, item.mod_revision, record),
+                None => self.calls.log(StoreEvent::JobUnreadable { job }),
+            }
+        } else if let Some(job) = item.key.strip_prefix(OUTCOMES_PREFIX).and_then(parse_job) {
+            if let Some(outcome) = decode(&item.value) {
+                self.job_cache.put_outcome(job, outcome);
+            }
+        } else if item.key.starts_with(ADMISSION_PREFIX) {
+            self.apply_admission(item, in_order);
+        }
+    }
+}
--- /dev/null
+++ b/crates/basaltrail-core/src/controller/machine_types.rs
@@ -0,0 +1,63 @@
+//! Calls that keep the machine types known: see [`crate::machines::types`].
+
+use super::Controller;
+use crate::io::{CloudReply, CloudRequest, Precondition, PutRequest, StoreReply, StoreRequest};
+use crate::machines::types::TypesCall;
+use crate::model::{Ms, Revision};
+use crate::store::calls::{CloudPurpose, StorePurpose};
+use crate::store::rate_limiter::CallPriority;
+use crate::store::records::MACHINE_TYPES_KEY;
+
+impl Controller {
+    /// Reads, writes or asks for the machine types, if that is due and the rate limits allow.
+    pub(super) fn update_machine_types(&mut self) {
+        let leads = self.leader.is_some();
+        let Some(call) = self.types.call_due(self.now, self.cfg.value_bytes, leads) else { return };
+        let timeout_ms = self.cfg.lease_ms / 3;
+        match call {
+            TypesCall::Read => {
+                if self.calls.try_acquire(self.now, CallPriority::Request) {
+                    self.types.sent();
+                    let request = StoreRequest::Get(MACHINE_TYPES_KEY.into());
+                    self.calls.send_to_store(StorePurpose::ReadMachineTypes, request, timeout_ms);
+                }
+            }
+            TypesCall::Write { value, mod_revision } => {
+                if self.calls.try_acquire(self.now, CallPriority::Request)
+                    && self.calls.write_rate.try_acquire(self.now, 1.0, CallPriority::Request)
+                {
+                    self.types.sent();
+                    self.write_machine_types(value, mod_revision, timeout_ms);
+                }
+            }
+            TypesCall::AskCloud => {
+                if self.calls.cloud_rate.try_acquire(self.now, 1.0, CallPriority::Lease) {
+                    self.types.sent();
+                    let request = CloudRequest::Types;
+                    self.calls.send_to_cloud(CloudPurpose::MachineTypes, request, timeout_ms);
+                }
+            }
+        }
+    }
+
+    fn write_machine_types(&mut self, value: String, mod_revision: Revision, timeout_ms: Ms) {
+        let request = StoreRequest::Transaction {
+            preconditions: vec![Precondition::new(MACHINE_TYPES_KEY, mod_revision)],
+            puts: vec![PutRequest::new(MACHINE_TYPES_KEY, value)],
+            deletes: Vec::new(),
+        };
+        self.calls.send_to_store(StorePurpose::WriteMachineTypes, request, timeout_ms);
+    }
+
+    /// Takes the machine types that were read from the store.
+    pub(super) fn machine_types_read(&mut self, reply: StoreReply) {
+        self.types.read(reply, self.now + self.cfg.heartbeat_interval_ms / 4);
+    }
+
+    /// Takes the cloud's reply.
+    pub(super) fn machine_types_told(&mut self, reply: CloudReply) {
+        let retry_at = self.now + self.cfg.lease_ms / 8;
+        let next_at = self.now + self.cfg.lease_ms * 6;
+        self.types.cloud_replied(reply, retry_at, next_at);
+    }
+}
--- a/crates/basaltrail-core/src/controller/request_queue_tests.rs
+++ b/crates/basaltrail-core/src/controller/request_queue_tests.rs
@@ -1,23 +1,25 @@
 use super::*;
+use crate::model::Revision;
 use crate::settings::sample::a_job;
+use crate::store::records::JobRecord;
 
-/// Were the lowest ids checked first, a crowd of them would keep others waiting for
+/// Were the lowest ids confirmed first, a crowd of them would keep others waiting for
 /// as long as it asks.
 #[test]
-fn checks_go_in_the_order_they_came() {
+fn jobs_are_confirmed_in_the_order_of_their_requests() {
     let job_cache = JobCache::new(10);
-    let mut requests = RequestQueue::default();
-    let ask = |n| ClientRequest::new(RequestId(n), RequestKind::Poll);
-    requests.check(0, JobId(900), ask(1));
+    let mut queue = RequestQueue::default();
+    let poll = |n| ClientRequest::new(RequestId(n), RequestKind::Poll);
+    queue.confirm(0, JobId(900), poll(1));
     for n in 0..20 {
-        requests.check(0, JobId(n), ask(2 + n));
+        queue.confirm(0, JobId(n), poll(2 + n));
     }
-    requests.check(0, JobId(900), ask(30));
-    let (jobs, preconditions) = requests.take_checks(&job_cache, 8);
+    queue.confirm(0, JobId(900), poll(30));
+    let (jobs, preconditions) = queue.take_confirmations(&job_cache, 8);
     assert_eq!(jobs[0].job, JobId(900));
-    assert_eq!(jobs[0].asks.len(), 2);
+    assert_eq!(jobs[0].requests.len(), 2);
     assert_eq!((jobs.len(), preconditions.len()), (4, 8));
-    assert_eq!(requests.jobs_to_check(), 17);
+    assert_eq!(queue.jobs_to_confirm(), 17);
 }
 
 /// The second part of a leader's progress replaced the first: its jobs showed as queued.
@@ -28,16 +30,16 @@
         let record = JobRecord::new(0, a_job(4, false));
         job_cache.put_active(JobId(job), Revision(job), record);
     }
-    let mut requests = RequestQueue::default();
+    let mut queue = RequestQueue::default();
     let part = |job| [Progress { job: JobId(job), done: 1, running: 2 }];
-    requests.show(&job_cache, &part(1));
-    requests.show(&job_cache, &part(2));
-    requests.show(&job_cache, &part(3));
-    let shown = |requests: &RequestQueue, job| requests.display.get(&JobId(job)).copied();
-    assert_eq!(shown(&requests, 1), Some((1, 2)));
-    assert_eq!(shown(&requests, 2), Some((1, 2)));
-    assert_eq!(shown(&requests, 3), None, "no such job");
-    job_cache.put_final(JobId(1), JobOutcome::Done);
-    requests.show(&job_cache, &part(2));
-    assert_eq!(shown(&requests, 1), None, "an ended job needs no display");
+    queue.update_progress(&job_cache, &part(1));
+    queue.update_progress(&job_cache, &part(2));
+    queue.update_progress(&job_cache, &part(3));
+    let counts = |queue: &RequestQueue, job| queue.task_counts.get(&JobId(job)).copied();
+    assert_eq!(counts(&queue, 1), Some(TaskCounts { done: 1, running: 2 }));
+    assert_eq!(counts(&queue, 2), Some(TaskCounts { done: 1, running: 2 }));
+    assert_eq!(counts(&queue, 3), None, "no such job");
+    job_cache.put_outcome(JobId(1), JobOutcome::Done);
+    queue.update_progress(&job_cache, &part(2));
+    assert_eq!(counts(&queue, 1), None, "an ended job needs no display");
 }
--- a/crates/basaltrail-core/src/events.rs
+++ b/crates/basaltrail-core/src/events.rs
@@ -6,7 +6,7 @@
 use crate::jobs::watch::WatchKind;
 use crate::lease_renewal::{AnswerCounters, Refusal};
 use crate::model::{AgentEpoch, FencingToken, JobId, MachineId, Ms, Revision, TaskId};
-use basaltrail_admission::Reason;
+use basaltrail_admission::RejectionReason;
 
 /// Name of [`HeartbeatEvent::RenewalViolation`] in a log line. Checks of the logs read it.
 pub const RENEWAL_VIOLATION: &str = "renewal_violation";
@@ -393,7 +393,7 @@
     /// Submissions that were told to come back, by reason, once a scheduling round.
     Refused {
         /// How often each reason was given.
-        reasons: Vec<(Reason, u64)>,
+        reasons: Vec<(RejectionReason, u64)>,
     },
     /// The record of an admission quota cannot be read; nothing is accepted on it.
     QuotaUnreadable {
--- a/crates/basaltrail-core/src/inspection.rs
+++ b/crates/basaltrail-core/src/inspection.rs
@@ -1,4 +1,4 @@
-//! What a controller tells operators of limits, use, backlog and allotments.
+//! What a controller tells operators of limits, use, backlog and admission quotas.
 
 use crate::model::Revision;
 
@@ -9,10 +9,10 @@
     pub class: String,
     /// Unfinished jobs of it, on all controllers.
     pub jobs: u32,
-    /// Jobs and CPU-seconds that this controller may accept until the next allotment; none where
-    /// allotments do not bind.
+    /// Jobs and CPU-seconds that this controller may accept until the next quota; none where
+    /// quotas do not bind.
     pub allotted: Option<(u32, f64)>,
-    /// What is left of them.
+    /// Jobs and CPU-seconds that are left of them.
     pub left: Option<(u32, f64)>,
 }
 
@@ -27,22 +27,22 @@
     pub limit: Option<f64>,
     /// CPUs that its tasks may be using; only the leader knows.
     pub used: Option<f64>,
-    /// Submissions that this controller told to come back since it began.
+    /// Submissions that this controller did not admit since its process began.
     pub refused: u64,
     /// Its classes.
     pub classes: Vec<ClassReport>,
 }
 
-/// See the module.
+/// One controller's report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitsReport {
     /// The controller that tells.
     pub controller: String,
     /// The controller that leads, as far as is known here.
     pub leader: Option<String>,
-    /// The revision up to which jobs and allotments are known here.
+    /// The revision up to which jobs and quotas are known here.
     pub revision: Revision,
-    /// Whether allotments bind.
+    /// Whether admission quotas bind.
     pub allotted: bool,
     /// Every team of the settings.
     pub teams: Vec<TeamReport>,
--- a/crates/basaltrail-core/src/jobs/watch.rs
+++ b/crates/basaltrail-core/src/jobs/watch.rs
@@ -1,28 +1,29 @@
-//! How recent a controller's knowledge of the jobs is, and which call to the state service keeps it so.
+//! How fresh the job cache is, and which call to the store keeps it so.
 //!
 //! The jobs are listed once; from then on a watch that is opened again and again tells of every
 //! change. A second watch, which does not wait, overtakes one that hangs or that was opened
-//! before the controller's right began. What the calls tell stands in [`crate::jobs::Table`].
+//! before the leader's lease was acquired. What the calls tell stands in
+//! [`crate::jobs::JobCache`].
 
 use crate::model::{Ms, Revision};
 
 /// Which of the two watches is meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchKind {
-    /// It waits for news.
+    /// It waits for a change.
     Waiting,
-    /// It tells at once what is new.
+    /// It is answered at once.
     CatchUp,
 }
 
 /// The call that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobWatchCall {
-    /// All jobs, from the first page on.
+    /// The list of all jobs, from the first page on.
     List,
-    /// What changed after a revision.
+    /// The watch that waits.
     Watch {
-        /// The revision.
+        /// The revision after which it tells of changes.
         after: Revision,
     },
 }
@@ -40,10 +41,11 @@
     }
 }
 
-/// What a controller's knowledge of the jobs rests on.
+/// The state of the list and the watches, and how fresh the job cache is by them.
 #[derive(Debug, Default)]
 pub struct JobWatch {
     loaded: bool,
+    /// The revision up to which changes are known; none while the jobs have to be listed.
     revision: Option<Revision>,
     as_of: Option<Ms>,
     /// The revision of the first page of a list that goes on.
@@ -68,10 +70,10 @@
         self.as_of
     }
 
-    /// Whether what ended before `since` is known, and by a call that was sent no longer than
-    /// `most` before `now`.
-    pub fn is_fresh(&self, since: Ms, now: Ms, most: Ms) -> bool {
-        self.as_of.is_some_and(|as_of| as_of >= since && now <= as_of + most)
+    /// Whether what ended before `since` is known, by a call that was sent no longer than `max_age`
+    /// before `now`.
+    pub fn is_fresh(&self, since: Ms, now: Ms, max_age: Ms) -> bool {
+        self.as_of.is_some_and(|as_of| as_of >= since && now <= as_of + max_age)
     }
 
     /// The list, or the watch that waits, if it is to be sent now.
@@ -82,10 +84,10 @@
         Some(self.revision.map_or(JobWatchCall::List, |after| JobWatchCall::Watch { after }))
     }
 
-    /// The revision after which to catch up, if what is known is not fresh and no such call is
-    /// on its way.
-    pub fn catch_up_due(&self, since: Ms, now: Ms, most: Ms) -> Option<Revision> {
-        let due = self.catch_up.is_due(now) && !self.is_fresh(since, now, most);
+    /// The revision after which to catch up, if what is known is not fresh (as by
+    /// [`JobWatch::is_fresh`]) and no such call is in flight.
+    pub fn catch_up_due(&self, since: Ms, now: Ms, max_age: Ms) -> Option<Revision> {
+        let due = self.catch_up.is_due(now) && !self.is_fresh(since, now, max_age);
         self.revision.filter(|_| due)
     }
 
@@ -94,7 +96,7 @@
         self.repeated(kind).in_flight = true;
     }
 
-    /// A watch was answered, whatever the answer; the next one is sent no sooner.
+    /// A watch was answered, whatever the answer; the next one is sent no sooner than `next`.
     pub fn answered(&mut self, kind: WatchKind, next: Ms) {
         let call = self.repeated(kind);
         call.in_flight = false;
@@ -102,19 +104,20 @@
     }
 
     /// A watch that was sent at `sent` told of every change up to a revision.
-    pub fn news(&mut self, revision: Revision, sent: Ms) {
+    pub fn events_received(&mut self, revision: Revision, sent: Ms) {
         self.revision = self.revision.max(Some(revision));
         self.as_of = self.as_of.max(Some(sent));
     }
 
-    /// The changes after what is known are not kept any more: the jobs are listed again.
-    pub fn compacted(&mut self) {
+    /// The jobs are to be listed again: the changes after what is known are not kept any more, or
+    /// more keys count than were listed.
+    pub fn restart_list(&mut self) {
         self.revision = None;
     }
 
     /// A page of the list was read; gives the revision of its first page, from which the
     /// watch goes on.
-    pub fn page(&mut self, revision: Revision) -> Revision {
+    pub fn page_read(&mut self, revision: Revision) -> Revision {
         *self.list_revision.get_or_insert(revision)
     }
 
@@ -125,7 +128,7 @@
     }
 
     /// The last page was read of a list whose first page was asked for at `sent`.
-    pub fn listed(&mut self, sent: Ms) {
+    pub fn list_completed(&mut self, sent: Ms) {
         self.waiting.in_flight = false;
         self.revision = self.list_revision.take();
         self.as_of = self.as_of.max(Some(sent));
--- a/crates/basaltrail-core/src/leader/autoscaler/demand.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/demand.rs
@@ -1,6 +1,6 @@
 //! What the work at hand asks of the fleet.
 
-use crate::jobs::RunJob;
+use crate::jobs::JobState;
 use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::capacity::machine_type;
@@ -22,15 +22,15 @@
 pub(in crate::leader) fn demand_by_type(ctx: &Context, cluster: &Cluster) -> Vec<TypeDemand> {
     let mut demand = vec![TypeDemand::default(); ctx.types.len()];
     let mut limit_left: Vec<f64> = ctx.cfg.teams.iter().map(|team| team.cpus_max).collect();
-    let ends = |job: &&RunJob| job.ended.is_none() && !job.spec.is_service();
+    let ends = |job: &&JobState| job.ended.is_none() && !job.spec.is_service();
     for job in cluster.jobs.values().filter(ends) {
         let Some((index, machine_type)) = cheapest_type(ctx.types, &job.spec) else { continue };
         let cpus = job.spec.cpus;
-        let tasks = job.wanted().min(fits(limit_left[job.team], cpus));
+        let tasks = job.desired_placements().min(fits(limit_left[job.team], cpus));
         limit_left[job.team] -= tasks as f64 * cpus;
         demand[index].machines += tasks as f64 / machine_type.holds(&job.spec) as f64;
         // Running tasks are half done on the average.
-        let unfinished = job.wanted() as f64 - job.placed.len() as f64 / 2.0;
+        let unfinished = job.desired_placements() as f64 - job.placed.len() as f64 / 2.0;
         let work_cpus = (unfinished * cpus).min(ctx.cfg.teams[job.team].cpus_max);
         demand[index].cpu_s += work_cpus * job.spec.estimate_s.max(1.0);
     }
@@ -57,7 +57,7 @@
 ) -> usize {
     let Some(wanted_type) = machine_type(ctx.types, &kind.machine_type) else { return 0 };
     let constrained = |spec: &JobSpec| !spec.spot || spec.zone.is_some() || spec.types.is_some();
-    let waits = |job: &&RunJob| job.pending() > 0 && !job.spec.is_service();
+    let waits = |job: &&JobState| job.pending() > 0 && !job.spec.is_service();
     let mut most = 0;
     for job in cluster.jobs.values().filter(waits).filter(|job| constrained(&job.spec)) {
         if !may_run_on(&job.spec, wanted_type, &kind.zone, kind.spot) {
@@ -67,7 +67,7 @@
         // met faulty ones, and no other job would ask for its kind. More than its team's limit
         // allows would become idle, be terminated and provisioned anew.
         let limit = ctx.cfg.teams[job.team].room((0.0, 0.0), &job.spec);
-        let tasks = job.wanted().min(limit);
+        let tasks = job.desired_placements().min(limit);
         let needed = tasks.div_ceil(wanted_type.holds(&job.spec)) as usize;
         let suitable = |machine: &&&Machine| {
             machine_type(ctx.types, &machine.machine_type)
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -7,7 +7,7 @@
 use crate::leader::Context;
 use crate::machines::{Decommission, Machine};
 use crate::model::{FencingToken, ListedMachine, ListedState, MachineId, Ms};
-use crate::store::calls::{Calls, Purpose};
+use crate::store::calls::{Calls, CloudPurpose};
 use crate::store::rate_limiter::CallPriority;
 use std::collections::HashSet;
 
@@ -50,7 +50,7 @@
     ) {
         if self.in_flight
             || ctx.now < self.next_page_at
-            || !calls.cloud.take(ctx.now, 1.0, CallPriority::Rest)
+            || !calls.cloud_rate.try_acquire(ctx.now, 1.0, CallPriority::Background)
         {
             return;
         }
@@ -60,7 +60,11 @@
             self.requested_at = ctx.now;
         }
         self.in_flight = true;
-        calls.cloud(Purpose::List { token }, CloudRequest::List { after }, ctx.cfg.lease_ms / 2);
+        calls.send_to_cloud(
+            CloudPurpose::List { token },
+            CloudRequest::List { after },
+            ctx.cfg.lease_ms / 2,
+        );
     }
 
     /// Takes a page; returns the list once all pages are read.
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -10,7 +10,7 @@
 use crate::leader::Context;
 use crate::machines::{Decommission, Machine};
 use crate::model::{FencingToken, ListedState, MachineId, Ms};
-use crate::store::calls::{Calls, Purpose};
+use crate::store::calls::{Calls, CloudPurpose};
 use crate::store::rate_limiter::CallPriority;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -201,7 +201,9 @@
             .filter_map(|m| criteria.reason(m).map(|reason| (m.id.clone(), reason)))
             .take(MAX_MACHINES_PER_CALL)
             .collect();
-        if terminated.is_empty() || !calls.cloud.take(ctx.now, 1.0, CallPriority::Completion) {
+        if terminated.is_empty()
+            || !calls.cloud_rate.try_acquire(ctx.now, 1.0, CallPriority::Completion)
+        {
             return;
         }
         for (id, reason) in &terminated {
@@ -210,8 +212,8 @@
         }
         let machines: Vec<MachineId> = terminated.into_iter().map(|(id, _)| id).collect();
         self.termination.in_flight = true;
-        let purpose = Purpose::Release { token: leader.token, machines: machines.clone() };
-        calls.cloud(purpose, CloudRequest::Terminate(machines), ctx.cfg.lease_ms / 2);
+        let purpose = CloudPurpose::Terminate { token: leader.token, machines: machines.clone() };
+        calls.send_to_cloud(purpose, CloudRequest::Terminate(machines), ctx.cfg.lease_ms / 2);
     }
 
     /// From here on the machine is not to be used, whatever the cloud answers.
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -15,7 +15,7 @@
 use crate::leader::Context;
 use crate::machines::{Decommission, Machine};
 use crate::model::{FencingToken, MachineId};
-use crate::store::calls::{Calls, Purpose};
+use crate::store::calls::{Calls, CloudPurpose};
 use crate::store::rate_limiter::CallPriority;
 
 /// What the fleet is, and what it should be.
@@ -142,7 +142,7 @@
     ) {
         let due = |r: &&mut ProvisioningRequest| !r.in_flight && ctx.now >= r.not_before;
         for request in self.provisioning.pending.iter_mut().filter(due) {
-            if !calls.cloud.take(ctx.now, 1.0, CallPriority::Request) {
+            if !calls.cloud_rate.try_acquire(ctx.now, 1.0, CallPriority::Request) {
                 break;
             }
             request.in_flight = true;
@@ -154,7 +154,11 @@
                 spot: request.kind.spot,
                 count: request.count,
             };
-            calls.cloud(Purpose::Rent { token, requisition }, call, ctx.cfg.lease_ms / 2);
+            calls.send_to_cloud(
+                CloudPurpose::Provision { token, requisition },
+                call,
+                ctx.cfg.lease_ms / 2,
+            );
         }
     }
 
--- a/crates/basaltrail-core/src/leader/cluster.rs
+++ b/crates/basaltrail-core/src/leader/cluster.rs
@@ -1,6 +1,6 @@
 //! The machines and jobs that a leader keeps account of.
 
-use crate::jobs::RunJob;
+use crate::jobs::JobState;
 use crate::machines::Machine;
 use crate::model::{JobId, MachineId};
 use std::collections::BTreeMap;
@@ -11,5 +11,5 @@
     /// Machines that may hold tasks, or are on their way.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Active jobs, and ended ones of which a task may still be somewhere.
-    pub jobs: BTreeMap<JobId, RunJob>,
+    pub jobs: BTreeMap<JobId, JobState>,
 }
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -1,6 +1,7 @@
 //! Answers to workers' reports, step by step. Whether one may renew a lease is decided in
 //! [`crate::lease_renewal`]; here is what the leader does with the report, and its own orders.
 
+use crate::answer::Answer;
 use crate::leader::scheduler::capacity::type_index;
 use crate::leader::*;
 use crate::lease_renewal::{Permit, Refusal};
@@ -158,7 +159,7 @@
                                 || j.spec.is_service()
                                 || j.durable.get(task.index)
                         }
-                        None => ctx.job_cache.ended(task.job).is_some(),
+                        None => ctx.job_cache.outcome(task.job).is_some(),
                     };
                     if durable {
                         commands.push(TaskCommand::Forget { task, attempt });
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -19,7 +19,7 @@
         match change {
             TaskChange::Gone { task, attempt } => {
                 if let Some(j) = self.cluster.jobs.get_mut(&task.job) {
-                    if j.free(task.index, machine, attempt) {
+                    if j.end_placement(task.index, machine, attempt) {
                         self.scheduler.changed = true;
                     }
                 }
@@ -32,7 +32,7 @@
                 let e = m.entries.get_mut(&(task, attempt))?;
                 e.need = need;
                 let Some(j) = self.cluster.jobs.get_mut(&task.job) else {
-                    match ctx.job_cache.ended(task.job) {
+                    match ctx.job_cache.outcome(task.job) {
                         Some(_) => e.stop = Some(0.0),
                         None => self.read_job(ctx, task.job),
                     }
@@ -69,7 +69,7 @@
                     if j.mark_done(task.index) {
                         self.writer.unwritten.insert(task.job);
                     }
-                    if j.complete() {
+                    if j.is_complete() {
                         self.writer.complete.insert(task.job);
                     }
                     failed_before = j.health.ended_well(machine);
@@ -79,7 +79,7 @@
                     // What has run for long, here or elsewhere, is not the service's fault.
                     failed_before = j.health.ended_well(machine);
                 }
-                let ours = j.free(task.index, machine, attempt);
+                let ours = j.end_placement(task.index, machine, attempt);
                 if !ours || j.ended.is_some() {
                     return None;
                 }
@@ -175,7 +175,7 @@
         for (task, attempt) in unsent {
             m.entries.remove(&(task, attempt));
             if let Some(j) = self.cluster.jobs.get_mut(&task.job) {
-                j.free(task.index, machine, attempt);
+                j.end_placement(task.index, machine, attempt);
             }
             self.scheduler.changed = true;
         }
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -1,5 +1,6 @@
 //! What an earlier leader left, and what the table of jobs says.
 
+use crate::answer::Answer;
 use crate::leader::*;
 use crate::lease_renewal::{Permit, Refusal};
 
@@ -55,7 +56,7 @@
         {
             return;
         }
-        if !calls.pay(ctx.now, CallPriority::Lease) {
+        if !calls.try_acquire(ctx.now, CallPriority::Lease) {
             return;
         }
         self.failover.load_in_flight = true;
@@ -66,7 +67,11 @@
             Loading::Completions => list(COMPLETIONS_PREFIX, self.failover.load_after.clone()),
             _ => StoreRequest::Get(LEDGER_KEY.into()),
         };
-        calls.state(Purpose::Load { token: self.token }, call, ctx.cfg.leader_lease_ms() / 4);
+        calls.send_to_store(
+            StorePurpose::LoadLeaderState { token: self.token },
+            call,
+            ctx.cfg.leader_lease_ms() / 4,
+        );
     }
 
     pub fn load_answer(&mut self, ctx: &Context, calls: &mut Calls, reply: StoreReply) {
@@ -115,7 +120,7 @@
                 for i in items {
                     self.writer.mod_revisions.insert(i.key.clone(), i.mod_revision);
                     let text: Option<String> = decode(&i.value);
-                    if let (Some((job, part)), Some(text)) = (parse_done_key(&i.key), text) {
+                    if let (Some((job, part)), Some(text)) = (parse_completions_key(&i.key), text) {
                         self.failover.loaded_done.entry(job).or_default().push((part, text));
                     }
                 }
@@ -159,12 +164,12 @@
             if j.spec.is_service() {
                 break; // it is never done, whatever stands there
             }
-            j.done.add_part(part, &text);
-            j.durable.add_part(part, &text);
-            j.parts.insert(part);
+            j.done.add_segment(part, &text);
+            j.durable.add_segment(part, &text);
+            j.stored_segments.insert(part);
         }
         j.health.inherit(suspect, j.done.count() > 0);
-        if j.complete() {
+        if j.is_complete() {
             self.writer.complete.insert(job);
         }
     }
@@ -177,7 +182,7 @@
             if let Some(j) = self.cluster.jobs.get_mut(&job) {
                 j.mod_revision = a.mod_revision;
             } else {
-                self.cluster.jobs.insert(job, RunJob::new(job, team, a));
+                self.cluster.jobs.insert(job, JobState::new(job, team, a));
                 self.scheduler.replica_sizes.note(ctx, &a.spec);
                 if self.loaded() {
                     self.apply_loaded(job);
@@ -185,7 +190,7 @@
                 self.adopt(ctx, job);
             }
             self.scheduler.changed = true;
-        } else if let Some(end) = ctx.job_cache.ended(job) {
+        } else if let Some(end) = ctx.job_cache.outcome(job) {
             if let Some(j) = self.cluster.jobs.get_mut(&job) {
                 j.ended = Some(end);
                 self.scheduler.changed = true;
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -6,12 +6,12 @@
 };
 use crate::fairness::Ledger;
 use crate::io::*;
-use crate::jobs::{JobCache, RunJob};
+use crate::jobs::{JobCache, JobState};
 use crate::leader::autoscaler::partitions::workers_unreachable;
 use crate::machines::*;
 use crate::model::*;
 use crate::settings::Settings;
-use crate::store::calls::{Calls, Purpose};
+use crate::store::calls::{Calls, StorePurpose};
 use crate::store::rate_limiter::CallPriority;
 use crate::store::records::*;
 use autoscaler::Autoscaler;
@@ -105,7 +105,7 @@
     ledger: Ledger,
     round_ends: Ms,
     /// What controllers may accept.
-    pub allotting: quota_allocation::Allotting,
+    pub quota_allocator: quota_allocation::QuotaAllocator,
     /// When peers are told of progress next.
     pub next_progress: Ms,
 }
@@ -126,7 +126,7 @@
             liveness: WorkerLiveness::new(ctx.now),
             ledger: Ledger::new(ctx.cfg, None, ctx.now),
             round_ends: ctx.now,
-            allotting: quota_allocation::Allotting::new(ctx.now),
+            quota_allocator: quota_allocation::QuotaAllocator::new(ctx.now),
             next_progress: 0,
         };
         for job in ctx.job_cache.active.keys() {
@@ -177,7 +177,7 @@
             self.writer.ledger_due = true;
             self.note_primary_zone();
             self.log_round(ctx, calls);
-            self.plan_allotments(ctx, calls);
+            self.plan_quotas(ctx, calls);
             self.scheduler.changed = true;
         }
         if (self.scheduler.changed || ctx.now >= self.scheduler.wake_at)
@@ -188,7 +188,7 @@
         }
         self.flush(ctx, calls);
         if ctx.holds_valid_lease {
-            self.allotting.send(ctx.cfg, ctx.now, (self.token, self.mod_revision), calls);
+            self.quota_allocator.send(ctx.cfg, ctx.now, (self.token, self.mod_revision), calls);
         }
         self.call_cloud(ctx, calls);
     }
@@ -292,11 +292,11 @@
         over.retain(|j| !present.contains(j));
         for job in over {
             if let Some(j) = self.cluster.jobs.remove(&job) {
-                self.writer.cleanup.extend(j.parts.iter().map(|p| (job, *p)));
+                self.writer.cleanup.extend(j.stored_segments.iter().map(|p| (job, *p)));
                 self.writer.complete.remove(&job);
                 self.writer.unwritten.remove(&job);
-                for p in &j.parts {
-                    self.writer.mod_revisions.remove(&done_key(job, *p));
+                for p in &j.stored_segments {
+                    self.writer.mod_revisions.remove(&completions_key(job, *p));
                 }
             }
         }
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -44,10 +44,10 @@
 
     fn put_end(&mut self, job: JobId, mod_revision: Revision) {
         self.bytes += 3 * Self::FRAME;
-        self.preconditions.push(Precondition::new(active_key(job), mod_revision));
-        self.deletes.push(active_key(job));
+        self.preconditions.push(Precondition::new(active_job_key(job), mod_revision));
+        self.deletes.push(active_job_key(job));
         self.puts.push(PutRequest {
-            key: final_key(job),
+            key: outcome_key(job),
             value: encode(&JobOutcome::Done),
             lease_id: None,
         });
@@ -69,10 +69,14 @@
             return;
         }
         for (key, asked) in self.writer.refresh.iter_mut().filter(|(_, asked)| !**asked) {
-            if calls.pay(ctx.now, CallPriority::Completion) {
+            if calls.try_acquire(ctx.now, CallPriority::Completion) {
                 *asked = true;
-                let purpose = Purpose::Refresh { token: self.token, key: key.clone() };
-                calls.state(purpose, StoreRequest::Get(key.clone()), ctx.cfg.leader_lease_ms() / 4);
+                let purpose = StorePurpose::RefreshRevision { token: self.token, key: key.clone() };
+                calls.send_to_store(
+                    purpose,
+                    StoreRequest::Get(key.clone()),
+                    ctx.cfg.leader_lease_ms() / 4,
+                );
             }
         }
         let now = ctx.now;
@@ -80,12 +84,12 @@
         self.writer.parked.retain(|_, until| *until > now);
         let most = ctx.cfg.transaction_ops.max(2).min(self.writer.changes_most);
         let mut t = Txn::new(Precondition::new(LEADER_KEY, self.mod_revision), most);
-        let mut paid = |n: f64, class| calls.writes.take(now, n, class);
+        let mut paid = |n: f64, class| calls.write_rate.try_acquire(now, n, class);
         for id in &self.writer.complete {
             let Some(j) = self.cluster.jobs.get(id).filter(|j| j.ended.is_none()) else { continue };
             if !ctx.job_cache.active.contains_key(id)
                 || self.failover.unknown.contains(id)
-                || self.writer.parked.contains_key(&active_key(*id))
+                || self.writer.parked.contains_key(&active_job_key(*id))
             {
                 continue;
             }
@@ -142,7 +146,7 @@
         if self.writer.preferred_zone_due
             && !shut(PRIMARY_ZONE_KEY)
             && t.room(1, 256)
-            && paid(1.0, CallPriority::Rest)
+            && paid(1.0, CallPriority::Background)
         {
             self.writer.preferred_zone_due = false;
             f.primary_zone = true;
@@ -166,30 +170,30 @@
                     self.writer.unwritten.remove(&id);
                     continue;
                 };
-                if j.ended.is_some() || j.complete() {
+                if j.ended.is_some() || j.is_complete() {
                     self.writer.unwritten.remove(&id);
                     continue;
                 }
-                for part in j.dirty.clone() {
-                    let key = done_key(id, part);
+                for part in j.dirty_segments.clone() {
+                    let key = completions_key(id, part);
                     if self.writer.refresh.contains_key(&key)
                         || self.writer.parked.contains_key(&key)
                     {
                         continue;
                     }
-                    let text = j.done.part(part);
-                    if !t.room(1, text.len()) || !paid(1.0, CallPriority::Rest) {
+                    let text = j.done.segment(part);
+                    if !t.room(1, text.len()) || !paid(1.0, CallPriority::Background) {
                         left = true;
                         break 'jobs;
                     }
-                    j.dirty.remove(&part);
-                    j.parts.insert(part);
+                    j.dirty_segments.remove(&part);
+                    j.stored_segments.insert(part);
                     f.keys.push(key.clone());
                     t.put(mod_revision(&key), key, encode(&text));
                     f.parts.push((id, part, text));
                 }
                 self.writer.written_last = id;
-                if j.dirty.is_empty() {
+                if j.dirty_segments.is_empty() {
                     self.writer.unwritten.remove(&id);
                 }
             }
@@ -198,11 +202,11 @@
             }
         }
         while let Some((job, part)) = self.writer.cleanup.first().copied() {
-            if !t.room(1, 0) || !paid(1.0, CallPriority::Rest) {
+            if !t.room(1, 0) || !paid(1.0, CallPriority::Background) {
                 break;
             }
             self.writer.cleanup.pop_first();
-            t.remove(done_key(job, part));
+            t.remove(completions_key(job, part));
             f.cleaned.push((job, part));
         }
         let Txn { preconditions, puts, deletes, .. } = t;
@@ -210,21 +214,21 @@
         if f.changes == 0 {
             return;
         }
-        if !calls.pay(now, CallPriority::Completion) {
+        if !calls.try_acquire(now, CallPriority::Completion) {
             self.undo(ctx, f);
             self.writer.not_before = now + 20;
             return;
         }
         self.writer.in_flight = true;
-        let purpose = Purpose::PendingWrite { token: self.token, flush: Box::new(f) };
+        let purpose = StorePurpose::LeaderTransaction { token: self.token, pending: Box::new(f) };
         let op = StoreRequest::Transaction { preconditions, puts, deletes };
-        calls.state(purpose, op, ctx.cfg.leader_lease_ms() / 4);
+        calls.send_to_store(purpose, op, ctx.cfg.leader_lease_ms() / 4);
     }
 
     fn undo(&mut self, ctx: &Context, f: PendingWrite) {
         for (job, part, _) in f.parts {
             if let Some(j) = self.cluster.jobs.get_mut(&job) {
-                j.dirty.insert(part);
+                j.dirty_segments.insert(part);
                 self.writer.unwritten.insert(job);
             }
         }
@@ -252,7 +256,7 @@
                 }
                 for (job, part, text) in f.parts {
                     if let Some(j) = self.cluster.jobs.get_mut(&job) {
-                        j.durable.add_part(part, &text);
+                        j.durable.add_segment(part, &text);
                     }
                 }
                 for (part, ids) in f.registry {
@@ -276,7 +280,8 @@
             StoreReply::Conflict { failed } => {
                 out.deposed = failed.iter().any(|k| k == LEADER_KEY);
                 let ends = std::mem::take(&mut f.ends);
-                out.read = ends.into_iter().filter(|j| failed.contains(&active_key(*j))).collect();
+                out.read =
+                    ends.into_iter().filter(|j| failed.contains(&active_job_key(*j))).collect();
                 for key in failed.into_iter().filter(|k| f.keys.contains(k)) {
                     self.writer.refresh.insert(key, false);
                 }
@@ -288,7 +293,7 @@
                 self.writer.changes_most = (f.changes / 2).max(1);
                 if f.changes <= 1 || (f.ends.len() == 1 && f.keys.is_empty()) {
                     let until = ctx.now + ctx.cfg.lease_ms * PARKED_LEASES;
-                    let ends = f.ends.iter().map(|j| active_key(*j));
+                    let ends = f.ends.iter().map(|j| active_job_key(*j));
                     let keys: Vec<String> = f.keys.iter().cloned().chain(ends).collect();
                     out.rejected = Some(keys.join(","));
                     self.writer.parked.extend(keys.into_iter().map(|k| (k, until)));
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -34,12 +34,12 @@
     /// Carries out one flush; false if there was none.
     fn flush(&mut self, ctx: &Context, leader: &mut Leader) -> bool {
         let mut calls = Calls::default();
-        calls.writes.set_rate(1e6);
-        calls.state.set_rate(1e6);
+        calls.write_rate.set_rate(1e6);
+        calls.store_rate.set_rate(1e6);
         leader.flush(ctx, &mut calls);
         let Some(Effect::Store {
             op, call: StoreRequest::Transaction { puts, deletes, .. }, ..
-        }) = calls.out.pop()
+        }) = calls.effects.pop()
         else {
             return false;
         };
@@ -49,8 +49,10 @@
             assert!(p.value.len() <= ctx.cfg.value_bytes, "{} holds {}", p.key, p.value.len());
             self.parts.insert(p.key, p.value);
         }
-        let Some(Purpose::PendingWrite { flush, .. }) = calls.take(op) else { panic!("no flush") };
-        leader.flush_answer(ctx, *flush, StoreReply::Committed { revision: self.revision });
+        let Some(StorePurpose::LeaderTransaction { pending, .. }) = calls.finish_store(op) else {
+            panic!("no flush")
+        };
+        leader.flush_answer(ctx, *pending, StoreReply::Committed { revision: self.revision });
         true
     }
 
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -1,49 +1,58 @@
-//! What the leader lets each controller accept: the loads of the teams, and the writes of allotments.
+//! Admission quotas as the leader hands them out: the loads of the teams that a plan rests on, and
+//! the writes of the quotas. The plan itself is made by [`basaltrail_admission::QuotaPlanner`].
 
-use super::*;
+use super::scheduler::capacity::team_usage;
+use super::{Context, Leader};
 use crate::events::{AdmissionEvent, ClassQuota};
+use crate::io::{Precondition, PutRequest, StoreReply, StoreRequest};
+use crate::model::{FencingToken, Ms, Revision};
 use crate::settings::Settings;
+use crate::store::calls::{Calls, StorePurpose};
+use crate::store::rate_limiter::CallPriority;
+use crate::store::records::{encode, quota_key, LEADER_KEY};
 use basaltrail_admission::{
-    Allotment, ClassLoad, ClassRoom, Grant, Planner, Room as Admitted, TeamLoad, Written,
+    ClassLoad, QuotaEntry, QuotaPlanner, QuotaWrite, TeamLoad, WorkAmount, WriteResult,
 };
-use std::collections::VecDeque;
+use std::collections::{BTreeMap, VecDeque};
 
 /// How much of the rate at which a team was served before counts in each round.
-const REMEMBERED: f64 = 0.5;
+const SERVED_DECAY: f64 = 0.5;
 
-/// Plans, and the writes of them that are due.
-pub struct Allotting {
-    planner: Planner,
-    due: VecDeque<Grant>,
+/// Plans quotas, and writes them in transactions, one at a time.
+pub struct QuotaAllocator {
+    planner: QuotaPlanner,
+    /// Quotas that are to be written.
+    due: VecDeque<QuotaWrite>,
     in_flight: bool,
-    not_before: Ms,
-    /// CPU-seconds that each team had received at the last plan, and CPUs that it used of late.
+    /// CPU-seconds that each team had received at the last plan.
     received: Vec<f64>,
+    /// CPUs that each team used on average of late.
     served: Vec<f64>,
-    planned: Ms,
+    planned_at: Ms,
 }
 
-impl Allotting {
+impl QuotaAllocator {
+    /// An allocator whose first plan counts what is received from now on.
     pub fn new(now: Ms) -> Self {
-        Allotting {
-            planner: Planner::default(),
+        QuotaAllocator {
+            planner: QuotaPlanner::default(),
             due: VecDeque::new(),
             in_flight: false,
-            not_before: 0,
             received: Vec::new(),
             served: Vec::new(),
-            planned: now,
+            planned_at: now,
         }
     }
 
-    /// CPUs that each team used of late.
-    fn note_served(&mut self, now: Ms, received: Vec<f64>) {
-        let seconds = now.saturating_sub(self.planned) as f64 / 1000.0;
-        self.planned = now;
+    /// Updates the CPUs that each team used of late. `received` are the CPU-seconds that each has
+    /// received in all.
+    fn update_served(&mut self, now: Ms, received: Vec<f64>) {
+        let seconds = now.saturating_sub(self.planned_at) as f64 / 1000.0;
+        self.planned_at = now;
         if self.received.len() == received.len() && seconds > 0.0 {
             for (team, (now, before)) in received.iter().zip(&self.received).enumerate() {
                 let rate = (now - before).max(0.0) / seconds;
-                self.served[team] = self.served[team] * REMEMBERED + rate * (1.0 - REMEMBERED);
+                self.served[team] = self.served[team] * SERVED_DECAY + rate * (1.0 - SERVED_DECAY);
             }
         } else {
             self.served = vec![0.0; received.len()];
@@ -51,7 +60,8 @@
         self.received = received;
     }
 
-    /// Writes what is due, in transactions that each hold records of one team.
+    /// Writes quotas that are due, in one transaction that holds those of one team. It is carried
+    /// out only while `leader_revision` is the mod revision of the leader key.
     pub fn send(
         &mut self,
         cfg: &Settings,
@@ -59,114 +69,119 @@
         (token, leader_revision): (FencingToken, Revision),
         calls: &mut Calls,
     ) {
-        let Some(first) = self.due.front().filter(|_| !self.in_flight && now >= self.not_before)
-        else {
+        if self.in_flight {
             return;
-        };
-        let team = first.allotment.team.clone();
-        let of_team = self.due.iter().take_while(|grant| grant.allotment.team == team).count();
+        }
+        let Some(first) = self.due.front() else { return };
+        let team = &first.quota.team;
+        let of_team = self.due.iter().take_while(|write| write.quota.team == *team).count();
         let count = of_team.min(cfg.transaction_ops.max(1));
-        if !calls.writes.take(now, count as f64, CallPriority::Completion)
-            || !calls.pay(now, CallPriority::Completion)
-        {
+        if !calls.try_acquire_write(now, count, CallPriority::Completion) {
             return;
         }
-        let grants: Vec<Grant> = self.due.drain(..count).collect();
-        let key = |grant: &Grant| allotment_key(&grant.allotment.team, &grant.allotment.controller);
+        let writes: Vec<QuotaWrite> = self.due.drain(..count).collect();
+        let key = |write: &QuotaWrite| quota_key(&write.quota.team, &write.quota.controller);
         let mut preconditions = vec![Precondition::new(LEADER_KEY, leader_revision)];
         preconditions
-            .extend(grants.iter().map(|grant| Precondition::new(key(grant), grant.replaces)));
-        let put = |grant: &Grant| PutRequest {
-            key: key(grant),
-            value: encode(&grant.allotment),
-            lease_id: None,
-        };
-        let puts = grants.iter().map(put).collect();
+            .extend(writes.iter().map(|write| Precondition::new(key(write), write.replaces)));
+        let put = |write: &QuotaWrite| PutRequest::new(key(write), encode(&write.quota));
+        let puts = writes.iter().map(put).collect();
         self.in_flight = true;
-        let op = StoreRequest::Transaction { preconditions, puts, deletes: Vec::new() };
-        let patience = cfg.leader_lease_ms() / 4;
-        calls.state(Purpose::Allot { token, grants }, op, patience);
+        let request = StoreRequest::Transaction { preconditions, puts, deletes: Vec::new() };
+        let timeout_ms = cfg.leader_lease_ms() / 4;
+        calls.send_to_store(StorePurpose::WriteQuotas { token, writes }, request, timeout_ms);
     }
 
-    /// What became of a write. True if another controller leads.
-    pub fn answer(&mut self, grants: &[Grant], reply: &StoreReply) -> bool {
+    /// Takes the reply to a write of quotas. True if another controller leads.
+    pub fn replied(&mut self, writes: &[QuotaWrite], reply: &StoreReply) -> bool {
         self.in_flight = false;
-        let written = match reply {
-            StoreReply::Committed { .. } => Written::Done,
+        let result = match reply {
+            StoreReply::Committed { .. } => WriteResult::Committed,
             StoreReply::Conflict { .. } | StoreReply::Refused | StoreReply::Rejected => {
-                Written::Not
+                WriteResult::NotExecuted
             }
-            _ => Written::Perhaps,
+            _ => WriteResult::Unknown,
         };
-        for grant in grants {
-            self.planner.written(grant, written);
+        for write in writes {
+            self.planner.record_result(write, result);
         }
-        matches!(reply, StoreReply::Conflict { failed } if failed.iter().any(|k| k == LEADER_KEY))
+        matches!(reply, StoreReply::Conflict { failed } if failed.iter().any(|key| key == LEADER_KEY))
     }
 }
 
 impl Leader {
-    /// Once a round: what each controller may accept from now on.
-    pub(super) fn plan_allotments(&mut self, ctx: &Context, calls: &mut Calls) {
+    /// Plans, once a round, what each controller may accept from now on.
+    pub(super) fn plan_quotas(&mut self, ctx: &Context, calls: &mut Calls) {
         let Some(bounds) = ctx.cfg.admission_bounds() else { return };
         let received = self.ledger.teams.iter().map(|team| team.received).collect();
-        self.allotting.note_served(ctx.now, received);
+        self.quota_allocator.update_served(ctx.now, received);
         // What is not written yet is planned anew, by what is known now.
-        for grant in std::mem::take(&mut self.allotting.due) {
-            self.allotting.planner.written(&grant, Written::Not);
+        for write in std::mem::take(&mut self.quota_allocator.due) {
+            self.quota_allocator.planner.record_result(&write, WriteResult::NotExecuted);
         }
-        if !ctx.holds_valid_lease || !ctx.job_cache_is_fresh || self.allotting.in_flight {
+        if !ctx.holds_valid_lease || !ctx.job_cache_is_fresh || self.quota_allocator.in_flight {
             return;
         }
         let teams = self.team_loads(ctx, bounds.horizon_s);
-        let grants = self.allotting.planner.plan(&ctx.job_cache.admission, &bounds, &teams);
-        for grant in &grants {
-            let Allotment { team, controller, classes, .. } = &grant.allotment;
-            let quota = |class: &ClassRoom| ClassQuota {
-                class: class.class.clone(),
-                jobs: class.jobs,
-                work: class.work,
+        let writes = self.quota_allocator.planner.plan(&ctx.job_cache.quotas, &bounds, &teams);
+        for write in &writes {
+            let class_quota = |entry: &QuotaEntry| ClassQuota {
+                class: entry.class.clone(),
+                jobs: entry.jobs,
+                work: entry.work,
             };
             calls.log(AdmissionEvent::QuotaPlanned {
-                team: team.clone(),
-                controller: controller.clone(),
-                classes: classes.iter().map(quota).collect(),
+                team: write.quota.team.clone(),
+                controller: write.quota.controller.clone(),
+                classes: write.quota.classes.iter().map(class_quota).collect(),
             });
         }
-        self.allotting.due = grants.into();
+        self.quota_allocator.due = writes.into();
     }
 
+    /// The backlog of each team by class, and how it is served.
     fn team_loads(&self, ctx: &Context, horizon_s: f64) -> Vec<TeamLoad> {
-        let mut classes: Vec<BTreeMap<&str, Admitted>> = vec![BTreeMap::new(); ctx.cfg.teams.len()];
-        for (id, active) in &ctx.job_cache.active {
-            let Some(team) = ctx.cfg.team(&active.spec.team) else { continue };
-            let mut demand = active.spec.demand();
-            if let Some(job) = self.cluster.jobs.get(id) {
-                // What runs does not wait any more.
-                demand.cpus = f64::from(job.pending()) * active.spec.cpus;
-            }
-            let waiting = classes[team].entry(&active.spec.class).or_default();
-            *waiting = waiting.plus(demand.cost(horizon_s));
-        }
-        let load = |(index, classes): (usize, BTreeMap<&str, Admitted>)| {
+        let backlogs = self.backlogs(ctx, horizon_s).into_iter().enumerate();
+        let load = |(index, backlog): (usize, BTreeMap<&str, WorkAmount>)| {
             let team = &ctx.cfg.teams[index];
             let class =
-                |(class, waiting): (&str, Admitted)| ClassLoad { class: class.into(), waiting };
+                |(class, waiting): (&str, WorkAmount)| ClassLoad { class: class.into(), waiting };
             TeamLoad {
                 team: team.name.clone(),
                 guaranteed: team.cpus,
                 limit: team.cpus_max,
                 share: ctx.cfg.weight_share(index),
-                served: self.allotting.served.get(index).copied().unwrap_or(0.0),
-                classes: classes.into_iter().map(class).collect(),
+                served: self.quota_allocator.served.get(index).copied().unwrap_or(0.0),
+                classes: backlog.into_iter().map(class).collect(),
             }
         };
-        classes.into_iter().enumerate().map(load).collect()
+        backlogs.map(load).collect()
+    }
+
+    /// Unfinished jobs and the work of them that waits, by team and class.
+    fn backlogs<'a>(
+        &self,
+        ctx: &Context<'a>,
+        horizon_s: f64,
+    ) -> Vec<BTreeMap<&'a str, WorkAmount>> {
+        let mut backlogs = vec![BTreeMap::new(); ctx.cfg.teams.len()];
+        for (id, active) in &ctx.job_cache.active {
+            let Some(team) = ctx.cfg.team(&active.spec.team) else { continue };
+            let mut demand = active.spec.demand();
+            if let Some(job) = self.cluster.jobs.get(id) {
+                // What runs does not wait any more.
+                demand.cpus = f64::from(job.pending()) * active.spec.cpus;
+            }
+            let waiting: &mut WorkAmount =
+                backlogs[team].entry(active.spec.class.as_str()).or_default();
+            *waiting = waiting.plus(demand.cost(horizon_s));
+        }
+        backlogs
     }
 
     /// CPUs that each team's tasks may be using.
     pub fn use_by_team(&self, ctx: &Context) -> Vec<f64> {
-        let used = scheduler::capacity::team_usage(ctx, &self.cluster);
+        let used = team_usage(ctx, &self.cluster);
         used.into_iter().map(|used| used.cpus).collect()
     }
 }
--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -5,7 +5,7 @@
 use super::fair_share_order::JobOrder;
 use super::Scheduler;
 use crate::fairness::Ledger;
-use crate::jobs::RunJob;
+use crate::jobs::JobState;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
 use crate::machines::{Need, TaskPhase, TaskSlot};
@@ -37,7 +37,7 @@
 }
 
 /// What one task of a job takes of its machine, and what stops it.
-pub(in crate::leader) fn task_need(job: &RunJob) -> Need {
+pub(in crate::leader) fn task_need(job: &JobState) -> Need {
     Need {
         team: job.team,
         cpus: job.spec.cpus,
@@ -165,7 +165,7 @@
         let spread = zone_spread(cluster, id);
         let job = cluster.jobs.get(&id)?;
         let service = job.spec.is_service();
-        let tasks = allowed.min(job.room()).min(if service { 1 } else { u32::MAX });
+        let tasks = allowed.min(job.allowed_starts()).min(if service { 1 } else { u32::MAX });
         let has_image = |machine: &MachineId| {
             cluster.machines.get(machine).is_some_and(|m| m.has_image(&job.spec.image))
         };
--- a/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
@@ -5,7 +5,7 @@
 //! least share (`class-least`).
 
 use super::capacity::CPU_TOLERANCE;
-use crate::jobs::RunJob;
+use crate::jobs::JobState;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
 use crate::model::JobId;
@@ -61,11 +61,11 @@
     underserved
 }
 
-fn oldest_by_class<'a>(cluster: &'a Cluster, jobs: &[JobId]) -> BTreeMap<&'a str, &'a RunJob> {
-    let mut by_class: BTreeMap<&str, &RunJob> = BTreeMap::new();
+fn oldest_by_class<'a>(cluster: &'a Cluster, jobs: &[JobId]) -> BTreeMap<&'a str, &'a JobState> {
+    let mut by_class: BTreeMap<&str, &JobState> = BTreeMap::new();
     for job in jobs.iter().filter_map(|id| cluster.jobs.get(id)) {
         let oldest = by_class.entry(&job.spec.class).or_insert(job);
-        if (job.at, job.id) < (oldest.at, oldest.id) {
+        if (job.accepted_at, job.id) < (oldest.accepted_at, oldest.id) {
             *oldest = job;
         }
     }
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -10,7 +10,7 @@
 use super::services::is_high_priority_service;
 use super::starvation::starved_jobs;
 use super::{accounting, Scheduler};
-use crate::jobs::RunJob;
+use crate::jobs::JobState;
 use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
@@ -71,7 +71,7 @@
     /// without capacity.
     fn note_guarantees(&mut self, ctx: &Context, cluster: &Cluster, blocked: &[JobId]) {
         let mut needs = vec![TeamNeed::default(); ctx.cfg.teams.len()];
-        let open = |job: &&RunJob| job.ended.is_none() && !job.health.suspect();
+        let open = |job: &&JobState| job.ended.is_none() && !job.health.suspect();
         for job in cluster.jobs.values().filter(open) {
             let tasks = job.pending() as f64 + job.placed.len() as f64;
             needs[job.team].unfinished_cpus += tasks * job.spec.cpus;
@@ -144,7 +144,7 @@
 /// reported to this leader. A job accepted since the failover cannot have been started, and no
 /// leader of any version starts a task on a kind of machine that its job does not permit.
 fn may_run_unseen(
-    job: &RunJob,
+    job: &JobState,
     elected_revision: Revision,
     unreconciled: &BTreeSet<MachineKind>,
 ) -> bool {
@@ -284,8 +284,8 @@
             .iter()
             .flatten()
             .filter_map(|id| cluster.jobs.get(id))
-            .filter(|job| !job.started && ctx.wall - job.at > patience)
-            .map(|job| (job.at, job.id, job.team))
+            .filter(|job| !job.started && ctx.wall - job.accepted_at > patience)
+            .map(|job| (job.accepted_at, job.id, job.team))
             .collect();
         found.sort();
         found.into_iter().map(|(_, id, team)| (team, id)).collect()
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
@@ -6,7 +6,7 @@
 //! given up, and then tries its next objective (paper, section 5.2.1: urgent jobs).
 
 use crate::fairness::Ledger;
-use crate::jobs::RunJob;
+use crate::jobs::JobState;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
 use crate::model::{JobId, Priority};
@@ -99,8 +99,8 @@
 }
 
 /// Slack in seconds of a job for each objective that it may still meet, the nearest last.
-fn slacks_s(ctx: &Context, job: &RunJob) -> Vec<f64> {
-    let age_s = (ctx.wall - job.at) as f64 / 1000.0;
+fn slacks_s(ctx: &Context, job: &JobState) -> Vec<f64> {
+    let age_s = (ctx.wall - job.accepted_at) as f64 / 1000.0;
     let estimate_s = job.spec.estimate_s;
     let by_completion = ctx
         .cfg
@@ -135,7 +135,7 @@
 }
 
 impl TeamLoad {
-    fn add(&mut self, ctx: &Context, job: &RunJob) {
+    fn add(&mut self, ctx: &Context, job: &JobState) {
         if job.spec.is_service() {
             self.add_service(job);
         } else {
@@ -145,7 +145,7 @@
 
     /// A service has neither an end nor a deadline: what of it is missing is late already, and
     /// what runs is no work that ends and frees its capacity.
-    fn add_service(&mut self, job: &RunJob) {
+    fn add_service(&mut self, job: &JobState) {
         self.placed_replica_cpus += job.placed.len() as f64 * job.spec.cpus;
         if job.pending() > 0 {
             self.pending_replica_cpus += job.pending() as f64 * job.spec.cpus;
@@ -153,7 +153,7 @@
         }
     }
 
-    fn add_array(&mut self, ctx: &Context, job: &RunJob) {
+    fn add_array(&mut self, ctx: &Context, job: &JobState) {
         let pending_cpus = job.pending() as f64 * job.spec.cpus;
         let unfinished_cpus = pending_cpus + job.placed.len() as f64 * job.spec.cpus;
         self.array_cpus += unfinished_cpus;
@@ -175,7 +175,7 @@
     let mut feasible = HashMap::new();
     for (team, used) in used.iter().enumerate() {
         let mut load = TeamLoad::default();
-        let open = |job: &&RunJob| job.team == team && job.ended.is_none();
+        let open = |job: &&JobState| job.team == team && job.ended.is_none();
         for job in cluster.jobs.values().filter(open).filter(|job| !job.health.suspect()) {
             load.add(ctx, job);
         }
--- a/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
@@ -3,7 +3,7 @@
 
 use super::capacity::CPU_TOLERANCE;
 use crate::fairness::Ledger;
-use crate::jobs::RunJob;
+use crate::jobs::JobState;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
 use crate::model::{JobId, Priority, WallMs};
@@ -75,7 +75,7 @@
         jobs.extend(ranked.into_iter().map(|(_, id)| id));
     }
 
-    fn rank_in_team(&self, job: &RunJob) -> JobRank {
+    fn rank_in_team(&self, job: &JobState) -> JobRank {
         let slack_s = self.slack_s.get(&job.id).copied();
         let work_cpu_s = job.pending() as f64 * job.spec.cpus * job.spec.estimate_s;
         let quota = Ledger::quota(self.ctx.cfg, job.team, self.fleet_cpus).max(1.0);
@@ -87,7 +87,7 @@
                 .map_or(-job.spec.estimate_s, |slack_s| slack_s + WORK_WEIGHT * work_cpu_s / quota),
             started: job.started,
             degree: job.account.degree(),
-            submitted: job.at,
+            submitted: job.accepted_at,
         }
     }
 
--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -4,7 +4,7 @@
 use super::bin_packing::ZoneSpread;
 use super::capacity::{accepts_tasks, FreeCapacity, CPU_TOLERANCE};
 use super::Scheduler;
-use crate::jobs::RunJob;
+use crate::jobs::JobState;
 use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
@@ -298,7 +298,7 @@
 }
 
 /// Whether a job can meet an objective and has no slack to wait for tasks to end.
-fn is_urgent(ctx: &Context, scheduler: &Scheduler, job: &RunJob) -> bool {
+fn is_urgent(ctx: &Context, scheduler: &Scheduler, job: &JobState) -> bool {
     let urgent_ms = URGENT_LEASES * ctx.cfg.lease_ms as f64;
     let slack_s = scheduler.feasible_slack_s.get(&job.id);
     slack_s.is_some_and(|slack_s| slack_s * 1000.0 < urgent_ms)
--- a/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
@@ -207,7 +207,7 @@
         .values()
         .filter(|job| job.ended.is_none() && job.spec.is_service() && belongs_here(&job.spec))
         .map(|job| {
-            let replicas = f64::from(job.wanted());
+            let replicas = f64::from(job.desired_placements());
             let in_zone = if job.spec.zone.is_some() { replicas } else { replicas / zones as f64 };
             machines(&job.spec, in_zone)
         });
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::io::Answer;
+use crate::answer::Answer;
 use crate::jobs::JobCache;
 use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::failover::Loading;
--- a/crates/basaltrail-core/src/leader/scheduler/starvation.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/starvation.rs
@@ -13,8 +13,8 @@
     let mut starved = Vec::new();
     for job in cluster.jobs.values_mut() {
         let nothing_runs = job.ended.is_none() && job.pending() > 0 && job.placed.is_empty();
-        job.bare_since = nothing_runs.then(|| job.bare_since.unwrap_or(ctx.now));
-        if let Some(since) = job.bare_since.filter(|since| ctx.now > since + patience) {
+        job.unplaced_since = nothing_runs.then(|| job.unplaced_since.unwrap_or(ctx.now));
+        if let Some(since) = job.unplaced_since.filter(|since| ctx.now > since + patience) {
             starved.push((since, job.id));
         }
     }
--- a/crates/basaltrail-core/src/lease_renewal.rs
+++ b/crates/basaltrail-core/src/lease_renewal.rs
@@ -8,7 +8,7 @@
 //! [`Settings::view_age_most_ms`] before `t`, so that the lease it gives is over by
 //! `C + cancel_s`. That holds for each answer alone, whatever leaders came before.
 
-use crate::io::Answer;
+use crate::answer::{Answer, UnavailableReason};
 use crate::jobs::JobCache;
 use crate::model::*;
 use crate::settings::Settings;
@@ -77,7 +77,10 @@
         match self {
             Refusal::NotEntitled => Answer::NotLeader { leader },
             Refusal::HigherToken => Answer::NotLeader { leader: None },
-            _ => Answer::Unavailable { retry_after_s: RETRY_S, why: self.name() },
+            _ => Answer::Unavailable {
+                retry_after_s: RETRY_S,
+                reason: UnavailableReason::HeartbeatRefused(self),
+            },
         }
     }
 }
@@ -119,7 +122,7 @@
     /// A job without a record has ended once the jobs were read within our right: whoever
     /// started the task held the record then, and a record only ever gives way to an end.
     pub fn of(&self, job: JobId) -> JobKnowledge {
-        if self.job_cache.ended(job).is_some() {
+        if self.job_cache.outcome(job).is_some() {
             return JobKnowledge::Ended;
         }
         if self.job_cache.active.contains_key(&job) {
--- a/crates/basaltrail-core/src/lease_renewal_tests.rs
+++ b/crates/basaltrail-core/src/lease_renewal_tests.rs
@@ -9,7 +9,7 @@
 fn job_cache() -> JobCache {
     let mut job_cache = JobCache::new(100);
     job_cache.put_active(ACTIVE_JOBS_PREFIX, Revision(1), JobRecord::new(0, a_job(4, true)));
-    job_cache.put_final(CANCELLED, JobOutcome::Cancelled);
+    job_cache.put_outcome(CANCELLED, JobOutcome::Cancelled);
     job_cache
 }
 
--- a/crates/basaltrail-core/src/lib.rs
+++ b/crates/basaltrail-core/src/lib.rs
@@ -1,5 +1,9 @@
 //! basaltrail's decisions, without I/O: inputs go in, effects come out.
+//!
+//! [`Controller::step`] is the only way in. The program (crate `basaltrail`) reads the clocks, carries
+//! the effects out and writes the log; the protocol crate knows the bodies on the wire.
 
+pub mod answer;
 pub mod controller;
 pub mod election;
 pub mod events;
@@ -16,11 +20,19 @@
 pub mod settings;
 pub mod store;
 
+pub use answer::{Answer, InvalidReason, UnavailableReason, UnschedulableReason};
 pub use basaltrail_admission as admission;
 pub use controller::Controller;
 pub use events::LogEvent;
-pub use io::*;
-pub use model::*;
+pub use io::{
+    CloudReply, CloudRequest, Effect, Input, KeyValue, Precondition, Progress, PutRequest,
+    StoreReply, StoreRequest, WatchEvent,
+};
+pub use model::{
+    fits, AgentEpoch, Attempt, CallId, ExitReason, FencingToken, Heartbeat, JobId, JobKind,
+    JobOutcome, JobSpec, JobStatus, LeaseId, ListedMachine, ListedState, MachineId, MachineType,
+    Ms, Priority, RequestId, Revision, TaskCommand, TaskId, TaskState, TaskStatus, WallMs,
+};
 pub use resources::Resources;
 pub use settings::{AdmissionPolicy, Objective, Policy, Settings, Team};
 pub use store::records;
--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -1,26 +1,29 @@
-//! Calls in flight, and the budgets they were paid from.
+//! Calls to the store and the cloud that wait for a reply, and the rates at which they go out.
 
-use crate::controller::request_queue::{ClientRequest, Confirming, NewJob};
+use crate::answer::Answer;
+use crate::controller::request_queue::{ClientRequest, JobConfirmation, NewJob};
 use crate::election::Call;
 use crate::events::LogEvent;
-use crate::io::*;
+use crate::io::{CloudRequest, Effect, StoreRequest};
 use crate::jobs::watch::WatchKind;
 use crate::leader::PendingWrite;
-use crate::model::*;
+use crate::model::{CallId, FencingToken, JobId, MachineId, Ms, RequestId};
 use crate::store::rate_limiter::{CallPriority, TokenBucket};
 use crate::store::records::{ACTIVE_JOBS_PREFIX, ADMISSION_PREFIX};
-use basaltrail_admission::Grant;
+use basaltrail_admission::QuotaWrite;
 use std::collections::HashMap;
 
-/// What is listed, one after the other.
+/// The key ranges that are listed one after the other before the watch of the jobs begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListPart {
+    /// Active jobs.
     Jobs,
+    /// Admission quotas, and the processes that they are for.
     Admission,
 }
 
 impl ListPart {
-    /// The keys of the part.
+    /// The prefix of the keys of the range.
     pub fn prefix(self) -> &'static str {
         match self {
             ListPart::Jobs => ACTIVE_JOBS_PREFIX,
@@ -29,107 +32,177 @@
     }
 }
 
-/// What an answer is for.
-pub enum Purpose {
+/// What a call to the store was made for. Where it carries a fencing token, its reply counts only
+/// for the leader of that term.
+pub enum StorePurpose {
+    /// A call of the election.
     Election(Call),
+    /// A page of the list of the jobs or of admission records.
     ListJobs {
+        /// The key range.
         part: ListPart,
+        /// The last key of the page before.
         after: Option<String>,
+        /// When the first page of the list was asked for.
         sent: Ms,
     },
+    /// A watch of the jobs.
     WatchJobs {
+        /// When it was sent.
         sent: Ms,
+        /// Which of the two watches.
         kind: WatchKind,
     },
-    Submit(Vec<NewJob>),
-    Check(Vec<Confirming>),
-    ReadActive {
+    /// Accepts submissions, all in one transaction.
+    AcceptJobs(Vec<NewJob>),
+    /// Confirms that what the job cache holds is still so.
+    ConfirmJobs(Vec<JobConfirmation>),
+    /// Reads the active record of a job.
+    ReadActiveJob {
+        /// The job.
         job: JobId,
-        asks: Vec<ClientRequest>,
+        /// Requests that wait for it.
+        requests: Vec<ClientRequest>,
     },
-    ReadFinal {
+    /// Reads the outcome of a job that has no active record.
+    ReadOutcome {
+        /// The job.
         job: JobId,
-        asks: Vec<ClientRequest>,
+        /// Requests that wait for it.
+        requests: Vec<ClientRequest>,
     },
-    Cancel {
+    /// Replaces the active record of a job by the outcome "cancelled".
+    CancelJob {
+        /// The job.
         job: JobId,
-        asks: Vec<ClientRequest>,
+        /// Requests that wait for it.
+        requests: Vec<ClientRequest>,
     },
-    TypesKept,
-    TypesPut,
-    Types,
-    Load {
+    /// Reads the stored machine types.
+    ReadMachineTypes,
+    /// Stores the machine types.
+    WriteMachineTypes,
+    /// Reads what the previous leader left.
+    LoadLeaderState {
+        /// The term.
         token: FencingToken,
     },
-    PendingWrite {
+    /// A transaction of the leader's writer.
+    LeaderTransaction {
+        /// The term.
         token: FencingToken,
-        flush: Box<PendingWrite>,
+        /// What it writes.
+        pending: Box<PendingWrite>,
     },
-    Refresh {
+    /// Reads the mod revision of one of the leader's keys.
+    RefreshRevision {
+        /// The term.
         token: FencingToken,
+        /// The key.
         key: String,
     },
-    /// This process tells that it is there.
-    Announce,
-    Allot {
+    /// Writes the record of this controller's process.
+    AnnounceController,
+    /// Writes admission quotas.
+    WriteQuotas {
+        /// The term.
         token: FencingToken,
-        grants: Vec<Grant>,
+        /// The quotas.
+        writes: Vec<QuotaWrite>,
     },
-    Rent {
+}
+
+/// What a call to the cloud was made for. Where it carries a fencing token, its reply counts only
+/// for the leader of that term.
+pub enum CloudPurpose {
+    /// Asks for the machine types.
+    MachineTypes,
+    /// Rents machines.
+    Provision {
+        /// The term.
         token: FencingToken,
+        /// The name under which the request may be repeated.
         requisition: String,
     },
-    Release {
+    /// Returns machines.
+    Terminate {
+        /// The term.
         token: FencingToken,
+        /// The machines.
         machines: Vec<MachineId>,
     },
+    /// Lists the machines that are rented.
     List {
+        /// The term.
         token: FencingToken,
     },
 }
 
+/// Calls that wait for a reply, the rate limiters they go through, and the effects of this step.
 #[derive(Default)]
 pub struct Calls {
-    ops: HashMap<CallId, Purpose>,
-    next: u64,
-    pub state: TokenBucket,
-    pub writes: TokenBucket,
-    pub cloud: TokenBucket,
-    pub out: Vec<Effect>,
+    store_calls: HashMap<CallId, StorePurpose>,
+    cloud_calls: HashMap<CallId, CloudPurpose>,
+    last_id: u64,
+    /// Calls to the store.
+    pub store_rate: TokenBucket,
+    /// Changes at the store, beside the calls that carry them.
+    pub write_rate: TokenBucket,
+    /// Calls to the cloud.
+    pub cloud_rate: TokenBucket,
+    /// What the present step asks the program to do, in order.
+    pub effects: Vec<Effect>,
 }
 
 impl Calls {
-    pub fn take(&mut self, op: CallId) -> Option<Purpose> {
-        self.ops.remove(&op)
+    /// What a call to the store was made for, once it is replied to; none if it was already.
+    pub fn finish_store(&mut self, call: CallId) -> Option<StorePurpose> {
+        self.store_calls.remove(&call)
+    }
+
+    /// What a call to the cloud was made for, once it is replied to; none if it was already.
+    pub fn finish_cloud(&mut self, call: CallId) -> Option<CloudPurpose> {
+        self.cloud_calls.remove(&call)
+    }
+
+    fn next_id(&mut self) -> CallId {
+        self.last_id += 1;
+        CallId(self.last_id)
     }
 
-    fn note(&mut self, purpose: Purpose) -> CallId {
-        self.next += 1;
-        let op = CallId(self.next);
-        self.ops.insert(op, purpose);
-        op
+    /// Sends a call to the store. The rate limiters are asked by the caller, before.
+    pub fn send_to_store(&mut self, purpose: StorePurpose, call: StoreRequest, timeout_ms: Ms) {
+        let op = self.next_id();
+        self.store_calls.insert(op, purpose);
+        self.effects.push(Effect::Store { op, call, timeout_ms });
     }
 
-    /// Sends a call that was paid for already.
-    pub fn state(&mut self, purpose: Purpose, call: StoreRequest, timeout_ms: Ms) {
-        let op = self.note(purpose);
-        self.out.push(Effect::Store { op, call, timeout_ms });
+    /// Sends a call to the cloud. The rate limiter is asked by the caller, before.
+    pub fn send_to_cloud(&mut self, purpose: CloudPurpose, call: CloudRequest, timeout_ms: Ms) {
+        let op = self.next_id();
+        self.cloud_calls.insert(op, purpose);
+        self.effects.push(Effect::Cloud { op, call, timeout_ms });
     }
 
-    pub fn cloud(&mut self, purpose: Purpose, call: CloudRequest, timeout_ms: Ms) {
-        let op = self.note(purpose);
-        self.out.push(Effect::Cloud { op, call, timeout_ms });
+    /// Whether one call to the store may go out now; it counts from here on.
+    pub fn try_acquire(&mut self, now: Ms, priority: CallPriority) -> bool {
+        self.store_rate.try_acquire(now, 1.0, priority)
     }
 
-    pub fn pay(&mut self, now: Ms, class: CallPriority) -> bool {
-        self.state.take(now, 1.0, class)
+    /// Whether one call to the store that makes so many changes may go out now. The changes are
+    /// counted first, and stay counted if the call itself has to wait.
+    pub fn try_acquire_write(&mut self, now: Ms, changes: usize, priority: CallPriority) -> bool {
+        self.write_rate.try_acquire(now, changes as f64, priority)
+            && self.try_acquire(now, priority)
     }
 
+    /// Answers a request.
     pub fn answer(&mut self, req: RequestId, answer: Answer) {
-        self.out.push(Effect::Answer { req, answer });
+        self.effects.push(Effect::Answer { req, answer });
     }
 
+    /// Logs an event.
     pub fn log(&mut self, event: impl Into<LogEvent>) {
-        self.out.push(Effect::Log(event.into()));
+        self.effects.push(Effect::Log(event.into()));
     }
 }
--- a/crates/basaltrail-core/tests/records.rs
+++ b/crates/basaltrail-core/tests/records.rs
@@ -41,7 +41,9 @@
     assert_eq!(same::<JobOutcome>(r#""c""#), JobOutcome::Cancelled);
     assert_eq!(same::<JobOutcome>(r#""d""#), JobOutcome::Done);
     let mut bits = TaskSet::default();
-    assert!(bits.add_part(0, &decode::<String>(r#""00000000000000010000000000000040""#).unwrap()));
+    assert!(
+        bits.add_segment(0, &decode::<String>(r#""00000000000000010000000000000040""#).unwrap())
+    );
     assert!(bits.get(0) && bits.get(70) && bits.count() == 2);
 }
 
@@ -49,8 +51,8 @@
 #[test]
 fn keys_stay_where_earlier_versions_look_for_them() {
     let (job, large) = (JobId(412), JobId(1_234_567));
-    assert_eq!([active_key(job), active_key(large)], ["j/a/000412", "j/a/1234567"]);
-    assert_eq!([final_key(job), done_key(job, 3)], ["j/t/000412", "d/000412/3"]);
+    assert_eq!([active_job_key(job), active_job_key(large)], ["j/a/000412", "j/a/1234567"]);
+    assert_eq!([outcome_key(job), completions_key(job, 3)], ["j/t/000412", "d/000412/3"]);
     assert_eq!([machine_registry_key(0), machine_registry_key(17)], ["r/0", "r/17"]);
     assert_eq!([LEADER_KEY, TERM_KEY, PRIMARY_ZONE_KEY], ["c/leader", "c/term", "c/home"]);
     assert_eq!([LEDGER_KEY, MACHINE_TYPES_KEY], ["l/ledger", "m/types"]);
@@ -183,10 +185,10 @@
     job.spec.priority = Priority::Production;
     let text = encode(&job);
     let old: production::JobRecord = serde_json::from_str(&text).unwrap();
-    assert_eq!((old.at, old.spec.tasks, old.spec.cpus), (job.at, 25, 2.0));
+    assert_eq!((old.at, old.spec.tasks, old.spec.cpus), (job.accepted_at, 25, 2.0));
     assert!(matches!(old.spec.priority, production::Priority::Production));
     let landed: landed::JobRecord = serde_json::from_str(&text).unwrap();
-    assert_eq!((landed.at, landed.spec.rest.tasks), (job.at, 25));
+    assert_eq!((landed.at, landed.spec.rest.tasks), (job.accepted_at, 25));
     assert_eq!(landed.spec.kind, landed::JobKind::Service);
     let array: landed::JobRecord =
         serde_json::from_str(&encode(&decode::<JobRecord>(JOB))).unwrap();
--- a/crates/basaltrail-core/tests/simulation/simulated/allotments.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/allotments.rs
@@ -3,7 +3,7 @@
 
 use super::world::array_job;
 use super::*;
-use basaltrail_core::admission::{Planner, TeamLoad};
+use basaltrail_core::admission::{QuotaPlanner, TeamLoad};
 
 /// Seconds of work that may wait: few, so that the bound is met.
 const BACKLOG_S: f64 = 60.0;
@@ -28,7 +28,7 @@
         classes: Vec::new(),
     };
     // One class is named beside the entry for all others.
-    Planner::bound(&bounds, &load, 0.0, 2 * CONTROLLERS).jobs as usize
+    QuotaPlanner::bound(&bounds, &load, 0.0, 2 * CONTROLLERS).jobs as usize
 }
 
 impl World {
--- a/crates/basaltrail-core/tests/simulation/simulated/users.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/users.rs
@@ -201,7 +201,7 @@
                     _ => Err("went_back: a known job was accepted anew"),
                 }
             }
-            Answer::Job { view, .. } => self.judge_status(request, *view, now),
+            Answer::Job { status, .. } => self.judge_status(request, *status, now),
             Answer::NotFound if request.before != Observed::Unknown => Err("forgotten: 404"),
             Answer::Invalid(_) | Answer::Unschedulable(_) => Err("forgotten: refused"),
             _ => Ok(()),
--- a/crates/basaltrail-core/tests/trace_player/mod.rs
+++ b/crates/basaltrail-core/tests/trace_player/mod.rs
@@ -174,7 +174,7 @@
     fn describe(&mut self, answer: &Answer) -> String {
         match answer {
             Answer::Created { .. } => "201".into(),
-            Answer::Job { view, .. } => format!("200 {view:?}").to_lowercase(),
+            Answer::Job { status, .. } => format!("200 {status:?}").to_lowercase(),
             Answer::NotFound => "404".into(),
             Answer::Unschedulable(_) => "422".into(),
             Answer::Invalid(_) => "400".into(),
--- a/crates/basaltrail-core/tests/trace_player/script.rs
+++ b/crates/basaltrail-core/tests/trace_player/script.rs
@@ -69,15 +69,19 @@
             "job" => {
                 let spot = words.get(3) != Some(&"ordinary");
                 let record = records::JobRecord::new(0, JobSpec { spot, ..spec(words[2]) });
-                store.put(&records::active_key(job(words[1])), &records::encode(&record), None);
+                store.put(&records::active_job_key(job(words[1])), &records::encode(&record), None);
             }
             // Both its tasks are done, by the record.
             "completes" => {
-                store.put(&records::done_key(job(words[1]), 0), "\"0000000000000003\"", None);
+                store.put(
+                    &records::completions_key(job(words[1]), 0),
+                    "\"0000000000000003\"",
+                    None,
+                );
             }
             "cancels" => {
-                store.delete(&records::active_key(job(words[1])));
-                store.put(&records::final_key(job(words[1])), "\"c\"", None);
+                store.delete(&records::active_job_key(job(words[1])));
+                store.put(&records::outcome_key(job(words[1])), "\"c\"", None);
             }
             other => panic!("no {other}"),
         }
--- a/crates/basaltrail-protocol/src/jobs.rs
+++ b/crates/basaltrail-protocol/src/jobs.rs
@@ -1,7 +1,7 @@
 //! Submissions and their answers.
 
 use crate::{names, Malformed};
-use basaltrail_core::io::Answer;
+use basaltrail_core::answer::Answer;
 use basaltrail_core::model::*;
 use serde::{Deserialize, Serialize};
 
@@ -134,14 +134,14 @@
             };
             (201, json(&b), None)
         }
-        Answer::Job { job, view, done, running } => {
-            let condition = match view {
+        Answer::Job { job, status, done, running } => {
+            let condition = match status {
                 JobStatus::Queued => "queued",
                 JobStatus::Running => "running",
                 JobStatus::Done => "done",
                 JobStatus::Cancelled => "aborted",
             };
-            let live = matches!(view, JobStatus::Queued | JobStatus::Running);
+            let live = matches!(status, JobStatus::Queued | JobStatus::Running);
             let b = JobBody {
                 name_id: names::job_name(*job),
                 condition,
@@ -150,10 +150,12 @@
             };
             (200, json(&b), None)
         }
-        Answer::Invalid(why) => (400, error(why), None),
-        Answer::Unschedulable(why) => (422, error(why), None),
+        Answer::Invalid(reason) => (400, error(&reason.to_string()), None),
+        Answer::Unschedulable(reason) => (422, error(&reason.to_string()), None),
         Answer::NotFound => (404, error("no such job"), None),
-        Answer::Unavailable { retry_after_s, why } => (503, error(why), Some(*retry_after_s)),
+        Answer::Unavailable { retry_after_s, reason } => {
+            (503, error(&reason.to_string()), Some(*retry_after_s))
+        }
         Answer::Commands { .. } | Answer::NotLeader { .. } | Answer::Limits(_) => {
             (500, error("not for users"), None)
         }
--- a/crates/basaltrail-testbed/src/job_catalog.rs
+++ b/crates/basaltrail-testbed/src/job_catalog.rs
@@ -4,7 +4,7 @@
 use crate::history::JobRequirements;
 use crate::lock;
 use crate::state_service::StateService;
-use basaltrail_core::records::{active_key, JobRecord};
+use basaltrail_core::records::{active_job_key, JobRecord};
 use basaltrail_core::JobId;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -56,7 +56,7 @@
     }
 
     fn description_from_record(&self, job: u64) -> Option<JobDescription> {
-        let record = self.state_service.value(&active_key(JobId(job)))?;
+        let record = self.state_service.value(&active_job_key(JobId(job)))?;
         let JobRecord { spec, .. } = serde_json::from_value(record).ok()?;
         let requirements = JobRequirements {
             team: spec.team.clone(),
--- a/crates/basaltrail/src/server.rs
+++ b/crates/basaltrail/src/server.rs
@@ -1,6 +1,6 @@
 //! The HTTP side towards users and workers.
 
-use basaltrail_core::{Answer, Input, RequestId};
+use basaltrail_core::{Answer, Input, RequestId, UnavailableReason};
 use basaltrail_protocol::{administration, jobs, names, workers};
 use bytes::{Buf, Bytes};
 use futures_util::{Stream, StreamExt};
@@ -39,7 +39,8 @@
 impl Request {
     /// Hands a request to the core; a full queue is an answer of its own, at once.
     async fn ask(&self, input: impl FnOnce(RequestId) -> Input) -> Answer {
-        let busy = Answer::Unavailable { retry_after_s: 1, why: "too many requests" };
+        let busy =
+            Answer::Unavailable { retry_after_s: 1, reason: UnavailableReason::TooManyRequests };
         let req = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
         let (answer, wait) = oneshot::channel();
         if self.asks.try_send(Ask { req, input: input(req), answer }).is_err() {
--- a/tests/mixed-versions/tests/versions/convert.rs
+++ b/tests/mixed-versions/tests/versions/convert.rs
@@ -245,7 +245,7 @@
                     old::Answer::Created { job } => new::Answer::Created { job: new::JobId(job.0) },
                     old::Answer::State { job, view, done, running } => new::Answer::Job {
                         job: new::JobId(job.0),
-                        view: match view {
+                        status: match view {
                             old::JobView::Queued => new::JobStatus::Queued,
                             old::JobView::Running => new::JobStatus::Running,
                             old::JobView::Done => new::JobStatus::Done,
@@ -254,12 +254,18 @@
                         done,
                         running,
                     },
-                    old::Answer::Invalid(why) => new::Answer::Invalid(why),
-                    old::Answer::Impossible(why) => new::Answer::Unschedulable(why),
-                    old::Answer::NotFound => new::Answer::NotFound,
-                    old::Answer::Busy { retry_s, why } => {
-                        new::Answer::Unavailable { retry_after_s: retry_s, why }
+                    // Checks look at the kind of an answer; the reason is for its text alone.
+                    old::Answer::Invalid(_) => {
+                        new::Answer::Invalid(new::InvalidReason::DescriptionTooLong)
+                    }
+                    old::Answer::Impossible(_) => {
+                        new::Answer::Unschedulable(new::UnschedulableReason::NoMachineType)
                     }
+                    old::Answer::NotFound => new::Answer::NotFound,
+                    old::Answer::Busy { retry_s, .. } => new::Answer::Unavailable {
+                        retry_after_s: retry_s,
+                        reason: new::UnavailableReason::NotDecided,
+                    },
                     old::Answer::Orders { token, orders } => new::Answer::Commands {
                         token: new::FencingToken(token.0),
                         commands: orders.into_iter().map(command).collect(),
