--- a/crates/basaltrail-core/src/fairness.rs
+++ b/crates/basaltrail-core/src/fairness.rs
@@ -1,93 +1,100 @@
-//! The ledger of CPU-seconds run and owed, and the degrees that rank teams and jobs.
+//! The fairness ledger: CPU-seconds that teams and jobs received and deserved, and the degrees of
+//! fairness that rank them (ASTRAEA; paper, section 4.2). What the paper calls a tenant is a
+//! team, and its GPU time is CPU time here.
 
-use crate::model::*;
+use crate::model::{JobId, Ms, WallMs};
 use crate::settings::Settings;
 use crate::store::records::LedgerRecord;
 
+/// Received and fair time of a team or a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Account {
-    /// CPU-seconds actually run.
+    /// CPU-seconds actually run (paper, equation 11 for a team, 2 for a job).
     pub received: f64,
-    /// CPU-seconds of fair share.
+    /// CPU-seconds of fair share (paper, equations 9 and 16 for a team, 14 for a job).
     pub fair: f64,
-    /// CPU-seconds granted this round that have not run yet.
+    /// CPU-seconds granted in this round that have not run yet (paper, algorithm 1, lines 14 and
+    /// 15: they count as if they ran).
     pub granted: f64,
 }
 
 impl Account {
+    /// The degree of fairness (paper, equation 12 for a team, 15 for a job); the lowest goes
+    /// first. Fair time below one CPU-second counts as one.
     pub fn degree(&self) -> f64 {
         (self.received + self.granted) / self.fair.max(1.0)
     }
 }
 
+/// The accounts of all teams.
 #[derive(Debug)]
 pub struct Ledger {
+    /// By team index.
     pub teams: Vec<Account>,
-    pub at: Ms,
+    /// When time was last accrued.
+    accrued_at: Ms,
 }
 
 impl Ledger {
+    /// A ledger that goes on from what an earlier leader recorded, if it did. Teams that the
+    /// record does not name, or names with amounts that make no sense, begin with nothing.
     pub fn new(settings: &Settings, record: Option<&LedgerRecord>, now: Ms) -> Self {
-        let teams = settings
-            .teams
-            .iter()
-            .map(|t| {
-                let kept = record.and_then(|r| r.teams.iter().find(|(n, _, _)| *n == t.name));
-                let sane = |x: f64| if x.is_finite() && x >= 0.0 { x } else { 0.0 };
-                kept.map_or_else(Account::default, |(_, r, f)| Account {
-                    received: sane(*r),
-                    fair: sane(*f),
-                    granted: 0.0,
-                })
-            })
-            .collect();
-        Ledger { teams, at: now }
+        let valid = |amount: f64| if amount.is_finite() && amount >= 0.0 { amount } else { 0.0 };
+        let recorded = |name: &str| {
+            let record = record?.teams.iter().find(|(team, _, _)| team == name)?;
+            let (_, received, fair) = record;
+            Some(Account { received: valid(*received), fair: valid(*fair), granted: 0.0 })
+        };
+        let teams =
+            settings.teams.iter().map(|team| recorded(&team.name).unwrap_or_default()).collect();
+        Ledger { teams, accrued_at: now }
     }
 
-    /// A team's share of the fleet, whether it uses it or not.
+    /// A team's quota in CPUs, whether it uses it or not (paper, equations 6 and 16).
     pub fn quota(settings: &Settings, team: usize, fleet_cpus: f64) -> f64 {
         fleet_cpus * settings.weight_share(team)
     }
 
-    /// Accrues the time since the last call.
+    /// Accrues received and fair time of teams since the last call, where `running_cpus` run
+    /// tasks now, by team index. Returns the seconds since then.
     pub fn accrue(
         &mut self,
         settings: &Settings,
         now: Ms,
         fleet_cpus: f64,
-        running: &[f64],
+        running_cpus: &[f64],
     ) -> f64 {
-        let dt = now.saturating_sub(self.at) as f64 / 1000.0;
-        self.at = now;
-        for (t, a) in self.teams.iter_mut().enumerate() {
-            a.received += running[t] * dt;
-            a.fair += Self::quota(settings, t, fleet_cpus) * dt;
+        let elapsed_s = now.saturating_sub(self.accrued_at) as f64 / 1000.0;
+        self.accrued_at = now;
+        for (team, account) in self.teams.iter_mut().enumerate() {
+            account.received += running_cpus[team] * elapsed_s;
+            account.fair += Self::quota(settings, team, fleet_cpus) * elapsed_s;
         }
-        dt
+        elapsed_s
     }
 
+    /// Ends a round: what was granted in it has run, or never will.
     pub fn end_round(&mut self) {
-        for a in &mut self.teams {
-            a.granted = 0.0;
+        for account in &mut self.teams {
+            account.granted = 0.0;
         }
     }
 
+    /// The ledger as it is recorded for the next leader, with amounts rounded to a tenth of a
+    /// CPU-second.
     pub fn record(
         &self,
         settings: &Settings,
         leases_end: WallMs,
         suspects: Vec<JobId>,
     ) -> LedgerRecord {
-        let round = |x: f64| (x * 10.0).round() / 10.0;
-        LedgerRecord {
-            teams: settings
-                .teams
-                .iter()
-                .zip(&self.teams)
-                .map(|(t, a)| (t.name.clone(), round(a.received), round(a.fair)))
-                .collect(),
-            leases_end,
-            suspects,
-        }
+        let rounded = |amount: f64| (amount * 10.0).round() / 10.0;
+        let accounts = settings.teams.iter().zip(&self.teams);
+        let teams = accounts
+            .map(|(team, account)| {
+                (team.name.clone(), rounded(account.received), rounded(account.fair))
+            })
+            .collect();
+        LedgerRecord { teams, leases_end, suspects }
     }
 }
