--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -107,14 +107,18 @@
         self.inputs.cluster.jobs.get(&id).is_some_and(|job| job.pending() > 0)
     }
 
-    /// Whether no task of a job is placed though its team's limit leaves none for it. Narrow
-    /// tasks of later jobs would take what becomes free of the limit, bit by bit, and a wide one
-    /// would never find enough at once. A job that has tasks running takes what its own leave:
-    /// what is too little for it is the others'.
+    /// Tasks of a job that its team's limit still allows.
+    pub(in crate::leader) fn allowed_by_limit(&self, id: JobId) -> u32 {
+        allowed_by_limit(self.inputs.ctx, self.inputs.cluster, id, &self.used)
+    }
+
+    /// Whether nothing of a job is placed and its team's limit leaves no capacity for a task of
+    /// it. Narrow tasks of later jobs would take what becomes free of the limit, bit by bit, and
+    /// a wide one would never find enough at once. A job that has tasks running takes what its
+    /// own leave: what is too little for it is the others'.
     pub(in crate::leader) fn blocked_by_limit(&self, id: JobId) -> bool {
-        let SchedulerInputs { ctx, cluster, .. } = &self.inputs;
-        let nothing_placed = cluster.jobs.get(&id).is_some_and(|job| job.placed.is_empty());
-        allowed_by_limit(ctx, cluster, id, &self.used) == 0 && nothing_placed
+        let job = self.inputs.cluster.jobs.get(&id);
+        self.allowed_by_limit(id) == 0 && job.is_some_and(|job| job.placed.is_empty())
     }
 
     /// Keeps the machine with the most free CPUs that the job may use from others in this cycle,
@@ -150,8 +154,7 @@
 
     /// Assigns up to `most` tasks of a job to the best machine; returns how many.
     fn assign_to_one_machine(&mut self, id: JobId, most: u32) -> u32 {
-        let SchedulerInputs { ctx, cluster, .. } = &self.inputs;
-        let allowed = allowed_by_limit(ctx, cluster, id, &self.used).min(most);
+        let allowed = self.allowed_by_limit(id).min(most);
         if allowed == 0 {
             return 0;
         }
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -119,8 +119,10 @@
                 && job.health.not_before() <= ctx.now
                 && !unknown_jobs.contains(&job.id)
                 && !may_run_unseen(job, inputs.elected_revision, &unreconciled);
+            if !startable {
+                continue;
+            }
             match job.health.suspect() {
-                _ if !startable => {}
                 true => waiting.crash_looping.push(job.id),
                 false => waiting.by_team[job.team].push(job.id),
             }
@@ -304,8 +306,7 @@
                 self.remove_if_complete(team, id);
                 continue;
             }
-            let Assigner { inputs, used, .. } = &self.assigner;
-            if super::assignment::allowed_by_limit(inputs.ctx, inputs.cluster, id, used) == 0 {
+            if self.assigner.allowed_by_limit(id) == 0 {
                 self.waiting.by_team[team].clear();
                 continue;
             }
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
@@ -31,38 +31,38 @@
 
 /// A candidate with the objective that it tries; the one with the least slack is the greatest,
 /// so that a heap gives it first.
-struct Attempt {
+struct QueuedCandidate {
     slack_s: f64,
     candidate: Candidate,
 }
 
-impl Attempt {
+impl QueuedCandidate {
     /// The candidate with its next objective, if it has one left.
     fn next(mut candidate: Candidate) -> Option<Self> {
         let slack_s = candidate.slacks_s.pop()?;
-        Some(Attempt { slack_s, candidate })
+        Some(QueuedCandidate { slack_s, candidate })
     }
 }
 
-impl Ord for Attempt {
+impl Ord for QueuedCandidate {
     fn cmp(&self, other: &Self) -> Ordering {
         other.slack_s.total_cmp(&self.slack_s).then(other.candidate.job.cmp(&self.candidate.job))
     }
 }
 
-impl PartialOrd for Attempt {
+impl PartialOrd for QueuedCandidate {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Attempt {
+impl PartialEq for QueuedCandidate {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl Eq for Attempt {}
+impl Eq for QueuedCandidate {}
 
 /// The jobs that can meet an objective, with their slack in seconds, if `available_cpus` can be
 /// started now and `cpus_per_s` more in every second.
@@ -71,25 +71,26 @@
     available_cpus: f64,
     cpus_per_s: f64,
 ) -> Vec<(JobId, f64)> {
-    let mut open: BinaryHeap<Attempt> = candidates.into_iter().filter_map(Attempt::next).collect();
-    let mut kept: Vec<Attempt> = Vec::new();
+    let mut open: BinaryHeap<QueuedCandidate> =
+        candidates.into_iter().filter_map(QueuedCandidate::next).collect();
+    let mut kept: Vec<QueuedCandidate> = Vec::new();
     let mut started_cpus = 0.0;
-    while let Some(attempt) = open.pop() {
-        let slack_s = attempt.slack_s;
-        started_cpus += attempt.candidate.pending_cpus;
-        kept.push(attempt);
+    while let Some(queued) = open.pop() {
+        let slack_s = queued.slack_s;
+        started_cpus += queued.candidate.pending_cpus;
+        kept.push(queued);
         while started_cpus > available_cpus + cpus_per_s * slack_s.max(0.0) + 1e-9 {
             let Some(largest) = largest(&kept) else { break };
             let given_up = kept.swap_remove(largest).candidate;
             started_cpus -= given_up.pending_cpus;
-            open.extend(Attempt::next(given_up));
+            open.extend(QueuedCandidate::next(given_up));
         }
     }
-    kept.into_iter().map(|attempt| (attempt.candidate.job, attempt.slack_s)).collect()
+    kept.into_iter().map(|queued| (queued.candidate.job, queued.slack_s)).collect()
 }
 
 /// The position of the job with the most CPUs to start; none if nothing is left to give up.
-fn largest(kept: &[Attempt]) -> Option<usize> {
+fn largest(kept: &[QueuedCandidate]) -> Option<usize> {
     (0..kept.len())
         .max_by(|a, b| {
             let (a, b) = (&kept[*a].candidate, &kept[*b].candidate);
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility_tests.rs
@@ -1,10 +1,7 @@
 use super::*;
-use crate::jobs::JobCache;
-use crate::leader::Leader;
-use crate::model::{FencingToken, Revision};
-use crate::settings::sample::{a_job, settings};
-use crate::settings::{Objective, Settings, Team};
-use crate::store::records::JobRecord;
+use crate::leader::scheduler::test_cluster::{team, TestCluster};
+use crate::settings::sample::a_job;
+use crate::settings::Objective;
 
 fn candidate(id: u64, pending_cpus: f64, slacks_s: &[f64]) -> Candidate {
     Candidate { job: JobId(id), pending_cpus, slacks_s: slacks_s.to_vec() }
@@ -40,31 +37,10 @@
 /// first, and an array with a deadline ahead began when they were done.
 #[test]
 fn a_job_of_a_team_without_guarantee_is_feasible_by_the_whole_fleet() {
-    let inf = f64::INFINITY;
-    let team = |name: &str, cpus| Team {
-        name: name.into(),
-        cpus,
-        cpus_max: inf,
-        gpus: 0.0,
-        gpus_max: inf,
-    };
-    let cfg = Settings {
-        teams: vec![team("t", 0.0), team("u", 2_000.0)],
-        objectives: vec![Objective::Finished { class: "c".into(), within_s: 400.0 }],
-        ..settings()
-    };
-    let mut job_cache = JobCache::new(10);
-    job_cache.put_active(JobId(1), Revision(1), JobRecord::new(0, a_job(100, true)));
-    let ctx = Context {
-        cfg: &cfg,
-        types: &[],
-        job_cache: &job_cache,
-        now: 0,
-        wall: 0,
-        holds_valid_lease: true,
-        job_cache_is_fresh: true,
-    };
-    let leader = Leader::new(&ctx, FencingToken(2), Revision(1));
+    let mut test = TestCluster::new(0.0, &[a_job(100, true)]);
+    test.settings.teams.push(team("u", 2_000.0));
+    test.settings.objectives = vec![Objective::Finished { class: "c".into(), within_s: 400.0 }];
+    let (ctx, leader) = (test.context(0), test.leader(0));
     let feasible =
         |fleet_cpus| find_feasible(&ctx, &leader.cluster, fleet_cpus, &[Resources::default(); 2]);
     assert!(feasible(1_000.0).contains_key(&JobId(1)));
--- a/crates/basaltrail-core/src/leader/scheduler/mod.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/mod.rs
@@ -21,6 +21,9 @@
 mod preemption;
 mod starvation;
 
+#[cfg(test)]
+pub(in crate::leader) mod test_cluster;
+
 use crate::events::JobEvent;
 use crate::leader::{Context, Leader};
 use crate::model::{JobId, MachineId, Ms};
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -1,87 +1,42 @@
 use super::*;
 use crate::io::Answer;
-use crate::jobs::JobCache;
 use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::failover::Loading;
 use crate::leader::scheduler::deadline_feasibility::find_feasible;
 use crate::leader::scheduler::reserved_capacity::machines_for_services;
+use crate::leader::scheduler::test_cluster::{ready_machine, service, TestCluster};
 use crate::leader::Leader;
 use crate::lease_renewal::Knowledge;
 use crate::machines::TaskPhase;
 use crate::model::{
-    AgentEpoch, FencingToken, Heartbeat, JobId, JobKind, MachineType, Revision, TaskCommand,
-    TaskState, TaskStatus,
+    AgentEpoch, FencingToken, Heartbeat, JobId, TaskCommand, TaskState, TaskStatus,
 };
 use crate::resources::Resources;
-use crate::settings::sample::{a_job, a_type, settings};
-use crate::settings::{Objective, Settings, Team};
+use crate::settings::sample::a_job;
+use crate::settings::Objective;
 use crate::store::calls::Calls;
-use crate::store::records::JobRecord;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
-fn service(tasks: u32, cpus: f64) -> JobSpec {
-    let spec = a_job(tasks, false);
-    let priority = Priority::Production;
-    JobSpec { kind: JobKind::Service, priority, estimate_s: 0.0, cpus, spread: true, ..spec }
-}
-
-fn team(cpus: f64) -> Team {
-    let max = f64::INFINITY;
-    Team { name: "t".into(), cpus, cpus_max: max, gpus: 0.0, gpus_max: max }
-}
-
-struct Bench {
-    cfg: Settings,
-    types: Vec<MachineType>,
-    job_cache: JobCache,
-}
-
-impl Bench {
-    fn new(jobs: &[JobSpec], guarantee: f64) -> Self {
-        let mut job_cache = JobCache::new(10);
-        for (i, spec) in jobs.iter().enumerate() {
-            let id = i as u64 + 1;
-            job_cache.put_active(JobId(id), Revision(id + 10), JobRecord::new(0, spec.clone()));
-        }
-        let cfg = Settings { teams: vec![team(guarantee)], ..settings() };
-        Bench { cfg, types: vec![a_type()], job_cache }
-    }
-
-    fn ctx(&self, now: Ms) -> Context<'_> {
-        let (cfg, types, job_cache) = (&self.cfg, &self.types[..], &self.job_cache);
-        Context {
-            cfg,
-            types,
-            job_cache,
-            now,
-            wall: 0,
-            holds_valid_lease: true,
-            job_cache_is_fresh: true,
-        }
-    }
-
-    /// A leader with so many machines in each zone, all of them heard just now.
-    fn leads(&self, per_zone: usize, spot: bool) -> Leader {
-        let mut leader = Leader::new(&self.ctx(0), FencingToken(2), Revision(1));
-        leader.failover.loading = Loading::Complete;
-        for i in 0..2 * per_zone {
-            let id = MachineId(format!("m-{i:02}").into());
-            let mut m = Machine::new(id.clone(), "x", ["a", "b"][i % 2], spot, 0);
-            (m.hears, m.durable, m.last_heartbeat, m.agent_epoch) =
-                (true, true, Some(0), AgentEpoch(1));
-            leader.cluster.machines.insert(id, m);
-        }
-        leader
+/// A leader with so many machines in each zone, all of them heard just now.
+fn leader_with_machines(test: &TestCluster, per_zone: usize) -> Leader {
+    let mut leader = test.leader(0);
+    leader.failover.loading = Loading::Complete;
+    for index in 0..2 * per_zone {
+        let (name, zone) = (format!("m-{index:02}"), ["a", "b"][index % 2]);
+        let mut machine = ready_machine(&name, zone, false, Some(0));
+        machine.agent_epoch = AgentEpoch(1);
+        leader.cluster.machines.insert(machine.id.clone(), machine);
     }
+    leader
 }
 
-fn schedule(bench: &Bench, leader: &mut Leader, now: Ms) {
+fn schedule(test: &TestCluster, leader: &mut Leader, now: Ms) {
     leader.scheduler.next_cycle_at = 0;
-    leader.schedule(&bench.ctx(now), &mut Calls::default(), &mut SmallRng::seed_from_u64(1));
+    leader.schedule(&test.context(now), &mut Calls::default(), &mut SmallRng::seed_from_u64(1));
 }
 
-fn where_is(leader: &Leader, job: u64) -> Vec<String> {
+fn machines_of(leader: &Leader, job: u64) -> Vec<String> {
     let on = |m: &&Machine| m.entries.keys().any(|(t, _)| t.job == JobId(job));
     leader.cluster.machines.values().filter(on).map(|m| m.id.to_string()).collect()
 }
@@ -89,25 +44,25 @@
 /// Packed on as few machines as possible, all replicas would go with one of them.
 #[test]
 fn replicas_run_on_different_machines_while_there_are_any() {
-    let bench = Bench::new(&[service(4, 2.0)], 100.0);
-    let mut leader = bench.leads(3, false);
-    schedule(&bench, &mut leader, 100);
-    assert_eq!(where_is(&leader, 1).len(), 4);
-    let mut few = bench.leads(1, false);
-    schedule(&bench, &mut few, 100);
-    assert_eq!(where_is(&few, 1).len(), 2);
+    let test = TestCluster::new(100.0, &[service(4, 2.0)]);
+    let mut leader = leader_with_machines(&test, 3);
+    schedule(&test, &mut leader, 100);
+    assert_eq!(machines_of(&leader, 1).len(), 4);
+    let mut few = leader_with_machines(&test, 1);
+    schedule(&test, &mut few, 100);
+    assert_eq!(machines_of(&few, 1).len(), 2);
     assert_eq!(few.cluster.jobs[&JobId(1)].pending(), 0, "two on each are better than none");
 }
 
-/// An array would take every place, and a service that comes, or comes back, would wait for
+/// An array would take all capacity, and a service that comes, or comes back, would wait for
 /// its tasks to end.
 #[test]
 fn capacity_for_services_is_reserved_from_arrays_within_the_guarantee() {
     let array = a_job(99, true);
     for (guarantee, reserved) in [(100.0, 16.0), (20.0, 12.0), (8.0, 0.0)] {
-        let bench = Bench::new(&[service(4, 2.0), array.clone()], guarantee);
-        let mut leader = bench.leads(4, false);
-        schedule(&bench, &mut leader, 100);
+        let test = TestCluster::new(guarantee, &[service(4, 2.0), array.clone()]);
+        let mut leader = leader_with_machines(&test, 4);
+        schedule(&test, &mut leader, 100);
         let free: f64 = leader.cluster.machines.values().map(|m| 8.0 - m.used().0).sum();
         assert!(
             free >= reserved && free <= reserved + 8.0,
@@ -117,29 +72,29 @@
     }
 }
 
-/// Held against a job of which nothing runs, it would be left waiting beside room for it.
+/// Kept from a job of which nothing runs, it would leave the job waiting beside free capacity.
 #[test]
 fn reserved_capacity_is_given_to_a_starved_job() {
-    let bench = Bench::new(&[service(4, 2.0), a_job(2, false)], 100.0);
-    let mut leader = bench.leads(1, false);
-    schedule(&bench, &mut leader, 100);
-    assert!(where_is(&leader, 2).is_empty(), "all is reserved");
+    let test = TestCluster::new(100.0, &[service(4, 2.0), a_job(2, false)]);
+    let mut leader = leader_with_machines(&test, 1);
+    schedule(&test, &mut leader, 100);
+    assert!(machines_of(&leader, 2).is_empty(), "all is reserved");
     for m in leader.cluster.machines.values_mut() {
         m.last_heartbeat = Some(50_000);
     }
-    schedule(&bench, &mut leader, 50_000);
-    assert_eq!(where_is(&leader, 2).len(), 1);
+    schedule(&test, &mut leader, 50_000);
+    assert_eq!(machines_of(&leader, 2).len(), 1);
 }
 
 /// A machine that goes with a replica on it is missed for a lease, unless it is given up
-/// sooner; but many that fall silent are cut off, and come back with what runs there.
+/// sooner; but many silent ones are partitioned, and come back with what runs there.
 #[test]
 fn few_silent_machines_with_replicas_are_given_up_and_many_are_not() {
-    let bench = Bench::new(&[service(4, 2.0)], 100.0);
-    let mut leader = bench.leads(8, false);
-    schedule(&bench, &mut leader, 100);
+    let test = TestCluster::new(100.0, &[service(4, 2.0)]);
+    let mut leader = leader_with_machines(&test, 8);
+    schedule(&test, &mut leader, 100);
     let with: Vec<MachineId> =
-        where_is(&leader, 1).iter().map(|m| MachineId(m.as_str().into())).collect();
+        machines_of(&leader, 1).iter().map(|m| MachineId(m.as_str().into())).collect();
     let now = 10_000;
     let hear = |leader: &mut Leader, silent: &[MachineId], at: Ms| {
         for m in leader.cluster.machines.values_mut() {
@@ -148,7 +103,7 @@
     };
     let silent = |leader: &Leader| {
         let reachable_since = leader.liveness.woke;
-        silent_machines_with_replicas(&bench.ctx(now), &leader.cluster, reachable_since)
+        silent_machines_with_replicas(&test.context(now), &leader.cluster, reachable_since)
     };
     hear(&mut leader, &with[..1], now - 3_400);
     assert!(silent(&leader).is_empty(), "too soon");
@@ -174,35 +129,31 @@
     assert!(silent(&leader).is_empty());
 }
 
-/// Machines for services do not go back as idle, and are asked for while there are too few.
+/// Machines for services are not drained as idle, and are requested while there are too few.
 #[test]
 fn services_need_on_demand_machines() {
-    let bench = Bench::new(&[service(6, 2.0)], 100.0);
-    let leader = bench.leads(1, false);
+    let test = TestCluster::new(100.0, &[service(6, 2.0)]);
+    let leader = leader_with_machines(&test, 1);
     let kind = |zone: &str, spot| MachineKind { machine_type: "x".into(), zone: zone.into(), spot };
-    let machines = |bench: &Bench, leader: &Leader, kind: &MachineKind| {
+    let machines = |test: &TestCluster, leader: &Leader, kind: &MachineKind| {
         let sizes = &leader.scheduler.replica_sizes;
-        machines_for_services(&bench.ctx(0), &leader.cluster, sizes, kind)
+        machines_for_services(&test.context(0), &leader.cluster, sizes, kind)
     };
-    // Three replicas of its own in each zone, and room for two times three: 18 CPUs.
-    assert_eq!(machines(&bench, &leader, &kind("a", false)), 3);
-    assert_eq!(machines(&bench, &leader, &kind("b", true)), 0);
-    let none = Bench::new(&[a_job(6, false)], 100.0);
-    assert_eq!(machines(&none, &none.leads(1, false), &kind("a", false)), 0);
+    // Three replicas of its own in each zone, and capacity reserved for two times three: 18 CPUs.
+    assert_eq!(machines(&test, &leader, &kind("a", false)), 3);
+    assert_eq!(machines(&test, &leader, &kind("b", true)), 0);
+    let none = TestCluster::new(100.0, &[a_job(6, false)]);
+    assert_eq!(machines(&none, &leader_with_machines(&none, 1), &kind("a", false)), 0);
 }
 
-/// What has no end is no work that ends: as overload it would put every date out of reach.
+/// What has no end is no work that ends: as overload it would make every deadline infeasible.
 #[test]
 fn services_do_not_count_as_work_that_ends() {
-    let cfg = |b: &mut Bench| {
-        let within_s = 200.0;
-        b.cfg.objectives = vec![Objective::Finished { class: "c".into(), within_s }];
-    };
-    let mut bench = Bench::new(&[service(40, 1.0), a_job(10, true)], 100.0);
-    cfg(&mut bench);
-    let leader = bench.leads(8, false);
+    let mut test = TestCluster::new(100.0, &[service(40, 1.0), a_job(10, true)]);
+    test.settings.objectives = vec![Objective::Finished { class: "c".into(), within_s: 200.0 }];
+    let leader = leader_with_machines(&test, 8);
     let used = [Resources::default()];
-    let feasible = find_feasible(&bench.ctx(0), &leader.cluster, 128.0, &used);
+    let feasible = find_feasible(&test.context(0), &leader.cluster, 128.0, &used);
     assert_eq!(feasible.get(&JobId(1)), Some(&0.0), "its replicas are missed");
     assert!(feasible.contains_key(&JobId(2)), "the array can be in time");
 }
@@ -211,11 +162,11 @@
 /// no end that it might reach before.
 #[test]
 fn replicas_leave_a_machine_that_is_about_to_go() {
-    let bench = Bench::new(&[service(2, 2.0), a_job(1, true)], 100.0);
-    let mut leader = bench.leads(2, false);
-    schedule(&bench, &mut leader, 100);
-    let id = MachineId(where_is(&leader, 1)[0].as_str().into());
-    let heartbeat = Heartbeat {
+    let test = TestCluster::new(100.0, &[service(2, 2.0), a_job(1, true)]);
+    let mut leader = leader_with_machines(&test, 2);
+    schedule(&test, &mut leader, 100);
+    let id = MachineId(machines_of(&leader, 1)[0].as_str().into());
+    let mut heartbeat = Heartbeat {
         machine: id.clone(),
         endpoint: "e".into(),
         machine_type: "x".into(),
@@ -227,7 +178,6 @@
         reclaim_notice_s: Some(12.0),
         tasks: Vec::new(),
     };
-    let mut heartbeat = heartbeat;
     let entries = &mut leader.cluster.machines.get_mut(&id).unwrap().entries;
     for ((task, attempt), e) in entries.iter_mut() {
         e.place = TaskPhase::Told(TaskState::Running);
@@ -235,7 +185,7 @@
         heartbeat.tasks.push(TaskStatus { task, attempt, state: TaskState::Running });
     }
     let mut rng = SmallRng::seed_from_u64(1);
-    let ctx = bench.ctx(200);
+    let ctx = test.context(200);
     let (cfg, job_cache) = (ctx.cfg, ctx.job_cache);
     let (lease_held_since, jobs_as_of) = (Some(0), Some(100));
     let knowledge = Knowledge { cfg, job_cache, now: 200, lease_held_since, jobs_as_of };
--- /dev/null
+++ b/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
@@ -0,0 +1,100 @@
+//! A small cluster for the tests of the scheduler and the autoscaler.
+
+use crate::jobs::JobCache;
+use crate::leader::{Context, Leader};
+use crate::machines::{Machine, Need, TaskPhase, TaskSlot};
+use crate::model::{
+    FencingToken, JobId, JobKind, JobSpec, MachineId, MachineType, Ms, Priority, Revision,
+    TaskState,
+};
+use crate::settings::sample::{a_job, a_type, settings};
+use crate::settings::{Settings, Team};
+use crate::store::records::JobRecord;
+
+/// Settings, machine types and jobs of which a leader knows.
+pub(in crate::leader) struct TestCluster {
+    pub(in crate::leader) settings: Settings,
+    pub(in crate::leader) types: Vec<MachineType>,
+    pub(in crate::leader) job_cache: JobCache,
+}
+
+impl TestCluster {
+    /// A cluster of team `t`, with its jobs 1, 2 and so on, accepted after the election.
+    pub(in crate::leader) fn new(guaranteed_cpus: f64, jobs: &[JobSpec]) -> Self {
+        let mut job_cache = JobCache::new(10);
+        for (index, spec) in jobs.iter().enumerate() {
+            let id = index as u64 + 1;
+            job_cache.put_active(JobId(id), Revision(id + 10), JobRecord::new(0, spec.clone()));
+        }
+        let settings = Settings { teams: vec![team("t", guaranteed_cpus)], ..settings() };
+        TestCluster { settings, types: vec![a_type()], job_cache }
+    }
+
+    /// What a leader with a valid lease and fresh knowledge of jobs may look at.
+    pub(in crate::leader) fn context(&self, now: Ms) -> Context<'_> {
+        Context {
+            cfg: &self.settings,
+            types: &self.types,
+            job_cache: &self.job_cache,
+            now,
+            wall: 0,
+            holds_valid_lease: true,
+            job_cache_is_fresh: true,
+        }
+    }
+
+    /// A leader elected at revision 1, without machines.
+    pub(in crate::leader) fn leader(&self, now: Ms) -> Leader {
+        Leader::new(&self.context(now), FencingToken(2), Revision(1))
+    }
+}
+
+/// A team without limits.
+pub(in crate::leader) fn team(name: &str, guaranteed_cpus: f64) -> Team {
+    Team {
+        name: name.into(),
+        cpus: guaranteed_cpus,
+        cpus_max: f64::INFINITY,
+        gpus: 0.0,
+        gpus_max: f64::INFINITY,
+    }
+}
+
+/// A service of the highest priority whose replicas are spread over zones.
+pub(in crate::leader) fn service(replicas: u32, cpus: f64) -> JobSpec {
+    JobSpec {
+        kind: JobKind::Service,
+        priority: Priority::Production,
+        estimate_s: 0.0,
+        cpus,
+        spread: true,
+        ..a_job(replicas, false)
+    }
+}
+
+/// A machine that may be given tasks while its last heartbeat is recent.
+pub(in crate::leader) fn ready_machine(
+    name: &str,
+    zone: &str,
+    spot: bool,
+    last_heartbeat: Option<Ms>,
+) -> Machine {
+    let mut machine = Machine::new(MachineId(name.into()), "x", zone, spot, 0);
+    (machine.hears, machine.durable) = (true, true);
+    machine.last_heartbeat = last_heartbeat;
+    machine
+}
+
+/// The slot of a task that has run since time 0.
+pub(in crate::leader) fn running_slot(need: Need) -> TaskSlot {
+    TaskSlot {
+        place: TaskPhase::Told(TaskState::Running),
+        need: Some(need),
+        stop: None,
+        stop_sent: None,
+        since: 0,
+        running_since: Some(0),
+        settled: false,
+        first: false,
+    }
+}
