--- a/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// The most machines of the cheapest type that work of late could use, fading.
+/// The most machines of the cheapest type that recent work could use, fading.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::leader) struct DemandPeak {
     machines: f64,
@@ -52,7 +52,7 @@
 }
 
 impl DemandPeak {
-    /// Nothing is known yet of the work of late.
+    /// Nothing is known yet of recent work.
     pub(in crate::leader) fn new(now: Ms) -> Self {
         DemandPeak { machines: f64::MAX, at: now }
     }
@@ -82,7 +82,7 @@
     let lowest_price = price(cheapest_type).max(1e-9);
     let guaranteed_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.cpus).sum();
     let limit_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.cpus_max).sum();
-    // What is held ready follows the work of late, so that nothing idles at the end.
+    // What is held ready follows the recent work, so that nothing idles at the end.
     let peak_machines = peak.update(ctx, limit_cpus, demand[cheapest].machines);
     let mut targets = Vec::new();
     for (index, (demand, machine_type)) in demand.iter().zip(ctx.types).enumerate() {
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -1,7 +1,7 @@
 //! Reconciliation of the known machines with the cloud's list of them (PROTOCOL,
 //! `GET /rentals`).
 
-use super::returned::ReturnedMachines;
+use super::terminated::TerminatedMachines;
 use crate::io::{CloudReply, CloudRequest};
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
@@ -113,14 +113,14 @@
 }
 
 /// Takes what the list says of a machine; returns the machine if it was not known: one that an
-/// earlier leader requested, or a request that was carried out late.
+/// earlier leader requested, or a request that was carried out with a delay.
 pub(in crate::leader) fn reconcile(
     ctx: &Context,
     cluster: &mut Cluster,
-    returned: &ReturnedMachines,
+    terminated: &TerminatedMachines,
     listed: ListedMachine,
 ) -> Option<Machine> {
-    if returned.contains(&listed.machine) {
+    if terminated.contains(&listed.machine) {
         return None;
     }
     let age_ms = (listed.age_s.clamp(0.0, MAX_AGE_S) * 1000.0) as Ms;
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -7,7 +7,7 @@
 
 pub mod provisioning;
 pub mod provisioning_time;
-pub mod returned;
+pub mod terminated;
 
 pub(in crate::leader) mod inventory;
 pub(in crate::leader) mod partitions;
@@ -32,9 +32,9 @@
 use partitions::ZonePartitions;
 use provisioning::ProvisioningQueue;
 use provisioning_time::ProvisioningTimes;
-use returned::ReturnedMachines;
 use scale_in::{LeaderState, TerminationCall};
 use std::collections::BTreeMap;
+use terminated::TerminatedMachines;
 
 /// The state of the autoscaler.
 pub struct Autoscaler {
@@ -46,17 +46,17 @@
     pub(in crate::leader) inventory: Inventory,
     /// The call that terminates machines.
     termination: TerminationCall,
-    /// Machines terminated of late.
-    pub(in crate::leader) returned: ReturnedMachines,
+    /// Recently terminated machines.
+    pub(in crate::leader) returned: TerminatedMachines,
     /// Since when there are more machines than the work pays for.
     surplus_since: Option<Ms>,
-    /// Machines that work of late could use.
+    /// Machines that recent work could use.
     peak: DemandPeak,
     /// No plan is made before.
     next_plan_at: Ms,
     /// The zone with the most machines.
     pub(in crate::leader) primary_zone: Option<String>,
-    /// Zones that are cut off.
+    /// Zones that count as partitioned.
     partitions: ZonePartitions,
 }
 
@@ -68,7 +68,7 @@
             provisioning_times: ProvisioningTimes::default(),
             inventory: Inventory::default(),
             termination: TerminationCall::default(),
-            returned: ReturnedMachines::new(settings),
+            returned: TerminatedMachines::new(settings),
             surplus_since: None,
             peak: DemandPeak::new(now),
             next_plan_at: 0,
@@ -172,8 +172,8 @@
             }
         }
         for listed in listing.machines {
-            let returned = &self.autoscaler.returned;
-            let unknown = inventory::reconcile(ctx, &mut self.cluster, returned, listed);
+            let terminated = &self.autoscaler.returned;
+            let unknown = inventory::reconcile(ctx, &mut self.cluster, terminated, listed);
             if let Some(machine) = unknown {
                 calls.log(MachineEvent::Discovered { machine: machine.id.clone() });
                 self.add_machine(ctx, machine);
--- a/crates/basaltrail-core/src/leader/autoscaler/provisioning.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning.rs
@@ -1,5 +1,5 @@
-//! Provisioning requests to the cloud: what was requested and not answered yet, and what was
-//! refused of late.
+//! Provisioning requests to the cloud: what was requested and not answered yet, and which
+//! kinds were refused recently.
 
 use crate::model::{FencingToken, JobSpec, MachineType, Ms};
 
--- a/crates/basaltrail-core/src/leader/autoscaler/provisioning_time.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning_time.rs
@@ -1,7 +1,7 @@
 //! How long new machines take to come up, and which are not counted on any more.
 //!
 //! A provisioned machine counts as capacity while work waits. One that is overdue by what was
-//! observed of late may never come, so other machines are requested instead; in a zone where
+//! observed recently may never come, so other machines are requested instead; in a zone where
 //! most are overdue, only a few are tried until machines come up.
 //!
 //! Times are measured in nominal ones: those that the cloud states of the type.
@@ -11,7 +11,7 @@
 
 /// Nominal times after which a machine is overdue, where nothing longer was observed.
 const OVERDUE: f64 = 2.5;
-/// The same, as a multiple of what all but a few took of late.
+/// The same, as a multiple of what all but a few took recently.
 const OVERDUE_OBSERVED: f64 = 1.5;
 /// Nominal times after which a machine is abandoned, where nothing longer was observed.
 pub const ABANDONED: f64 = 4.0;
@@ -84,7 +84,7 @@
         observations.abandoned.push_back(now);
     }
 
-    /// How long all but a few machines took of late, in nominal times. A single one that takes
+    /// How long all but a few machines took recently, in nominal times. A single one that takes
     /// several times as long is no reason to wait so long for all.
     fn observed(&self, machine_type: &MachineType, zone: &str, now: Ms) -> f64 {
         let Some(observations) = self.get(machine_type, zone) else { return 0.0 };
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -1,18 +1,18 @@
 //! Scale-in: which machines are terminated, and why.
 
+use super::partitions::{is_unheard, silent_machines_with_replicas, zones_with_few_unheard};
 use super::provisioning_time::ABANDONED;
 use super::Autoscaler;
 use crate::events::{MachineEvent, ReleaseReason};
 use crate::io::{CloudReply, CloudRequest};
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::capacity::machine_type;
-use crate::leader::scheduler::services::{silent_machines_with_replicas, FEW_OF_ZONE};
 use crate::leader::Context;
 use crate::machines::{Decommission, Machine};
 use crate::model::{FencingToken, ListedState, MachineId, Ms};
 use crate::store::calls::{Calls, Purpose};
 use crate::store::rate_limiter::CallPriority;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 /// Machines that one call may terminate (PROTOCOL, `POST /rentals/release`).
 const MAX_MACHINES_PER_CALL: usize = 100;
@@ -160,26 +160,6 @@
     }
 }
 
-/// Whether a machine of an earlier leader has not been heard since the failover.
-fn is_unheard(machine: &Machine) -> bool {
-    !machine.reconciled && machine.answers_without_token == 0 && machine.last_heartbeat.is_none()
-}
-
-/// Zones in which few machines have not been heard since the failover. Until they are heard,
-/// work of earlier leaders waits for them; when the others have been heard these are most likely
-/// dead, and the answer to their termination proves it sooner than their lease does. Many of a
-/// zone are cut off, and come back.
-fn zones_with_few_unheard(cluster: &Cluster) -> BTreeSet<&str> {
-    let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-    for machine in cluster.machines.values() {
-        let zone = zones.entry(&machine.zone).or_default();
-        zone.0 += 1;
-        zone.1 += is_unheard(machine) as usize;
-    }
-    let few = |(_, (all, unheard)): &(&str, (usize, usize))| unheard * FEW_OF_ZONE <= *all;
-    zones.into_iter().filter(few).map(|(zone, _)| zone).collect()
-}
-
 impl Autoscaler {
     /// Terminates machines that are drained, failed or lost.
     pub(in crate::leader) fn scale_in(
@@ -225,7 +205,7 @@
     }
 
     /// Takes the answer to a termination; true if the machines are gone. If not, they stay
-    /// marked: a call that was given up may still be carried out.
+    /// marked: a call that timed out may still be carried out.
     pub(in crate::leader) fn take_termination_answer(
         &mut self,
         ctx: &Context,
--- a/crates/basaltrail-core/src/leader/autoscaler/returned.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/terminated.rs
@@ -1,4 +1,4 @@
-//! Machines terminated of late: late heartbeats and lists that still name them are ignored.
+//! Recently terminated machines: delayed heartbeats and lists that still name them are ignored.
 
 use crate::model::MachineId;
 use crate::settings::Settings;
@@ -10,25 +10,25 @@
 const MIN_MACHINES: usize = 64;
 
 /// The machines terminated last, up to a bound.
-pub struct ReturnedMachines {
+pub struct TerminatedMachines {
     order: VecDeque<MachineId>,
     names: HashSet<MachineId>,
     most: usize,
 }
 
-impl ReturnedMachines {
-    /// None yet. A whole fleet may be terminated and late copies of its heartbeats follow, so as
+impl TerminatedMachines {
+    /// None yet. A whole fleet may be terminated and delayed copies of its heartbeats follow, so as
     /// many are kept as may report to one controller.
     pub fn new(settings: &Settings) -> Self {
         let by_memory = (settings.memory_mb * MACHINES_PER_MB) as usize;
-        ReturnedMachines {
+        TerminatedMachines {
             order: VecDeque::new(),
             names: HashSet::new(),
             most: settings.max_machines.max(by_memory).max(MIN_MACHINES),
         }
     }
 
-    /// Whether the machine was terminated of late.
+    /// Whether the machine was terminated recently.
     pub fn contains(&self, id: &MachineId) -> bool {
         self.names.contains(id)
     }
--- a/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
@@ -39,7 +39,7 @@
     pub(in crate::leader) fleet_cpus: f64,
 }
 
-/// Where a job stands within its team; the smaller goes first.
+/// The rank of a job within its team; the smaller goes first.
 struct JobRank {
     priority: Reverse<Priority>,
     infeasible: bool,
@@ -82,7 +82,7 @@
         JobRank {
             priority: Reverse(job.spec.priority),
             infeasible: slack_s.is_none(),
-            // What is late has only its end to gain: the longest first.
+            // An infeasible job can only gain by being done at all: the longest first.
             urgency_s: slack_s
                 .map_or(-job.spec.estimate_s, |slack_s| slack_s + WORK_WEIGHT * work_cpu_s / quota),
             started: job.started,
--- a/crates/basaltrail-core/src/leader/scheduler/mod.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/mod.rs
@@ -53,7 +53,7 @@
     pub(in crate::leader) preemption_reservations: BTreeMap<JobId, Ms>,
     /// Jobs that can still meet an objective, with their slack in seconds.
     pub(in crate::leader) feasible_slack_s: HashMap<JobId, f64>,
-    /// The largest service of each class of late.
+    /// The largest recent service of each class.
     pub(in crate::leader) replica_sizes: ReplicaSizes,
     /// Since when teams wait for their guarantee.
     pub(in crate::leader) guarantee_waits: GuaranteeWaits,
--- a/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
@@ -1,8 +1,8 @@
 //! Capacity that is reserved for high-priority services that may come.
 //!
 //! Tasks that cannot save are not preempted and may end late, so a service that comes, or lost
-//! its machines, would wait for them. Capacity for some of the largest service of each class of
-//! late is kept free, within the guarantees of their teams.
+//! its machines, would wait for them. Capacity for some of the largest recent service of each class
+//! is kept free, within the guarantees of their teams.
 
 use super::capacity::{machine_type, FreeCapacity, CPU_TOLERANCE};
 use super::services::is_high_priority_service;
@@ -22,7 +22,7 @@
 /// Classes remembered at the most.
 const MAX_CLASSES: usize = 16;
 
-/// The largest service of a class of late.
+/// The largest recent service of a class.
 struct ReplicaSize {
     spec: Arc<JobSpec>,
     /// When it is forgotten.
@@ -44,7 +44,7 @@
     }
 }
 
-/// The largest service of each class of late, by class.
+/// The largest recent service of each class, by class.
 #[derive(Default)]
 pub struct ReplicaSizes {
     by_class: BTreeMap<String, ReplicaSize>,
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::io::Answer;
+use crate::leader::autoscaler::partitions::silent_machines_with_replicas;
 use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::failover::Loading;
 use crate::leader::scheduler::deadline_feasibility::find_feasible;
@@ -9,7 +10,7 @@
 use crate::lease_renewal::Knowledge;
 use crate::machines::TaskPhase;
 use crate::model::{
-    AgentEpoch, FencingToken, Heartbeat, JobId, TaskCommand, TaskState, TaskStatus,
+    AgentEpoch, FencingToken, Heartbeat, JobId, Ms, TaskCommand, TaskState, TaskStatus,
 };
 use crate::resources::Resources;
 use crate::settings::sample::a_job;
