--- a/crates/basaltrail-core/src/jobs/job_state.rs
+++ b/crates/basaltrail-core/src/jobs/job_state.rs
@@ -2,7 +2,7 @@
 
 use super::ActiveJob;
 use crate::fairness::Account;
-use crate::health::JobHealth;
+use crate::jobs::crash_loop::JobHealth;
 use crate::model::{Attempt, JobId, JobOutcome, JobSpec, MachineId, Ms, Revision, WallMs};
 use crate::store::records::{TaskSet, TASKS_PER_SEGMENT};
 use std::collections::{BTreeMap, BTreeSet};
@@ -79,8 +79,8 @@
     /// that fails everywhere tries one replica at a time, whatever of it runs.
     pub fn allowed_starts(&self) -> u32 {
         match self.spec.is_service() {
-            true => self.health.room(0),
-            false => self.health.room(self.placed.len()),
+            true => self.health.max_new_tasks(0),
+            false => self.health.max_new_tasks(self.placed.len()),
         }
     }
 
--- a/crates/basaltrail-core/src/leader/autoscaler/demand.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/demand.rs
@@ -1,11 +1,10 @@
 //! What the work at hand asks of the fleet.
 
 use crate::jobs::JobState;
-use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::capacity::machine_type;
 use crate::leader::Context;
-use crate::machines::Machine;
+use crate::machines::{Machine, MachineKind};
 use crate::model::{fits, JobSpec, MachineType};
 
 /// What the work at hand asks of one machine type. Services are counted apart, see
--- a/crates/basaltrail-core/src/leader/autoscaler/demand_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/demand_tests.rs
@@ -19,7 +19,7 @@
     assert_eq!(missing_for_constrained_jobs(&limited, &leader.cluster, &[], &kind), 2);
     let job = leader.cluster.jobs.get_mut(&JobId(1)).unwrap();
     for machine in ["m-1", "m-2"] {
-        job.health.failed(&MachineId(machine.into()), 500, test.settings.lease_ms);
+        job.health.record_failure(&MachineId(machine.into()), 500, test.settings.lease_ms);
     }
     assert_eq!(missing_for_constrained_jobs(&ctx, &leader.cluster, &[], &kind), 1);
     assert_eq!(demand_by_type(&ctx, &leader.cluster)[0].machines, 0.5);
--- a/crates/basaltrail-core/src/leader/autoscaler/drain.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/drain.rs
@@ -29,8 +29,9 @@
     fn drain_reason(&mut self, now: Ms, machine: &mut Machine, kept: bool) -> Option<DrainReason> {
         let up =
             machine.last_heartbeat.is_some() && machine.decommission == Decommission::No && !kept;
-        let idle =
-            up && machine.empty() && now >= *machine.idle_since.get_or_insert(now) + self.idle_ms;
+        let idle = up
+            && machine.is_empty()
+            && now >= *machine.idle_since.get_or_insert(now) + self.idle_ms;
         let reason = if idle && self.idle > 0 {
             DrainReason::Idle
         } else if up && self.too_expensive > 0 {
@@ -63,7 +64,7 @@
                 machine.machine_type == target.machine_type && machine.spot == target.spot
             };
             for machine in cluster.machines.values_mut().filter(of_target) {
-                if !machine.empty() || machine.last_heartbeat.is_none() {
+                if !machine.is_empty() || machine.last_heartbeat.is_none() {
                     machine.idle_since = None;
                 }
                 let kind = machine.kind();
--- a/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
@@ -1,11 +1,11 @@
 //! The machines that a plan counts on, and how many each kind needs.
 
 use super::demand::missing_for_constrained_jobs;
-use super::provisioning::{kinds_by_price, MachineKind};
+use super::provisioning::kinds_by_price;
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::reserved_capacity::{machines_for_services, ReplicaSizes};
 use crate::leader::Context;
-use crate::machines::{Decommission, Machine};
+use crate::machines::{Decommission, Machine, MachineKind};
 use std::collections::BTreeMap;
 
 /// Machines that are counted on, those on their way included.
@@ -49,8 +49,10 @@
     cluster
         .machines
         .values()
-        .filter(|m| m.decommission == Decommission::No && !m.late && !m.notice(ctx.now))
-        .filter(|m| !m.faulty(ctx.now, ctx.cfg.lease_ms))
+        .filter(|m| {
+            m.decommission == Decommission::No && !m.overdue && !m.has_reclaim_notice(ctx.now)
+        })
+        .filter(|m| !m.is_quarantined(ctx.now, ctx.cfg.lease_ms))
         .collect()
 }
 
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -131,7 +131,7 @@
     let requested_at = ctx.now.saturating_sub(age_ms);
     let booting_since = (listed.state == ListedState::Booting).then_some(requested_at);
     if let Some(machine) = cluster.machines.get_mut(&listed.machine) {
-        machine.asked_at = machine.asked_at.or(booting_since);
+        machine.requested_at = machine.requested_at.or(booting_since);
         machine.listed = Some((listed.state, ctx.now));
         machine.first_listed.get_or_insert(ctx.now);
         if machine.endpoint.is_empty() {
@@ -145,6 +145,6 @@
     machine.listed = Some((listed.state, ctx.now));
     machine.first_listed = Some(ctx.now);
     machine.known_since = requested_at;
-    machine.asked_at = booting_since;
+    machine.requested_at = booting_since;
     Some(machine)
 }
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -118,7 +118,7 @@
         let leader = LeaderState {
             token: self.token,
             elected_at: self.since,
-            reachable_since: self.liveness.woke,
+            reachable_since: self.liveness.silence_counts_from,
         };
         self.autoscaler.scale_in(ctx, &mut self.cluster, leader, calls);
     }
--- a/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
@@ -80,7 +80,8 @@
 /// heartbeat yet: that leader may have ended within a network partition.
 pub(in crate::leader) fn unheard_since_failover(cluster: &Cluster, zone: &str) -> bool {
     let mut silence = ZoneSilence::default();
-    for machine in cluster.machines.values().filter(|m| m.expected && m.zone == zone) {
+    for machine in cluster.machines.values().filter(|m| m.in_use_before_failover && m.zone == zone)
+    {
         silence.count(machine.last_heartbeat.is_none());
     }
     silence.most_silent()
--- a/crates/basaltrail-core/src/leader/autoscaler/partitions_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/partitions_tests.rs
@@ -13,7 +13,7 @@
         let zone = if index < 4 { "a" } else { "b" };
         let id = MachineId(format!("m-{index}").into());
         let mut machine = Machine::new(id.clone(), "x", zone, false, 0);
-        machine.expected = true;
+        machine.in_use_before_failover = true;
         // Zone a was heard, but for one; of zone b one was requested since.
         machine.last_heartbeat = (index < 3).then_some(400);
         leader.cluster.machines.insert(id, machine);
--- a/crates/basaltrail-core/src/leader/autoscaler/provisioning.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning.rs
@@ -1,7 +1,8 @@
 //! Provisioning requests to the cloud: what was requested and not answered yet, and which
 //! kinds were refused recently.
 
-use crate::model::{FencingToken, JobSpec, MachineType, Ms};
+use crate::machines::MachineKind;
+use crate::model::{FencingToken, MachineType, Ms};
 
 /// Machines that one request asks for at the most (PROTOCOL, `POST /rentals`).
 const MAX_MACHINES_PER_REQUEST: usize = 50;
@@ -11,24 +12,6 @@
 /// Attempts of one request before it is abandoned.
 const MAX_ATTEMPTS: u32 = 30;
 
-/// A kind of machine that can be requested.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MachineKind {
-    /// The name of its type.
-    pub machine_type: String,
-    /// Its zone.
-    pub zone: String,
-    /// Whether it is a spot machine.
-    pub spot: bool,
-}
-
-impl MachineKind {
-    /// Whether tasks of the job may be placed on machines of this kind.
-    pub fn permitted_by(&self, spec: &JobSpec) -> bool {
-        spec.permits(&self.machine_type, &self.zone, self.spot)
-    }
-}
-
 /// A request whose outcome is not known yet. It is repeated under the same name until it is, so
 /// that nothing is provisioned twice (PROTOCOL, `POST /rentals`).
 #[derive(Clone, Debug)]
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -104,7 +104,7 @@
     fn is_reclaimed(&self, machine: &Machine) -> bool {
         let now = self.ctx.now;
         let missed_after = self.ctx.cfg.heartbeat_interval_ms;
-        machine.gone_at.is_some_and(|at| now > at + RECLAIM_MARGIN_MS)
+        machine.reclaim_at.is_some_and(|at| now > at + RECLAIM_MARGIN_MS)
             && machine
                 .last_heartbeat
                 .is_some_and(|at| now > at.max(self.reachable_since) + missed_after)
@@ -112,25 +112,27 @@
 
     /// Milliseconds since it last showed that it receives our answers.
     fn silence_ms(&self, machine: &Machine) -> Ms {
-        let heard_at = machine.heard_at.unwrap_or(machine.known_since);
+        let heard_at = machine.answer_received_at.unwrap_or(machine.known_since);
         self.ctx.now - heard_at.max(self.reachable_since)
     }
 
     /// Whether it reports and is of use: one that does not receive our answers is not.
     fn is_up(&self, machine: &Machine) -> bool {
         let receives = self.silence_ms(machine) <= self.ctx.cfg.lease_ms * SILENT_LEASES;
-        machine.last_heartbeat.is_some() && !machine.lease_expired && (receives || !machine.empty())
+        machine.last_heartbeat.is_some()
+            && !machine.lease_expired
+            && (receives || !machine.is_empty())
     }
 
     fn reason_while_up(&self, machine: &Machine) -> Option<ReleaseReason> {
         let now = self.ctx.now;
-        if !machine.empty() {
+        if !machine.is_empty() {
             return None;
         }
-        if machine.decommission != Decommission::No && !machine.notice(now) {
+        if machine.decommission != Decommission::No && !machine.has_reclaim_notice(now) {
             return Some(ReleaseReason::Drained);
         }
-        machine.faulty(now, self.ctx.cfg.lease_ms).then_some(ReleaseReason::Quarantined)
+        machine.is_quarantined(now, self.ctx.cfg.lease_ms).then_some(ReleaseReason::Quarantined)
     }
 
     fn reason_while_down(&self, machine: &Machine) -> Option<ReleaseReason> {
@@ -148,7 +150,7 @@
             Some(ReleaseReason::NotListed)
         } else if !never_heard && !partitioned && silence_ms > cfg.lease_ms * SILENT_LEASES {
             Some(ReleaseReason::Silent)
-        } else if machine.late && machine.given_up {
+        } else if machine.overdue && machine.abandoned {
             Some(ReleaseReason::NeverUp)
         } else if never_heard && !partitioned && age_ms as f64 > longest_ms {
             Some(ReleaseReason::NeverHeard)
@@ -200,7 +202,7 @@
     fn note_termination(&mut self, ctx: &Context, cluster: &mut Cluster, id: &MachineId) {
         let Some(machine) = cluster.machines.get_mut(id) else { return };
         machine.decommission = Decommission::Releasing;
-        let never_came = machine.given_up && machine.last_heartbeat.is_none();
+        let never_came = machine.abandoned && machine.last_heartbeat.is_none();
         if let Some(t) = machine_type(ctx.types, &machine.machine_type).filter(|_| never_came) {
             self.provisioning_times.note_abandoned(t, &machine.zone, ctx.now);
         }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -4,7 +4,7 @@
 use super::demand::demand_by_type;
 use super::fleet::{live_machines, Fleet, KindNeeds};
 use super::partitions::unheard_since_failover;
-use super::provisioning::{kinds_by_price, MachineKind, ProvisioningRequest};
+use super::provisioning::{kinds_by_price, ProvisioningRequest};
 use super::provisioning_time::MachineOnItsWay;
 use super::Autoscaler;
 use crate::events::MachineEvent;
@@ -13,7 +13,7 @@
 use crate::leader::scheduler::capacity::machine_type;
 use crate::leader::scheduler::reserved_capacity::ReplicaSizes;
 use crate::leader::Context;
-use crate::machines::{Decommission, Machine};
+use crate::machines::{Decommission, Machine, MachineKind};
 use crate::model::{FencingToken, MachineId};
 use crate::store::calls::{Calls, CloudPurpose};
 use crate::store::rate_limiter::CallPriority;
@@ -111,18 +111,19 @@
         let times = &self.provisioning_times;
         let mut on_their_way = Vec::new();
         for machine in cluster.machines.values_mut() {
-            let requested_at =
-                machine.asked_at.filter(|_| machine.last_heartbeat.is_none() && machine.empty());
+            let requested_at = machine
+                .requested_at
+                .filter(|_| machine.last_heartbeat.is_none() && machine.is_empty());
             let known_type = machine_type(ctx.types, &machine.machine_type);
-            machine.late = false;
+            machine.overdue = false;
             if let (Some(at), Some(machine_type), Decommission::No) =
                 (requested_at, known_type, machine.decommission)
             {
                 let zone = &machine.zone;
-                machine.late = ctx.now > at + times.overdue_after(machine_type, zone, ctx.now);
-                machine.given_up =
+                machine.overdue = ctx.now > at + times.overdue_after(machine_type, zone, ctx.now);
+                machine.abandoned =
                     ctx.now > at + times.abandoned_after(machine_type, zone, ctx.now);
-                on_their_way.push((machine_type, zone.clone(), machine.late));
+                on_their_way.push((machine_type, zone.clone(), machine.overdue));
             }
         }
         let machines = on_their_way.iter().map(|(machine_type, zone, overdue)| MachineOnItsWay {
@@ -205,8 +206,8 @@
 
 fn provisioned_machine(ctx: &Context, id: MachineId, kind: &MachineKind) -> Machine {
     let mut machine = Machine::new(id, &kind.machine_type, &kind.zone, kind.spot, ctx.now);
-    machine.ours = true;
-    machine.asked_at = Some(ctx.now);
+    machine.provisioned_by_this_leader = true;
+    machine.requested_at = Some(ctx.now);
     machine
 }
 
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out_tests.rs
@@ -34,5 +34,5 @@
     assert!(there <= 2, "{there} more where none came");
     // None is requested a third time, and those that never came up are abandoned.
     leader.plan_fleet(&test.context(81_000), calls);
-    assert!(leader.cluster.machines.values().all(|machine| machine.given_up));
+    assert!(leader.cluster.machines.values().all(|machine| machine.abandoned));
 }
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -32,7 +32,11 @@
         if self.autoscaler.returned.contains(&heartbeat.machine) {
             return Err(Refusal::MachineReturned);
         }
-        let ours = self.cluster.machines.get(&heartbeat.machine).is_some_and(|m| m.ours);
+        let ours = self
+            .cluster
+            .machines
+            .get(&heartbeat.machine)
+            .is_some_and(|m| m.provisioned_by_this_leader);
         if heartbeat.token < self.token && !ours {
             return self.answer_without_token(ctx, &heartbeat.machine, permit?);
         }
@@ -90,8 +94,8 @@
             return Err(Refusal::LateReport);
         };
         let first = m.last_heartbeat.is_none();
-        let usable = m.reconciled && !m.lease_expired && m.hears;
-        let changes = m.heartbeat(ctx.now, heartbeat, ctx.cfg.lease_ms);
+        let usable = m.reconciled && !m.lease_expired && m.receives_answers;
+        let changes = m.apply_heartbeat(ctx.now, heartbeat, ctx.cfg.lease_ms);
         if first {
             self.note_machine_up(ctx, calls, id);
         }
@@ -102,8 +106,8 @@
         // A machine that was not reconciled for, or late, has become one to place on, and
         // its room may be what a waiting job lacks.
         let m = &self.cluster.machines[id];
-        let room =
-            type_index(ctx.types, &m.machine_type).is_some_and(|i| m.used().0 < ctx.types[i].cpus);
+        let room = type_index(ctx.types, &m.machine_type)
+            .is_some_and(|i| m.used().cpus < ctx.types[i].cpus);
         self.scheduler.changed |= !usable || (room && self.scheduler.short_of_capacity);
         Ok(())
     }
@@ -119,7 +123,7 @@
             age_ms: ctx.now - m.known_since,
         });
         let machine_type = ctx.types.iter().find(|t| t.name == m.machine_type);
-        if let (Some(at), Some(machine_type)) = (m.asked_at, machine_type) {
+        if let (Some(at), Some(machine_type)) = (m.requested_at, machine_type) {
             self.autoscaler.provisioning_times.note_arrival(
                 machine_type,
                 &m.zone,
@@ -132,7 +136,7 @@
     /// A machine that the cloud is about to take back is emptied.
     fn note_notice(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         let Some(m) = self.cluster.machines.get_mut(id) else { return };
-        if m.notice(ctx.now) && m.decommission == Decommission::No {
+        if m.has_reclaim_notice(ctx.now) && m.decommission == Decommission::No {
             m.decommission = Decommission::Draining;
             calls.log(MachineEvent::ReclaimNotice { machine: id.clone() });
             self.drain(ctx.now, id);
@@ -144,13 +148,13 @@
         let mut commands = Vec::new();
         let Some(m) = self.cluster.machines.get_mut(machine) else { return commands };
         let repeat = ctx.cfg.heartbeat_interval_ms * 3;
-        for ((task, attempt), e) in m.entries.iter_mut() {
+        for ((task, attempt), e) in m.slots.iter_mut() {
             if commands.len() >= most {
                 break;
             }
             let (task, attempt) = (*task, *attempt);
-            match e.place {
-                TaskPhase::Told(TaskState::Exited(why)) => {
+            match e.phase {
+                TaskPhase::Confirmed(TaskState::Exited(why)) => {
                     let durable = match self.cluster.jobs.get(&task.job) {
                         Some(j) => {
                             // That a replica is done is nowhere kept.
@@ -165,18 +169,18 @@
                         commands.push(TaskCommand::Forget { task, attempt });
                     }
                 }
-                TaskPhase::Assigned { .. } if !ctx.job_cache_is_fresh => {}
-                TaskPhase::Assigned { .. } => {
-                    e.place = TaskPhase::Sent;
+                TaskPhase::Assigned if !ctx.job_cache_is_fresh => {}
+                TaskPhase::Assigned => {
+                    e.phase = TaskPhase::Sent;
                     commands.push(TaskCommand::Start { task, attempt });
                 }
                 _ => {
-                    let Some(grace_s) = e.stop else { continue };
+                    let Some(grace_s) = e.stop_grace_s else { continue };
                     // With every answer that renews the lease: what does not hear the stop
                     // is not renewed either, so it ends by one of the two.
-                    if grace_s <= 0.0 || e.stop_sent.is_none_or(|t| ctx.now >= t + repeat) {
+                    if grace_s <= 0.0 || e.stop_sent_at.is_none_or(|t| ctx.now >= t + repeat) {
                         // A second stop with some grace left does not cut a save short.
-                        e.stop_sent = Some(ctx.now);
+                        e.stop_sent_at = Some(ctx.now);
                         commands.push(TaskCommand::Stop { task, attempt, grace_s });
                     }
                 }
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -1,12 +1,12 @@
 //! What workers' reports change in the account of every task.
 
-use crate::leader::scheduler::assignment::task_need;
+use crate::leader::scheduler::assignment::task_demand;
 use crate::leader::scheduler::services::another_replica_runs;
 use crate::leader::*;
 
 impl Leader {
-    pub(in crate::leader) fn need(&self, job: JobId) -> Option<Need> {
-        self.cluster.jobs.get(&job).map(task_need)
+    pub(in crate::leader) fn need(&self, job: JobId) -> Option<TaskDemand> {
+        self.cluster.jobs.get(&job).map(task_demand)
     }
 
     pub(in crate::leader) fn change(
@@ -25,15 +25,15 @@
                 }
                 None
             }
-            TaskChange::Here { task, attempt } => {
+            TaskChange::Present { task, attempt } => {
                 self.scheduler.last_cycle = None;
                 let need = self.need(task.job);
                 let m = self.cluster.machines.get_mut(machine)?;
-                let e = m.entries.get_mut(&(task, attempt))?;
-                e.need = need;
+                let e = m.slots.get_mut(&(task, attempt))?;
+                e.demand = need;
                 let Some(j) = self.cluster.jobs.get_mut(&task.job) else {
                     match ctx.job_cache.outcome(task.job) {
-                        Some(_) => e.stop = Some(0.0),
+                        Some(_) => e.stop_grace_s = Some(0.0),
                         None => self.read_job(ctx, task.job),
                     }
                     return None;
@@ -43,20 +43,20 @@
                 let elsewhere = j.placed.get(&task.index).is_some_and(|p| *p != place);
                 if j.ended.is_some() || j.done.get(task.index) || elsewhere {
                     // Not wanted here. An attempt elsewhere is left alone.
-                    e.stop = Some(0.0);
-                    e.stop_sent = None;
+                    e.stop_grace_s = Some(0.0);
+                    e.stop_sent_at = None;
                 } else {
                     j.placed.insert(task.index, place);
                 }
                 None
             }
-            TaskChange::Exited { task, attempt, why, ran_ms } => {
+            TaskChange::Exited { task, attempt, reason: why, ran_ms } => {
                 self.scheduler.changed = true;
                 let stands = another_replica_runs(ctx, &self.cluster, task);
                 let need = self.need(task.job);
                 let m = self.cluster.machines.get_mut(machine)?;
-                if let Some(e) = m.entries.get_mut(&(task, attempt)) {
-                    e.need = need;
+                if let Some(e) = m.slots.get_mut(&(task, attempt)) {
+                    e.demand = need;
                 }
                 let Some(j) = self.cluster.jobs.get_mut(&task.job) else {
                     self.read_job(ctx, task.job);
@@ -72,12 +72,12 @@
                     if j.is_complete() {
                         self.writer.complete.insert(task.job);
                     }
-                    failed_before = j.health.ended_well(machine);
-                    m.health.ended_well();
+                    failed_before = j.health.record_success(machine);
+                    m.health.record_success();
                 }
                 if service && (lasted || stands) {
                     // What has run for long, here or elsewhere, is not the service's fault.
-                    failed_before = j.health.ended_well(machine);
+                    failed_before = j.health.record_success(machine);
                 }
                 let ours = j.end_placement(task.index, machine, attempt);
                 if !ours || j.ended.is_some() {
@@ -87,26 +87,26 @@
                     // A replica that is done at once fails, too: it would start without end.
                     ExitReason::Done if !service || lasted => {}
                     ExitReason::Error | ExitReason::Done => {
-                        let first = j.health.failed(machine, now, ctx.cfg.lease_ms);
-                        if j.health.proven() {
-                            m.health.count_failure(task.job, now);
+                        let first = j.health.record_failure(machine, now, ctx.cfg.lease_ms);
+                        if j.health.has_succeeded() {
+                            m.health.record_failure(task.job, now);
                         }
                         // A line for each task of an array would be thousands.
                         return first.then(|| JobEvent::TaskFailed {
                             task,
                             machine: machine.clone(),
-                            crash_looping: j.health.suspect(),
+                            crash_looping: j.health.is_crash_looping(),
                             ran_ms: ran_ms.unwrap_or(0),
                         });
                     }
                     ExitReason::NoRoom => m.no_room_until = now + 2000,
-                    ExitReason::Unknown => j.health.pause(now + 2000),
+                    ExitReason::Unknown => j.health.back_off(now + 2000),
                     _ => {}
                 }
                 // It was not the job.
                 for other in failed_before.iter().filter(|o| *o != machine) {
                     if let Some(m) = self.cluster.machines.get_mut(other) {
-                        m.health.count_failure(task.job, now);
+                        m.health.record_failure(task.job, now);
                     }
                 }
                 None
@@ -132,10 +132,10 @@
         let Some(m) = self.cluster.machines.get_mut(machine) else { return };
         let cache = ctx.types.iter().find(|t| t.name == m.machine_type).map_or(0.0, |t| t.cache_gb);
         let running: BTreeSet<JobId> =
-            m.entries.iter().filter(|(_, e)| e.holds()).map(|((t, _), _)| t.job).collect();
+            m.slots.iter().filter(|(_, e)| e.holds_resources()).map(|((t, _), _)| t.job).collect();
         for job in running {
             if let Some(j) = self.cluster.jobs.get(&job) {
-                m.used_image(&j.spec.image, j.spec.image_gb, cache);
+                m.record_image(&j.spec.image, j.spec.image_gb, cache);
             }
         }
     }
@@ -144,17 +144,17 @@
     /// cannot be done by then: what they did is lost, and elsewhere they begin sooner.
     pub(in crate::leader) fn drain(&mut self, now: Ms, machine: &MachineId) {
         let Some(m) = self.cluster.machines.get_mut(machine) else { return };
-        let left_s = m.gone_at.map_or(0.0, |t| t.saturating_sub(now) as f64 / 1000.0);
-        for ((task, _), e) in m.entries.iter_mut().filter(|(_, e)| e.stop.is_none()) {
-            let Some(need) = e.need else { continue };
+        let left_s = m.reclaim_at.map_or(0.0, |t| t.saturating_sub(now) as f64 / 1000.0);
+        for ((task, _), e) in m.slots.iter_mut().filter(|(_, e)| e.stop_grace_s.is_none()) {
+            let Some(need) = e.demand else { continue };
             let ran_s = e.running_since.map_or(0.0, |t| (now - t) as f64 / 1000.0);
             let run_s = self.cluster.jobs.get(&task.job).map_or(0.0, |j| j.spec.estimate_s);
             if self.cluster.jobs.get(&task.job).is_some_and(|j| j.spec.is_service()) {
                 // It runs until it is lost: moved now, it is away for a moment.
-                e.stop = Some(0.0);
+                e.stop_grace_s = Some(0.0);
                 continue;
             }
-            e.stop = match need.save_s {
+            e.stop_grace_s = match need.save_s {
                 Some(save) => Some(save + 1.0),
                 // Estimates are often too high: in doubt it may go on.
                 None => (SURELY_RUNS * run_s - ran_s > left_s).then_some(0.0),
@@ -167,13 +167,13 @@
     pub(in crate::leader) fn withdraw(&mut self, machine: &MachineId) {
         let Some(m) = self.cluster.machines.get_mut(machine) else { return };
         let unsent: Vec<(TaskId, Attempt)> = m
-            .entries
+            .slots
             .iter()
-            .filter(|(_, e)| matches!(e.place, TaskPhase::Assigned { .. }))
+            .filter(|(_, e)| matches!(e.phase, TaskPhase::Assigned))
             .map(|(k, _)| *k)
             .collect();
         for (task, attempt) in unsent {
-            m.entries.remove(&(task, attempt));
+            m.slots.remove(&(task, attempt));
             if let Some(j) = self.cluster.jobs.get_mut(&task.job) {
                 j.end_placement(task.index, machine, attempt);
             }
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -34,7 +34,7 @@
         }
         let answers = self.failover.early_answers.entry(heartbeat.machine.clone()).or_default();
         if heartbeat.token < self.token {
-            if answers.without_token >= ANSWERS_WITHOUT_TOKEN {
+            if answers.without_token >= crate::machines::machine::MAX_ANSWERS_WITHOUT_TOKEN {
                 return Err(Refusal::NoReportWithToken);
             }
             answers.without_token += 1;
@@ -46,7 +46,7 @@
     /// Counts what was answered to a machine of the machine registry before the machine registry was read.
     fn count_early_answers(&self, machine: &mut Machine) {
         if let Some(answers) = self.failover.early_answers.get(&machine.id) {
-            machine.renewed = machine.renewed.max(answers.renewed);
+            machine.lease_renewed_at = machine.lease_renewed_at.max(answers.renewed);
             machine.answers_without_token = answers.without_token;
         }
     }
@@ -100,10 +100,10 @@
                         // Until it reports with our token, an earlier leader's tasks may
                         // be on it, unless the machine registry says that nothing is.
                         m.reconciled = e.free;
-                        m.durable = !e.free;
-                        m.expected = !e.free;
-                        m.part = Some(part);
-                        m.renewed = self.since;
+                        m.registered_in_use = !e.free;
+                        m.in_use_before_failover = !e.free;
+                        m.registry_segment = Some(part);
+                        m.lease_renewed_at = self.since;
                         self.count_early_answers(&mut m);
                         self.cluster.machines.insert(e.id.clone(), m);
                     }
@@ -168,7 +168,7 @@
             j.durable.add_segment(part, &text);
             j.stored_segments.insert(part);
         }
-        j.health.inherit(suspect, j.done.count() > 0);
+        j.health.recover(suspect, j.done.count() > 0);
         if j.is_complete() {
             self.writer.complete.insert(job);
         }
@@ -208,13 +208,16 @@
     fn adopt(&mut self, ctx: &Context, job: JobId) {
         let mut found = Vec::new();
         for m in self.cluster.machines.values() {
-            for ((task, attempt), e) in &m.entries {
-                if task.job == job && e.need.is_none() {
-                    let change = match e.place {
-                        TaskPhase::Told(TaskState::Exited(why)) => {
-                            TaskChange::Exited { task: *task, attempt: *attempt, why, ran_ms: None }
-                        }
-                        _ => TaskChange::Here { task: *task, attempt: *attempt },
+            for ((task, attempt), e) in &m.slots {
+                if task.job == job && e.demand.is_none() {
+                    let change = match e.phase {
+                        TaskPhase::Confirmed(TaskState::Exited(why)) => TaskChange::Exited {
+                            task: *task,
+                            attempt: *attempt,
+                            reason: why,
+                            ran_ms: None,
+                        },
+                        _ => TaskChange::Present { task: *task, attempt: *attempt },
                     };
                     found.push((m.id.clone(), change));
                 }
@@ -228,11 +231,10 @@
     fn stop_job(&mut self, job: JobId) {
         for m in self.cluster.machines.values_mut() {
             // What was never sent is simply not sent.
-            m.entries
-                .retain(|(t, _), e| t.job != job || !matches!(e.place, TaskPhase::Assigned { .. }));
-            for (_, e) in m.entries.iter_mut().filter(|((t, _), _)| t.job == job) {
-                e.stop = Some(0.0);
-                e.stop_sent = None;
+            m.slots.retain(|(t, _), e| t.job != job || !matches!(e.phase, TaskPhase::Assigned));
+            for (_, e) in m.slots.iter_mut().filter(|((t, _), _)| t.job == job) {
+                e.stop_grace_s = Some(0.0);
+                e.stop_sent_at = None;
             }
         }
     }
--- a/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
@@ -33,7 +33,7 @@
         };
         leader.load_answer(&ctx, &mut Calls::default(), StoreReply::KeyValue(item));
         assert!(leader.loaded() && !leader.cluster.jobs.contains_key(&JobId(2)));
-        leader.cluster.jobs[&JobId(1)].health.room(0)
+        leader.cluster.jobs[&JobId(1)].health.max_new_tasks(0)
     };
     let record = LedgerRecord {
         teams: vec![("gone".into(), 5.0, 7.0)],
--- a/crates/basaltrail-core/src/leader/liveness.rs
+++ b/crates/basaltrail-core/src/leader/liveness.rs
@@ -6,7 +6,7 @@
 pub struct WorkerLiveness {
     /// When this process last went on after it stood still or held no valid lease: silence of
     /// machines counts from there.
-    pub(in crate::leader) woke: Ms,
+    pub(in crate::leader) silence_counts_from: Ms,
     /// Most workers went silent though this process could have answered them.
     pub lost_workers: bool,
     /// Whether the last tick was within a valid leader lease.
@@ -21,7 +21,7 @@
     /// As of the election.
     pub fn new(now: Ms) -> Self {
         WorkerLiveness {
-            woke: 0,
+            silence_counts_from: 0,
             lost_workers: false,
             held_valid_lease: true,
             last_tick: now,
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -154,7 +154,7 @@
         let stood = ctx.now > self.liveness.last_tick + ctx.cfg.heartbeat_interval_ms;
         if stood || (ctx.holds_valid_lease && !self.liveness.held_valid_lease) {
             // Nobody was answered for a while: who was silent then tells nothing.
-            self.liveness.woke = ctx.now;
+            self.liveness.silence_counts_from = ctx.now;
             self.liveness.lost_workers = false;
         }
         self.liveness.last_tick = ctx.now;
@@ -164,7 +164,7 @@
             self.liveness.next_watch = ctx.now + ctx.cfg.heartbeat_interval_ms / 20;
             self.watch_machines(ctx, calls);
             self.liveness.lost_workers =
-                workers_unreachable(ctx, &self.cluster, self.liveness.woke);
+                workers_unreachable(ctx, &self.cluster, self.liveness.silence_counts_from);
             self.finish_jobs();
             self.scale_in(ctx, calls);
         }
@@ -198,15 +198,16 @@
     fn watch_machines(&mut self, ctx: &Context, calls: &mut Calls) {
         let expires_after = ctx.cfg.with_drift_margin(ctx.cfg.lease_ms);
         let silent_after = ctx.cfg.heartbeat_interval_ms * 3;
-        let expires = |m: &Machine| !m.lease_expired && ctx.now > m.renewed + expires_after;
-        let woke = self.liveness.woke;
+        let expires =
+            |m: &Machine| !m.lease_expired && ctx.now > m.lease_renewed_at + expires_after;
+        let woke = self.liveness.silence_counts_from;
         let silent =
             |m: &Machine| m.last_heartbeat.is_some_and(|t| ctx.now > t.max(woke) + silent_after);
         let due: Vec<MachineId> = self
             .cluster
             .machines
             .values()
-            .filter(|m| expires(m) || (silent(m) && !m.entries.is_empty()))
+            .filter(|m| expires(m) || (silent(m) && !m.slots.is_empty()))
             .map(|m| m.id.clone())
             .collect();
         for id in &due {
@@ -215,7 +216,7 @@
                 self.withdraw(id);
                 continue;
             }
-            let had = m.entries.len();
+            let had = m.slots.len();
             let was_up = m.last_heartbeat.is_some();
             let changes = m.expire_lease();
             if was_up || had > 0 {
@@ -240,18 +241,18 @@
         }
         let mut cpus = [0.0f64; 4];
         let mut teams = vec![(0.0f64, 0.0f64); ctx.cfg.teams.len()];
-        for e in self.cluster.machines.values().flat_map(|m| m.entries.values()) {
-            let n = e.need.map_or(0.0, |n| n.cpus);
-            let i = match e.place {
-                TaskPhase::Assigned { .. } | TaskPhase::Sent => 0,
-                TaskPhase::Told(TaskState::Fetching) => 1,
-                TaskPhase::Told(TaskState::Running) => 2,
-                TaskPhase::Told(TaskState::Saving) => 3,
-                TaskPhase::Told(TaskState::Exited(_)) => continue,
+        for e in self.cluster.machines.values().flat_map(|m| m.slots.values()) {
+            let n = e.demand.map_or(0.0, |n| n.resources.cpus);
+            let i = match e.phase {
+                TaskPhase::Assigned | TaskPhase::Sent => 0,
+                TaskPhase::Confirmed(TaskState::Fetching) => 1,
+                TaskPhase::Confirmed(TaskState::Running) => 2,
+                TaskPhase::Confirmed(TaskState::Saving) => 3,
+                TaskPhase::Confirmed(TaskState::Exited(_)) => continue,
             };
             cpus[i] += n;
-            if let Some(n) = e.need {
-                teams[n.team].0 += n.cpus;
+            if let Some(n) = e.demand {
+                teams[n.team].0 += n.resources.cpus;
             }
         }
         for j in self.cluster.jobs.values() {
@@ -284,7 +285,7 @@
             return;
         }
         let mut present: BTreeSet<JobId> = BTreeSet::new();
-        for (t, _) in self.cluster.machines.values().flat_map(|m| m.entries.keys()) {
+        for (t, _) in self.cluster.machines.values().flat_map(|m| m.slots.keys()) {
             if over.binary_search(&t.job).is_ok() {
                 present.insert(t.job);
             }
@@ -305,7 +306,7 @@
     pub fn progress(&self) -> Vec<Progress> {
         let mut running: HashMap<JobId, u32> = HashMap::new();
         for m in self.cluster.machines.values() {
-            for ((t, _), _) in m.entries.iter().filter(|(_, e)| e.runs()) {
+            for ((t, _), _) in m.slots.iter().filter(|(_, e)| e.is_running()) {
                 *running.entry(t.job).or_default() += 1;
             }
         }
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -137,8 +137,11 @@
             f.ledger = true;
             let leases_end = ctx.wall + (ctx.cfg.policy.lease_term_s * 1000.0) as WallMs;
             f.keys.push(LEDGER_KEY.into());
-            let sick =
-                self.cluster.jobs.values().filter(|j| j.ended.is_none() && j.health.suspect());
+            let sick = self
+                .cluster
+                .jobs
+                .values()
+                .filter(|j| j.ended.is_none() && j.health.is_crash_looping());
             let suspects = sick.map(|j| j.id).take(SUSPECTS_TOLD).collect();
             let record = self.ledger.record(ctx.cfg, leases_end, suspects);
             t.put(mod_revision(LEDGER_KEY), LEDGER_KEY.into(), encode(&record));
@@ -267,11 +270,14 @@
                         .map(|e| &e.id)
                         .collect();
                     for id in ids.iter().filter(|id| still.contains(id)) {
-                        if let Some(m) =
-                            self.cluster.machines.get_mut(id).filter(|m| m.free_in.is_empty())
+                        if let Some(m) = self
+                            .cluster
+                            .machines
+                            .get_mut(id)
+                            .filter(|m| m.free_in_segments.is_empty())
                         {
-                            self.scheduler.changed |= !m.durable;
-                            m.durable = true;
+                            self.scheduler.changed |= !m.registered_in_use;
+                            m.registered_in_use = true;
                         }
                     }
                 }
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
@@ -21,7 +21,9 @@
 impl Leader {
     /// Puts a machine on the machine registry, as one where nothing runs yet.
     pub(in crate::leader) fn add_to_registry(&mut self, ctx: &Context, machine: &MachineId) {
-        let Some(m) = self.cluster.machines.get_mut(machine).filter(|m| m.part.is_none()) else {
+        let Some(m) =
+            self.cluster.machines.get_mut(machine).filter(|m| m.registry_segment.is_none())
+        else {
             return;
         };
         let mut entry = MachineRecord {
@@ -47,7 +49,7 @@
         self.registry.parts[part].push(entry);
         self.registry.bytes[part] += size;
         self.registry.dirty.insert(part);
-        m.part = Some(part);
+        m.registry_segment = Some(part);
     }
 
     /// Notes on the machine registry whether anything may run on a machine. As long as it says that
@@ -55,11 +57,11 @@
     /// does not wait for a word of it.
     pub(in crate::leader) fn note_free(&mut self, machine: &MachineId, free: bool) {
         let Some(m) = self.cluster.machines.get_mut(machine) else { return };
-        let Some(part) = m.part else { return };
+        let Some(part) = m.registry_segment else { return };
         let entry = self.registry.parts[part].iter_mut().find(|e| e.id == *machine);
         let Some(entry) = entry.filter(|e| e.free != free) else { return };
         entry.free = free;
-        m.durable = false;
+        m.registered_in_use = false;
         self.registry.dirty.insert(part);
     }
 
@@ -73,7 +75,7 @@
         let Some(mut m) = self.cluster.machines.remove(machine) else { return };
         let changes = m.expire_lease();
         self.apply(ctx, calls, machine, changes);
-        if let Some(part) = m.part {
+        if let Some(part) = m.registry_segment {
             self.registry.parts[part].retain(|e| e.id != *machine);
             self.registry.bytes[part] = encode(&self.registry.parts[part]).len();
             self.registry.dirty.insert(part);
@@ -115,8 +117,8 @@
                     self.registry.waits.entry(part).or_default().insert(to);
                     for e in &chunk {
                         let Some(m) = self.cluster.machines.get_mut(&e.id) else { continue };
-                        m.part = Some(to);
-                        m.free_in.extend(e.free.then_some(part));
+                        m.registry_segment = Some(to);
+                        m.free_in_segments.extend(e.free.then_some(part));
                     }
                 }
                 self.registry.bytes[to] = encode(&chunk).len();
@@ -151,12 +153,12 @@
             e.free &= second.free;
             let free = e.free;
             if let Some(m) = self.cluster.machines.get_mut(&second.id) {
-                (m.reconciled, m.expected) = (free, !free);
+                (m.reconciled, m.in_use_before_failover) = (free, !free);
                 // What is there now may say that nothing runs, in the one part or the other.
-                m.durable = !kept_free && !second.free;
-                m.part = Some(at);
-                m.free_in.extend(kept_free.then_some(at));
-                m.free_in.extend(second.free.then_some(part));
+                m.registered_in_use = !kept_free && !second.free;
+                m.registry_segment = Some(at);
+                m.free_in_segments.extend(kept_free.then_some(at));
+                m.free_in_segments.extend(second.free.then_some(part));
             }
             self.registry.dirty.extend([at, part]);
             if at != part {
@@ -175,8 +177,8 @@
         }
         self.registry.waits.retain(|_, waits| !waits.is_empty());
         for m in self.cluster.machines.values_mut() {
-            if m.free_in.remove(&part) {
-                self.registry.dirty.extend(m.part);
+            if m.free_in_segments.remove(&part) {
+                self.registry.dirty.extend(m.registry_segment);
             }
         }
     }
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -65,7 +65,11 @@
             let free = here.iter().all(|e| e.free);
             assert!(!busy(i) || !free, "{} passes for free", id(i));
             let m = &leader.cluster.machines[&id(i)];
-            assert!(!m.durable || here.iter().all(|e| !e.free), "{} is free somewhere", id(i));
+            assert!(
+                !m.registered_in_use || here.iter().all(|e| !e.free),
+                "{} is free somewhere",
+                id(i)
+            );
         }
     }
 }
@@ -136,7 +140,7 @@
         assert_eq!(kept.entries().len(), 43, "named once each in the end");
         assert!(kept.parts.values().all(|v| v.len() <= cfg.value_bytes));
         assert!(
-            touched.iter().all(|i| leader.cluster.machines[&id(*i)].durable),
+            touched.iter().all(|i| leader.cluster.machines[&id(*i)].registered_in_use),
             "no work for some"
         );
     }
@@ -163,11 +167,17 @@
     let reconciled: Vec<bool> =
         (0..4).map(|i| leader.cluster.machines[&id(i)].reconciled).collect();
     assert_eq!(reconciled, [true, false, false, false]);
-    assert!(!leader.cluster.machines[&id(1)].durable && !leader.cluster.machines[&id(2)].durable);
+    assert!(
+        !leader.cluster.machines[&id(1)].registered_in_use
+            && !leader.cluster.machines[&id(2)].registered_in_use
+    );
     for _ in 0..20 {
         kept.flush(&ctx, &mut leader);
         kept.check(&leader, 4, &|i| i > 0);
     }
     assert_eq!(kept.entries().len(), 4);
-    assert!(leader.cluster.machines[&id(1)].durable && leader.cluster.machines[&id(2)].durable);
+    assert!(
+        leader.cluster.machines[&id(1)].registered_in_use
+            && leader.cluster.machines[&id(2)].registered_in_use
+    );
 }
--- a/crates/basaltrail-core/src/leader/scheduler/accounting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/accounting.rs
@@ -23,7 +23,9 @@
     let (fleet_cpus, running) = count_cpus(ctx, cluster);
     let elapsed_s = ledger.accrue(ctx.cfg, ctx.now, fleet_cpus, &running.by_team);
     let mut active_jobs = vec![0u32; ctx.cfg.teams.len()];
-    for job in cluster.jobs.values().filter(|job| job.ended.is_none() && !job.health.suspect()) {
+    for job in
+        cluster.jobs.values().filter(|job| job.ended.is_none() && !job.health.is_crash_looping())
+    {
         active_jobs[job.team] += 1;
     }
     for job in cluster.jobs.values_mut().filter(|job| job.ended.is_none()) {
@@ -47,10 +49,10 @@
         if let Some(index) = type_index(ctx.types, &machine.machine_type) {
             fleet_cpus += ctx.types[index].cpus;
         }
-        for ((task, _), slot) in machine.entries.iter().filter(|(_, slot)| slot.runs()) {
-            if let Some(need) = slot.need {
-                running.by_team[need.team] += need.cpus;
-                *running.by_job.entry(task.job).or_default() += need.cpus;
+        for ((task, _), slot) in machine.slots.iter().filter(|(_, slot)| slot.is_running()) {
+            if let Some(need) = slot.demand {
+                running.by_team[need.team] += need.resources.cpus;
+                *running.by_job.entry(task.job).or_default() += need.resources.cpus;
             }
         }
     }
--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -8,7 +8,7 @@
 use crate::jobs::JobState;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
-use crate::machines::{Need, TaskPhase, TaskSlot};
+use crate::machines::{TaskDemand, TaskPhase, TaskSlot};
 use crate::model::{Attempt, FencingToken, JobId, MachineId, Revision, TaskId};
 use crate::resources::Resources;
 use rand::rngs::SmallRng;
@@ -37,12 +37,10 @@
 }
 
 /// What one task of a job takes of its machine, and what stops it.
-pub(in crate::leader) fn task_need(job: &JobState) -> Need {
-    Need {
+pub(in crate::leader) fn task_demand(job: &JobState) -> TaskDemand {
+    TaskDemand {
         team: job.team,
-        cpus: job.spec.cpus,
-        gpus: job.spec.gpus,
-        memory_gb: job.spec.memory_gb,
+        resources: Resources::of_task(&job.spec),
         priority: job.spec.priority,
         save_s: (job.spec.checkpoint_s > 0.0).then_some(job.spec.save_s),
     }
@@ -68,9 +66,10 @@
         return spread;
     }
     for machine in cluster.machines.values() {
-        let of_job =
-            |((task, _), slot): &(&(TaskId, Attempt), &TaskSlot)| task.job == id && slot.holds();
-        let tasks = machine.entries.iter().filter(of_job).count();
+        let of_job = |((task, _), slot): &(&(TaskId, Attempt), &TaskSlot)| {
+            task.job == id && slot.holds_resources()
+        };
+        let tasks = machine.slots.iter().filter(of_job).count();
         if tasks > 0 {
             spread.add(&machine.zone, tasks as u32);
         }
@@ -201,7 +200,7 @@
         let capacity = &mut self.free[placement.index];
         let Some(job) = cluster.jobs.get_mut(&id) else { return 0 };
         let Some(machine) = cluster.machines.get_mut(&capacity.machine) else { return 0 };
-        let need = task_need(job);
+        let demand = task_demand(job);
         let mut placed = 0;
         while placed < placement.tasks {
             let Some(index) = job.next_pending() else { break };
@@ -209,13 +208,13 @@
             self.scheduler.attempts = counter;
             let attempt = Attempt((token.0 << ATTEMPT_COUNTER_BITS) | u64::from(counter));
             job.placed.insert(index, (machine.id.clone(), attempt));
-            let slot = assigned_slot(ctx, need, !job.started);
-            machine.entries.insert((TaskId { job: id, index }, attempt), slot);
+            let slot = assigned_slot(ctx, demand, !job.started);
+            machine.slots.insert((TaskId { job: id, index }, attempt), slot);
             placed += 1;
         }
-        if job.spec.is_service() && job.health.suspect() {
+        if job.spec.is_service() && job.health.is_crash_looping() {
             // The next attempt waits for the outcome of this one.
-            job.health.pause(ctx.now + ctx.cfg.lease_ms);
+            job.health.back_off(ctx.now + ctx.cfg.lease_ms);
         }
         machine.idle_since = None;
         self.used[job.team] += Resources::of_task(&job.spec) * placed as f64;
@@ -228,15 +227,15 @@
 }
 
 /// The slot of a task that was assigned and not sent yet.
-fn assigned_slot(ctx: &Context, need: Need, first: bool) -> TaskSlot {
+fn assigned_slot(ctx: &Context, demand: TaskDemand, first_of_job: bool) -> TaskSlot {
     TaskSlot {
-        place: TaskPhase::Assigned { at: ctx.now },
-        need: Some(need),
-        stop: None,
-        stop_sent: None,
+        phase: TaskPhase::Assigned,
+        demand: Some(demand),
+        stop_grace_s: None,
+        stop_sent_at: None,
         since: ctx.now,
         running_since: None,
-        settled: false,
-        first,
+        outcome_recorded: false,
+        first_of_job,
     }
 }
--- a/crates/basaltrail-core/src/leader/scheduler/backfill.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/backfill.rs
@@ -72,7 +72,7 @@
     fn may_start(&self, id: JobId) -> bool {
         let inputs = &self.assigner.inputs;
         let job = inputs.cluster.jobs.get(&id);
-        job.is_some_and(|job| job.pending() > 0 && job.health.not_before() <= inputs.ctx.now)
+        job.is_some_and(|job| job.pending() > 0 && job.health.back_off_until() <= inputs.ctx.now)
             && !inputs.unknown_jobs.contains(&id)
     }
 
--- a/crates/basaltrail-core/src/leader/scheduler/capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/capacity.rs
@@ -1,9 +1,8 @@
 //! What machines have left for new tasks, and what teams use of the cluster.
 
-use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
-use crate::machines::{Decommission, Machine};
+use crate::machines::{Decommission, Machine, MachineKind};
 use crate::model::{JobSpec, MachineId, MachineType};
 use crate::resources::Resources;
 use std::collections::BTreeSet;
@@ -35,9 +34,7 @@
     pub(in crate::leader) fn of_machine(ctx: &Context, machine: &Machine) -> Option<Self> {
         let type_index =
             type_index(ctx.types, &machine.machine_type).filter(|_| accepts_tasks(ctx, machine))?;
-        let (cpus, gpus, memory_gb) = machine.used();
-        let used = Resources { cpus, gpus, memory_gb };
-        let free = Resources::of_machine_type(&ctx.types[type_index]) - used;
+        let free = Resources::of_machine_type(&ctx.types[type_index]) - machine.used();
         (free.cpus > CPU_TOLERANCE).then(|| FreeCapacity {
             machine: machine.id.clone(),
             type_index,
@@ -81,13 +78,13 @@
 /// Whether a machine may be given new tasks now.
 pub(in crate::leader) fn accepts_tasks(ctx: &Context, machine: &Machine) -> bool {
     machine.reconciled
-        && machine.hears
-        && ctx.now >= machine.deaf_until
-        && machine.durable
+        && machine.receives_answers
+        && ctx.now >= machine.one_way_partition_until
+        && machine.registered_in_use
         && !machine.lease_expired
         && machine.decommission == Decommission::No
-        && !machine.notice(ctx.now)
-        && !machine.faulty(ctx.now, ctx.cfg.lease_ms)
+        && !machine.has_reclaim_notice(ctx.now)
+        && !machine.is_quarantined(ctx.now, ctx.cfg.lease_ms)
         && ctx.now >= machine.no_room_until
         && machine
             .last_heartbeat
@@ -100,7 +97,7 @@
     let mut used = vec![Resources::default(); ctx.cfg.teams.len()];
     for machine in cluster.machines.values() {
         let holds_unknown = |machine: &Machine| {
-            machine.entries.values().any(|slot| slot.holds() && slot.need.is_none())
+            machine.slots.values().any(|slot| slot.holds_resources() && slot.demand.is_none())
         };
         if !machine.reconciled || holds_unknown(machine) {
             // An earlier leader's tasks of any team may fill it.
@@ -108,9 +105,10 @@
             used.iter_mut().for_each(|used| *used += whole);
             continue;
         }
-        for need in machine.entries.values().filter(|slot| slot.holds()).filter_map(|s| s.need) {
-            used[need.team] +=
-                Resources { cpus: need.cpus, gpus: need.gpus, memory_gb: need.memory_gb };
+        for need in
+            machine.slots.values().filter(|slot| slot.holds_resources()).filter_map(|s| s.demand)
+        {
+            used[need.team] += need.resources;
         }
     }
     used
--- a/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
@@ -22,11 +22,13 @@
         let mut usage =
             ClassUsage { by_class: HashMap::new(), by_team: vec![0.0; ctx.cfg.teams.len()] };
         for machine in cluster.machines.values() {
-            for ((task, _), slot) in machine.entries.iter().filter(|(_, slot)| slot.holds()) {
+            for ((task, _), slot) in machine.slots.iter().filter(|(_, slot)| slot.holds_resources())
+            {
                 let job = cluster.jobs.get(&task.job).filter(|job| job.ended.is_none());
-                let Some((job, need)) = job.zip(slot.need) else { continue };
-                *usage.by_class.entry((job.team, &job.spec.class)).or_default() += need.cpus;
-                usage.by_team[job.team] += need.cpus;
+                let Some((job, need)) = job.zip(slot.demand) else { continue };
+                *usage.by_class.entry((job.team, &job.spec.class)).or_default() +=
+                    need.resources.cpus;
+                usage.by_team[job.team] += need.resources.cpus;
             }
         }
         usage
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -11,9 +11,9 @@
 use super::starvation::starved_jobs;
 use super::{accounting, Scheduler};
 use crate::jobs::JobState;
-use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
+use crate::machines::MachineKind;
 use crate::model::{JobId, MachineId, Ms, Revision, WallMs};
 use crate::resources::Resources;
 use std::collections::BTreeSet;
@@ -61,7 +61,7 @@
         self.next_cycle_at = ctx.now + ctx.cfg.heartbeat_interval_ms / CYCLES_PER_HEARTBEAT;
         self.fleet_cpus = accounting::accrue_shares(ctx, inputs.cluster, inputs.ledger);
         self.visited +=
-            inputs.cluster.machines.values().map(|m| 1 + m.entries.len() as u64).sum::<u64>();
+            inputs.cluster.machines.values().map(|m| 1 + m.slots.len() as u64).sum::<u64>();
         let mut cycle = Cycle::begin(self, inputs);
         cycle.run();
         cycle.finish()
@@ -71,7 +71,7 @@
     /// without capacity.
     fn note_guarantees(&mut self, ctx: &Context, cluster: &Cluster, blocked: &[JobId]) {
         let mut needs = vec![TeamNeed::default(); ctx.cfg.teams.len()];
-        let open = |job: &&JobState| job.ended.is_none() && !job.health.suspect();
+        let open = |job: &&JobState| job.ended.is_none() && !job.health.is_crash_looping();
         for job in cluster.jobs.values().filter(open) {
             let tasks = job.pending() as f64 + job.placed.len() as f64;
             needs[job.team].unfinished_cpus += tasks * job.spec.cpus;
@@ -87,7 +87,7 @@
     /// for its guarantee.
     fn next_wake(&self, ctx: &Context, cluster: &Cluster) -> Ms {
         let open = || cluster.jobs.values().filter(|job| job.pending() > 0);
-        let pauses = open().map(|job| job.health.not_before());
+        let pauses = open().map(|job| job.health.back_off_until());
         let avoided = open().filter_map(|job| job.health.avoids_until(ctx.now));
         let machines = cluster.machines.values().map(|machine| machine.no_room_until);
         let back_offs = pauses.chain(avoided).chain(machines).filter(|at| *at > ctx.now);
@@ -116,13 +116,13 @@
             Waiting { by_team: vec![Vec::new(); ctx.cfg.teams.len()], crash_looping: Vec::new() };
         for job in cluster.jobs.values() {
             let startable = job.pending() > 0
-                && job.health.not_before() <= ctx.now
+                && job.health.back_off_until() <= ctx.now
                 && !unknown_jobs.contains(&job.id)
                 && !may_run_unseen(job, inputs.elected_revision, &unreconciled);
             if !startable {
                 continue;
             }
-            match job.health.suspect() {
+            match job.health.is_crash_looping() {
                 true => waiting.crash_looping.push(job.id),
                 false => waiting.by_team[job.team].push(job.id),
             }
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
@@ -177,7 +177,7 @@
     for (team, used) in used.iter().enumerate() {
         let mut load = TeamLoad::default();
         let open = |job: &&JobState| job.team == team && job.ended.is_none();
-        for job in cluster.jobs.values().filter(open).filter(|job| !job.health.suspect()) {
+        for job in cluster.jobs.values().filter(open).filter(|job| !job.health.is_crash_looping()) {
             load.add(ctx, job);
         }
         feasible.extend(load.incomplete_services.iter().map(|job| (*job, 0.0)));
--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -5,10 +5,9 @@
 use super::capacity::{accepts_tasks, FreeCapacity, CPU_TOLERANCE};
 use super::Scheduler;
 use crate::jobs::JobState;
-use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
-use crate::machines::{Need, TaskSlot};
+use crate::machines::{MachineKind, TaskDemand, TaskSlot};
 use crate::model::{Attempt, JobId, JobSpec, MachineId, Ms, Priority, TaskId};
 use crate::resources::Resources;
 use std::collections::BTreeMap;
@@ -45,9 +44,12 @@
             coming.add(MachineKind { machine_type, zone, spot }, capacity.free.cpus);
         }
         for machine in cluster.machines.values() {
-            let stopping =
-                machine.entries.values().filter(|slot| slot.holds() && slot.stop.is_some());
-            let cpus: f64 = stopping.filter_map(|slot| slot.need).map(|need| need.cpus).sum();
+            let stopping = machine
+                .slots
+                .values()
+                .filter(|slot| slot.holds_resources() && slot.stop_grace_s.is_some());
+            let cpus: f64 =
+                stopping.filter_map(|slot| slot.demand).map(|need| need.resources.cpus).sum();
             if cpus > 0.0 {
                 coming.add(machine.kind(), cpus);
             }
@@ -76,7 +78,7 @@
 struct Victim {
     machine: MachineId,
     key: (TaskId, Attempt),
-    need: Need,
+    need: TaskDemand,
 }
 
 /// Which victim goes first: lower priorities, then those with the most slack or that are late
@@ -116,8 +118,8 @@
     /// Whether PROTOCOL permits to stop this task for the job: one of lower priority, or one that
     /// another team runs beyond its guarantee. `borrowed_cpus` is what the task's team uses
     /// beyond its guarantee.
-    fn may_preempt(&self, victim: &Need, borrowed_cpus: f64) -> bool {
-        let borrowed = borrowed_cpus >= victim.cpus - CPU_TOLERANCE;
+    fn may_preempt(&self, victim: &TaskDemand, borrowed_cpus: f64) -> bool {
+        let borrowed = borrowed_cpus >= victim.resources.cpus - CPU_TOLERANCE;
         let reclaims = victim.team != self.team && self.within_guarantee() && borrowed;
         let outranks = victim.priority < self.spec.priority
             && (self.within_guarantee() || borrowed)
@@ -177,12 +179,15 @@
     fn victims(&self, ctx: &Context, cluster: &Cluster) -> Vec<Victim> {
         let mut ranked: Vec<(VictimRank, Victim)> = Vec::new();
         for machine in cluster.machines.values().filter(|machine| accepts_tasks(ctx, machine)) {
-            for (key, slot) in &machine.entries {
-                let Some((need, save_s)) = slot.need.and_then(|need| Some((need, need.save_s?)))
+            for (key, slot) in &machine.slots {
+                let Some((need, save_s)) = slot.demand.and_then(|need| Some((need, need.save_s?)))
                 else {
                     continue;
                 };
-                if !slot.runs() || slot.stop.is_some() || runs_too_shortly(ctx, slot, save_s) {
+                if !slot.is_running()
+                    || slot.stop_grace_s.is_some()
+                    || runs_too_shortly(ctx, slot, save_s)
+                {
                     continue;
                 }
                 let slack_s = self.feasible_slack_s.get(&key.0.job);
@@ -199,7 +204,7 @@
 fn runs_too_shortly(ctx: &Context, slot: &TaskSlot, save_s: f64) -> bool {
     let ran_s = slot.running_since.map_or(0, |since| ctx.now - since) as f64 / 1000.0;
     let lease_s = ctx.cfg.lease_ms as f64;
-    let first_s = if slot.first { FIRST_TASK_LEASES * lease_s / 1000.0 } else { 0.0 };
+    let first_s = if slot.first_of_job { FIRST_TASK_LEASES * lease_s / 1000.0 } else { 0.0 };
     ran_s < (MIN_RUN_PER_SAVE * save_s).max(first_s)
 }
 
@@ -208,8 +213,9 @@
 fn guarantee_victims(ctx: &Context, cluster: &Cluster) -> Vec<Victim> {
     let mut ranked: Vec<((bool, VictimRank), Victim)> = Vec::new();
     for machine in cluster.machines.values().filter(|machine| accepts_tasks(ctx, machine)) {
-        for (key, slot) in &machine.entries {
-            let need = slot.need.filter(|_| slot.holds() && slot.stop.is_none());
+        for (key, slot) in &machine.slots {
+            let need =
+                slot.demand.filter(|_| slot.holds_resources() && slot.stop_grace_s.is_none());
             let Some(need) = need else { continue };
             let service = cluster.jobs.get(&key.0.job).is_some_and(|job| job.spec.is_service());
             let rank = (need.priority, 0, Ms::MAX - slot.since);
@@ -285,14 +291,14 @@
             .machines
             .get_mut(&victim.machine)
             .filter(|m| preemptor.may_use(&m.machine_type, &m.zone, m.spot))
-            .and_then(|machine| machine.entries.get_mut(&victim.key))
-            .filter(|slot| slot.stop.is_none());
+            .and_then(|machine| machine.slots.get_mut(&victim.key))
+            .filter(|slot| slot.stop_grace_s.is_none());
         let Some(slot) = slot else { return };
-        slot.stop = Some(need.save_s.map_or(0.0, |save_s| save_s + SAVE_MARGIN_S));
-        slot.stop_sent = None;
-        preemptor.wanted_cpus -= need.cpus;
-        preemptor.guarantee_left -= need.cpus;
-        *self.freed_cpus.entry(need.team).or_default() += need.cpus;
+        slot.stop_grace_s = Some(need.save_s.map_or(0.0, |save_s| save_s + SAVE_MARGIN_S));
+        slot.stop_sent_at = None;
+        preemptor.wanted_cpus -= need.resources.cpus;
+        preemptor.guarantee_left -= need.resources.cpus;
+        *self.freed_cpus.entry(need.team).or_default() += need.resources.cpus;
         self.preempted += 1;
     }
 }
--- a/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
@@ -4,8 +4,9 @@
 use crate::model::WallMs;
 use crate::settings::sample::a_job;
 
-fn need(priority: Priority, save_s: Option<f64>) -> Need {
-    Need { team: 0, cpus: 4.0, gpus: 0.0, memory_gb: 1.0, priority, save_s }
+fn demand(priority: Priority, save_s: Option<f64>) -> TaskDemand {
+    let resources = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 1.0 };
+    TaskDemand { team: 0, resources, priority, save_s }
 }
 
 /// The first tasks of a job that had waited nine leases were stopped as they began, and
@@ -16,9 +17,9 @@
     let mut leader = test.leader(0);
     let mut machine = ready_machine("m-1", "a", true, None);
     for index in 0..2 {
-        let mut slot = running_slot(need(Priority::Low, Some(2.0)));
-        slot.first = index == 0;
-        machine.entries.insert((TaskId { job: JobId(1), index }, Attempt(index as u64)), slot);
+        let mut slot = running_slot(demand(Priority::Low, Some(2.0)));
+        slot.first_of_job = index == 0;
+        machine.slots.insert((TaskId { job: JobId(1), index }, Attempt(index as u64)), slot);
     }
     let id = machine.id.clone();
     leader.cluster.machines.insert(id.clone(), machine);
@@ -43,12 +44,12 @@
         [("m-1", "a", false), ("m-2", "b", true), ("m-3", "b", false), ("m-4", "a", false)];
     for (index, (name, zone, spot)) in machines.into_iter().enumerate() {
         let mut machine = ready_machine(name, zone, spot, Some(now));
-        let (job, need) = match name {
-            "m-4" => (JobId(2), need(service.priority, None)),
-            _ => (JobId(1), need(array.priority, Some(2.0))),
+        let (job, demand) = match name {
+            "m-4" => (JobId(2), demand(service.priority, None)),
+            _ => (JobId(1), demand(array.priority, Some(2.0))),
         };
         let task = TaskId { job, index: index as u32 };
-        machine.entries.insert((task, Attempt(index as u64)), running_slot(need));
+        machine.slots.insert((task, Attempt(index as u64)), running_slot(demand));
         leader.cluster.machines.insert(machine.id.clone(), machine);
     }
     leader.scheduler.feasible_slack_s.insert(JobId(2), 0.0);
@@ -66,7 +67,7 @@
         .cluster
         .machines
         .values()
-        .filter(|machine| machine.entries.values().any(|slot| slot.stop.is_some()))
+        .filter(|machine| machine.slots.values().any(|slot| slot.stop_grace_s.is_some()))
         .map(|machine| machine.id.to_string())
         .collect();
     assert_eq!(stopped, ["m-3"]);
--- a/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
@@ -6,9 +6,9 @@
 
 use super::capacity::{machine_type, FreeCapacity, CPU_TOLERANCE};
 use super::services::is_high_priority_service;
-use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
+use crate::machines::MachineKind;
 use crate::model::{fits, JobSpec, MachineId, MachineType, Ms};
 use crate::resources::Resources;
 use std::collections::BTreeMap;
--- a/crates/basaltrail-core/src/leader/scheduler/services.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services.rs
@@ -27,7 +27,7 @@
     let others = job.placed.iter().filter(|(index, _)| **index != task.index);
     others.take(REPLICAS_LOOKED_AT).any(|(index, (machine, attempt))| {
         let key = (TaskId { job: task.job, index: *index }, *attempt);
-        let slot = cluster.machines.get(machine).and_then(|machine| machine.entries.get(&key));
+        let slot = cluster.machines.get(machine).and_then(|machine| machine.slots.get(&key));
         slot.and_then(|slot| slot.running_since)
             .is_some_and(|since| ctx.now >= since + ctx.cfg.lease_ms / 2)
     })
@@ -51,7 +51,7 @@
 pub(in crate::leader) fn has_replicas(cluster: &Cluster, machine: &Machine) -> bool {
     let of_service =
         |task: &TaskId| cluster.jobs.get(&task.job).is_some_and(|job| job.spec.is_service());
-    machine.entries.iter().any(|((task, _), slot)| slot.holds() && of_service(task))
+    machine.slots.iter().any(|((task, _), slot)| slot.holds_resources() && of_service(task))
 }
 
 #[cfg(test)]
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::answer::Answer;
 use crate::leader::autoscaler::partitions::silent_machines_with_replicas;
-use crate::leader::autoscaler::provisioning::MachineKind;
 use crate::leader::failover::Loading;
 use crate::leader::scheduler::deadline_feasibility::find_feasible;
 use crate::leader::scheduler::reserved_capacity::machines_for_services;
 use crate::leader::scheduler::test_cluster::{ready_machine, service, TestCluster};
 use crate::leader::Leader;
 use crate::lease_renewal::Knowledge;
+use crate::machines::MachineKind;
 use crate::machines::TaskPhase;
 use crate::model::{
     AgentEpoch, FencingToken, Heartbeat, JobId, Ms, TaskCommand, TaskState, TaskStatus,
@@ -38,7 +38,7 @@
 }
 
 fn machines_of(leader: &Leader, job: u64) -> Vec<String> {
-    let on = |m: &&Machine| m.entries.keys().any(|(t, _)| t.job == JobId(job));
+    let on = |m: &&Machine| m.slots.keys().any(|(t, _)| t.job == JobId(job));
     leader.cluster.machines.values().filter(on).map(|m| m.id.to_string()).collect()
 }
 
@@ -64,7 +64,7 @@
         let test = TestCluster::new(guarantee, &[service(4, 2.0), array.clone()]);
         let mut leader = leader_with_machines(&test, 4);
         schedule(&test, &mut leader, 100);
-        let free: f64 = leader.cluster.machines.values().map(|m| 8.0 - m.used().0).sum();
+        let free: f64 = leader.cluster.machines.values().map(|m| 8.0 - m.used().cpus).sum();
         assert!(
             free >= reserved && free <= reserved + 8.0,
             "guarantee {guarantee}: {free} reserved"
@@ -103,16 +103,16 @@
         }
     };
     let silent = |leader: &Leader| {
-        let reachable_since = leader.liveness.woke;
+        let reachable_since = leader.liveness.silence_counts_from;
         silent_machines_with_replicas(&test.context(now), &leader.cluster, reachable_since)
     };
     hear(&mut leader, &with[..1], now - 3_400);
     assert!(silent(&leader).is_empty(), "too soon");
     hear(&mut leader, &with[..1], now - 3_600);
     assert_eq!(silent(&leader).len(), 1);
-    leader.liveness.woke = now - 2_000;
+    leader.liveness.silence_counts_from = now - 2_000;
     assert!(silent(&leader).is_empty(), "we stood still ourselves");
-    leader.liveness.woke = 0;
+    leader.liveness.silence_counts_from = 0;
     // Half of a zone.
     let zone: Vec<MachineId> = leader
         .cluster
@@ -179,9 +179,9 @@
         reclaim_notice_s: Some(12.0),
         tasks: Vec::new(),
     };
-    let entries = &mut leader.cluster.machines.get_mut(&id).unwrap().entries;
+    let entries = &mut leader.cluster.machines.get_mut(&id).unwrap().slots;
     for ((task, attempt), e) in entries.iter_mut() {
-        e.place = TaskPhase::Told(TaskState::Running);
+        e.phase = TaskPhase::Confirmed(TaskState::Running);
         let (task, attempt) = (*task, *attempt);
         heartbeat.tasks.push(TaskStatus { task, attempt, state: TaskState::Running });
     }
--- a/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
@@ -2,7 +2,7 @@
 
 use crate::jobs::JobCache;
 use crate::leader::{Context, Leader};
-use crate::machines::{Machine, Need, TaskPhase, TaskSlot};
+use crate::machines::{Machine, TaskDemand, TaskPhase, TaskSlot};
 use crate::model::{
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachineType, Ms, Priority, Revision,
     TaskState,
@@ -80,21 +80,21 @@
     last_heartbeat: Option<Ms>,
 ) -> Machine {
     let mut machine = Machine::new(MachineId(name.into()), "x", zone, spot, 0);
-    (machine.hears, machine.durable) = (true, true);
+    (machine.receives_answers, machine.registered_in_use) = (true, true);
     machine.last_heartbeat = last_heartbeat;
     machine
 }
 
 /// The slot of a task that has run since time 0.
-pub(in crate::leader) fn running_slot(need: Need) -> TaskSlot {
+pub(in crate::leader) fn running_slot(demand: TaskDemand) -> TaskSlot {
     TaskSlot {
-        place: TaskPhase::Told(TaskState::Running),
-        need: Some(need),
-        stop: None,
-        stop_sent: None,
+        phase: TaskPhase::Confirmed(TaskState::Running),
+        demand: Some(demand),
+        stop_grace_s: None,
+        stop_sent_at: None,
         since: 0,
         running_since: Some(0),
-        settled: false,
-        first: false,
+        outcome_recorded: false,
+        first_of_job: false,
     }
 }
--- a/crates/basaltrail-core/src/lib.rs
+++ b/crates/basaltrail-core/src/lib.rs
@@ -8,7 +8,6 @@
 pub mod election;
 pub mod events;
 pub mod fairness;
-pub mod health;
 pub mod inspection;
 pub mod io;
 pub mod jobs;
