--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -4,9 +4,10 @@
 use crate::election;
 use crate::events::{JobEvent, StoreEvent};
 use crate::io::{StoreReply, StoreRequest};
-use crate::leader::{PendingWrite, WriteOutcome};
+use crate::leader::WriteOutcome;
 use crate::model::{CallId, FencingToken, JobOutcome, Ms};
 use crate::store::calls::StorePurpose;
+use crate::store::pending_transaction::PendingTransaction;
 use crate::store::rate_limiter::CallPriority;
 use basaltrail_admission::QuotaWrite;
 
@@ -41,14 +42,14 @@
             StorePurpose::AnnounceController => self.admission.announced(self.now, &self.cfg),
             StorePurpose::LoadLeaderState { token } => {
                 self.with_leader_of(token, |leader, ctx, calls| {
-                    leader.load_answer(ctx, calls, reply);
+                    leader.load_reply(ctx, calls, reply);
                 });
             }
             StorePurpose::LeaderTransaction { token, pending } => {
                 self.leader_transaction_replied(token, *pending, reply);
             }
             StorePurpose::RefreshRevision { token, key } => {
-                self.with_leader_of(token, |leader, _, _| leader.refresh_answer(key, reply));
+                self.with_leader_of(token, |leader, _, _| leader.refresh_reply(key, reply));
             }
             StorePurpose::WriteQuotas { token, writes } => {
                 self.quotas_written(token, &writes, &reply);
@@ -73,20 +74,23 @@
     fn leader_transaction_replied(
         &mut self,
         token: FencingToken,
-        pending: PendingWrite,
+        pending: PendingTransaction,
         reply: StoreReply,
     ) {
-        let outcome =
-            self.with_leader_of(token, |leader, ctx, _| leader.flush_answer(ctx, pending, reply));
-        let Some(WriteOutcome { deposed, ends, read, rejected }) = outcome else { return };
-        for job in ends {
+        let outcome = self
+            .with_leader_of(token, |leader, ctx, _| leader.transaction_reply(ctx, pending, reply));
+        let Some(WriteOutcome { deposed, completed_jobs, jobs_to_read, rejected_keys }) = outcome
+        else {
+            return;
+        };
+        for job in completed_jobs {
             self.calls.log(JobEvent::Completed { job });
             self.job_cache.put_outcome(job, JobOutcome::Done);
         }
-        if let Some(keys) = rejected {
+        if let Some(keys) = rejected_keys {
             self.calls.log(StoreEvent::WriteRejected { keys });
         }
-        for job in read {
+        for job in jobs_to_read {
             self.requests.look_up(job, Vec::new());
         }
         if deposed {
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -118,7 +118,7 @@
         let leader = LeaderState {
             token: self.token,
             elected_at: self.since,
-            reachable_since: self.liveness.silence_counts_from,
+            reachable_since: self.liveness.reachable_since,
         };
         self.autoscaler.scale_in(ctx, &mut self.cluster, leader, calls);
     }
@@ -126,7 +126,7 @@
     /// Has the zone with the most machines written, if it is another one than before.
     pub(in crate::leader) fn note_primary_zone(&mut self) {
         if self.autoscaler.update_primary_zone(&self.cluster) {
-            self.writer.preferred_zone_due = true;
+            self.writer.primary_zone_due = true;
         }
     }
 
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -1,15 +1,26 @@
-//! Answers to workers' reports, step by step. Whether one may renew a lease is decided in
-//! [`crate::lease_renewal`]; here is what the leader does with the report, and its own orders.
+//! Answers to workers' heartbeats, step by step. Whether one may renew a lease is decided in
+//! [`crate::lease_renewal`]; here is what the leader does with the heartbeat, and its own commands.
 
 use crate::answer::Answer;
-use crate::leader::scheduler::capacity::type_index;
-use crate::leader::*;
+use crate::events::MachineEvent;
+use crate::jobs::JobCache;
+use crate::leader::cluster::Cluster;
+use crate::leader::scheduler::capacity::{machine_type, type_index};
+use crate::leader::{Context, Leader};
 use crate::lease_renewal::{Permit, Refusal};
+use crate::machines::{Decommission, Machine, TaskPhase, TaskSlot};
+use crate::model::{Attempt, ExitReason, Heartbeat, MachineId, Ms, TaskCommand, TaskId, TaskState};
+use crate::store::calls::Calls;
+use rand::rngs::SmallRng;
+
+/// Heartbeat intervals after which a stop with some grace left is sent again.
+const STOP_REPEAT_INTERVALS: Ms = 3;
 
 impl Leader {
-    /// Takes a report that came while this controller is entitled, and answers it. `permit` is what
-    /// [`crate::lease_renewal::Knowledge::permit`] said of it. A report that is refused because
-    /// of a job that is not known yet is taken all the same: what it says is true.
+    /// Takes a heartbeat that came while this controller holds a valid lease, and answers it.
+    /// `permit` is what [`crate::lease_renewal::Knowledge::permit`] said of it. A heartbeat that
+    /// is refused because of a job that is not known yet is taken all the same: what it says is
+    /// true.
     ///
     /// # Errors
     ///
@@ -27,93 +38,81 @@
             return Err(Refusal::HigherToken);
         }
         if !self.loaded() {
-            return self.answer_while_loading(ctx, heartbeat, permit?);
+            let (answers, permit) = (&mut self.failover.loading_answers, permit?);
+            return answers.answer(ctx.now, self.token, ctx.cfg.max_machines, heartbeat, permit);
         }
         if self.autoscaler.returned.contains(&heartbeat.machine) {
             return Err(Refusal::MachineReturned);
         }
-        let ours = self
-            .cluster
-            .machines
-            .get(&heartbeat.machine)
-            .is_some_and(|m| m.provisioned_by_this_leader);
-        if heartbeat.token < self.token && !ours {
-            return self.answer_without_token(ctx, &heartbeat.machine, permit?);
+        let machine = self.cluster.machines.get_mut(&heartbeat.machine);
+        if heartbeat.token < self.token
+            && !machine.as_ref().is_some_and(|m| m.provisioned_by_this_leader)
+        {
+            let permit = permit?;
+            if machine.is_some_and(|m| !m.answer_without_token(ctx.now)) {
+                return Err(Refusal::NoReportWithToken);
+            }
+            // It may be a late copy, so nothing of it is taken. The answer carries the token,
+            // and the next heartbeat will; it renews the lease like any other.
+            return Ok(permit.answer(self.token, Vec::new()));
         }
         self.adopt_machine(ctx, calls, heartbeat);
-        self.take_report(ctx, calls, heartbeat)?;
+        self.apply_heartbeat(ctx, calls, heartbeat)?;
         let permit = permit?;
         if self.scheduler.changed && ctx.job_cache_is_fresh {
             self.schedule(ctx, calls, rng);
         }
         self.backfill(ctx, &heartbeat.machine, rng);
-        let commands = self.commands(ctx, &heartbeat.machine, permit.room());
+        let limit = permit.room();
+        let commands = self.cluster.commands(ctx, &heartbeat.machine, limit);
         Ok(permit.answer(self.token, commands))
     }
 
-    /// Answers a report of an earlier leadership, or the first of a new machine: it may be a
-    /// late copy, so nothing of it is taken. The answer carries the token, and the next report
-    /// will; it renews the lease like any other.
-    fn answer_without_token(
-        &mut self,
-        ctx: &Context,
-        machine: &MachineId,
-        permit: Permit,
-    ) -> Result<Answer, Refusal> {
-        if let Some(m) = self.cluster.machines.get_mut(machine) {
-            if !m.answer_without_token(ctx.now) {
-                return Err(Refusal::NoReportWithToken);
-            }
-        }
-        Ok(permit.answer(self.token, Vec::new()))
-    }
-
-    /// Takes up a machine that nobody expected: a rental that was carried out late, or one
-    /// that an earlier leader asked for. Nothing starts there before it is on the machine registry, and
-    /// nothing can have been.
+    /// Takes up a machine that nobody expected: a provisioning request that was carried out
+    /// late, or one of an earlier leader. Nothing starts there before the machine registry lists
+    /// it, and nothing can have been started.
     fn adopt_machine(&mut self, ctx: &Context, calls: &mut Calls, heartbeat: &Heartbeat) {
         if !self.cluster.machines.contains_key(&heartbeat.machine) {
             let id = heartbeat.machine.clone();
-            let m =
+            let machine =
                 Machine::new(id, &heartbeat.machine_type, &heartbeat.zone, heartbeat.spot, ctx.now);
-            self.cluster.machines.insert(heartbeat.machine.clone(), m);
+            self.cluster.machines.insert(heartbeat.machine.clone(), machine);
             calls.log(MachineEvent::Adopted { machine: heartbeat.machine.clone() });
         }
         self.add_to_registry(ctx, &heartbeat.machine);
     }
 
-    /// Takes what a newer report says into the account of its machine and of its tasks.
-    fn take_report(
+    /// Takes what a newer heartbeat says into the account of its machine and of its tasks.
+    fn apply_heartbeat(
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
         heartbeat: &Heartbeat,
     ) -> Result<(), Refusal> {
         let id = &heartbeat.machine;
-        let Some(m) = self.cluster.machines.get_mut(id).filter(|m| m.is_newer(heartbeat)) else {
-            return Err(Refusal::LateReport);
-        };
+        let machine = self.cluster.machines.get_mut(id).filter(|m| m.is_newer(heartbeat));
+        let Some(m) = machine else { return Err(Refusal::LateReport) };
         let first = m.last_heartbeat.is_none();
         let usable = m.reconciled && !m.lease_expired && m.receives_answers;
         let changes = m.apply_heartbeat(ctx.now, heartbeat, ctx.cfg.lease_ms);
         if first {
-            self.note_machine_up(ctx, calls, id);
+            self.record_machine_up(ctx, calls, id);
         }
-        self.note_notice(ctx, calls, id);
-        self.apply(ctx, calls, id, changes);
-        self.note_free(id, false);
-        self.note_images(ctx, id);
-        // A machine that was not reconciled for, or late, has become one to place on, and
+        self.follow_reclaim_notice(ctx, calls, id);
+        self.reconcile_all(ctx, calls, id, changes);
+        self.set_registered_free(id, false);
+        self.cluster.record_images(ctx.types, id);
+        // A machine that was not reconciled, or was silent, has become one to place on, and
         // its room may be what a waiting job lacks.
         let m = &self.cluster.machines[id];
-        let room = type_index(ctx.types, &m.machine_type)
+        let has_room = type_index(ctx.types, &m.machine_type)
             .is_some_and(|i| m.used().cpus < ctx.types[i].cpus);
-        self.scheduler.changed |= !usable || (room && self.scheduler.short_of_capacity);
+        self.scheduler.changed |= !usable || (has_room && self.scheduler.short_of_capacity);
         Ok(())
     }
 
-    /// The first report of a machine that this leadership takes.
-    fn note_machine_up(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
+    /// The first heartbeat of a machine that this leader takes.
+    fn record_machine_up(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         self.scheduler.changed = true;
         let Some(m) = self.cluster.machines.get(id) else { return };
         calls.log(MachineEvent::Up {
@@ -122,48 +121,46 @@
             spot: m.spot,
             age_ms: ctx.now - m.known_since,
         });
-        let machine_type = ctx.types.iter().find(|t| t.name == m.machine_type);
+        let machine_type = machine_type(ctx.types, &m.machine_type);
         if let (Some(at), Some(machine_type)) = (m.requested_at, machine_type) {
-            self.autoscaler.provisioning_times.note_arrival(
-                machine_type,
-                &m.zone,
-                ctx.now,
-                ctx.now - at,
-            );
+            let took_ms = ctx.now - at;
+            let times = &mut self.autoscaler.provisioning_times;
+            times.note_arrival(machine_type, &m.zone, ctx.now, took_ms);
         }
     }
 
-    /// A machine that the cloud is about to take back is emptied.
-    fn note_notice(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
+    /// A machine that the cloud is about to reclaim is drained.
+    fn follow_reclaim_notice(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         let Some(m) = self.cluster.machines.get_mut(id) else { return };
         if m.has_reclaim_notice(ctx.now) && m.decommission == Decommission::No {
             m.decommission = Decommission::Draining;
             calls.log(MachineEvent::ReclaimNotice { machine: id.clone() });
-            self.drain(ctx.now, id);
+            self.scheduler.changed |= self.cluster.drain(ctx.now, id);
         }
     }
+}
 
-    /// What the machine is to do, in at most so many orders.
-    fn commands(&mut self, ctx: &Context, machine: &MachineId, most: usize) -> Vec<TaskCommand> {
+impl Cluster {
+    /// What the machine is to do, in at most `limit` commands. Starts in them count as sent.
+    fn commands(&mut self, ctx: &Context, machine: &MachineId, limit: usize) -> Vec<TaskCommand> {
         let mut commands = Vec::new();
-        let Some(m) = self.cluster.machines.get_mut(machine) else { return commands };
-        let repeat = ctx.cfg.heartbeat_interval_ms * 3;
-        for ((task, attempt), e) in m.slots.iter_mut() {
-            if commands.len() >= most {
+        let Some(m) = self.machines.get_mut(machine) else { return commands };
+        let repeat_ms = ctx.cfg.heartbeat_interval_ms * STOP_REPEAT_INTERVALS;
+        for (&(task, attempt), slot) in m.slots.iter_mut() {
+            if commands.len() >= limit {
                 break;
             }
-            let (task, attempt) = (*task, *attempt);
-            match e.phase {
-                TaskPhase::Confirmed(TaskState::Exited(why)) => {
-                    let durable = match self.cluster.jobs.get(&task.job) {
-                        Some(j) => {
+            match slot.phase {
+                TaskPhase::Confirmed(TaskState::Exited(reason)) => {
+                    let durable = match self.jobs.get(&task.job) {
+                        Some(job) => {
                             // That a replica is done is nowhere kept.
-                            j.ended.is_some()
-                                || why != ExitReason::Done
-                                || j.spec.is_service()
-                                || j.durable.get(task.index)
+                            job.ended.is_some()
+                                || reason != ExitReason::Done
+                                || job.spec.is_service()
+                                || job.durable.get(task.index)
                         }
-                        None => ctx.job_cache.outcome(task.job).is_some(),
+                        None => ended(ctx.job_cache, task),
                     };
                     if durable {
                         commands.push(TaskCommand::Forget { task, attempt });
@@ -171,21 +168,37 @@
                 }
                 TaskPhase::Assigned if !ctx.job_cache_is_fresh => {}
                 TaskPhase::Assigned => {
-                    e.phase = TaskPhase::Sent;
+                    slot.phase = TaskPhase::Sent;
                     commands.push(TaskCommand::Start { task, attempt });
                 }
-                _ => {
-                    let Some(grace_s) = e.stop_grace_s else { continue };
-                    // With every answer that renews the lease: what does not hear the stop
-                    // is not renewed either, so it ends by one of the two.
-                    if grace_s <= 0.0 || e.stop_sent_at.is_none_or(|t| ctx.now >= t + repeat) {
-                        // A second stop with some grace left does not cut a save short.
-                        e.stop_sent_at = Some(ctx.now);
-                        commands.push(TaskCommand::Stop { task, attempt, grace_s });
-                    }
-                }
+                _ => commands.extend(stop_command(ctx.now, repeat_ms, task, attempt, slot)),
             }
         }
         commands
     }
 }
+
+/// Whether the job of a task has ended.
+fn ended(job_cache: &JobCache, task: TaskId) -> bool {
+    job_cache.outcome(task.job).is_some()
+}
+
+/// The stop of a task that was ordered to stop, if it has to be said now.
+///
+/// A stop without grace goes with every answer that renews the lease: what does not receive the
+/// stop is not renewed either, so it ends by one of the two. A second stop with some grace left
+/// does not cut a save short.
+fn stop_command(
+    now: Ms,
+    repeat_ms: Ms,
+    task: TaskId,
+    attempt: Attempt,
+    slot: &mut TaskSlot,
+) -> Option<TaskCommand> {
+    let grace_s = slot.stop_grace_s?;
+    if grace_s > 0.0 && slot.stop_sent_at.is_some_and(|at| now < at + repeat_ms) {
+        return None;
+    }
+    slot.stop_sent_at = Some(now);
+    Some(TaskCommand::Stop { task, attempt, grace_s })
+}
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -1,183 +1,201 @@
-//! What workers' reports change in the account of every task.
+//! Reconciliation of jobs with what machines report of their tasks.
 
-use crate::leader::scheduler::assignment::task_demand;
+use crate::events::JobEvent;
+use crate::jobs::JobState;
+use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::services::another_replica_runs;
-use crate::leader::*;
+use crate::leader::{Context, Leader};
+use crate::machines::{Machine, TaskChange, TaskExit};
+use crate::model::{Attempt, ExitReason, JobId, MachineId, Ms, TaskId};
+use crate::store::calls::Calls;
+use std::collections::BTreeSet;
+
+/// Milliseconds for which nothing is placed on a machine whose agent had no room for a task.
+const NO_ROOM_BACK_OFF_MS: Ms = 2000;
+/// Milliseconds for which a job backs off after an attempt of which the agent knows nothing.
+const UNKNOWN_EXIT_BACK_OFF_MS: Ms = 2000;
+
+/// What reconciling one change asks of the other parts of the leader.
+#[derive(Debug, Default, PartialEq)]
+pub struct Reconciled {
+    /// Capacity came free, or work waits: a scheduling cycle is due.
+    pub scheduling_due: bool,
+    /// More may be in use than the last scheduling cycle counted.
+    pub usage_may_have_grown: bool,
+    /// A job whose record has to be read.
+    pub unknown_job: Option<JobId>,
+    /// A job with a completion that is to be written.
+    pub job_with_completion: Option<JobId>,
+    /// A job whose tasks are all done.
+    pub complete_job: Option<JobId>,
+    /// What is logged.
+    pub event: Option<JobEvent>,
+}
 
 impl Leader {
-    pub(in crate::leader) fn need(&self, job: JobId) -> Option<TaskDemand> {
-        self.cluster.jobs.get(&job).map(task_demand)
+    /// Reconciles the jobs with several changes on a machine.
+    pub(in crate::leader) fn reconcile_all(
+        &mut self,
+        ctx: &Context,
+        calls: &mut Calls,
+        machine: &MachineId,
+        changes: Vec<TaskChange>,
+    ) {
+        for change in changes {
+            if let Some(event) = self.reconcile(ctx, machine, change) {
+                calls.log(event);
+            }
+        }
     }
 
-    pub(in crate::leader) fn change(
+    /// Reconciles a job with one change on a machine; returns what is to be logged.
+    pub(in crate::leader) fn reconcile(
         &mut self,
         ctx: &Context,
         machine: &MachineId,
         change: TaskChange,
     ) -> Option<JobEvent> {
-        let now = ctx.now;
-        match change {
-            TaskChange::Gone { task, attempt } => {
-                if let Some(j) = self.cluster.jobs.get_mut(&task.job) {
-                    if j.end_placement(task.index, machine, attempt) {
-                        self.scheduler.changed = true;
-                    }
-                }
-                None
-            }
+        let reconciled = match change {
+            TaskChange::Gone { task, attempt } => self.cluster.task_gone(machine, task, attempt),
             TaskChange::Present { task, attempt } => {
-                self.scheduler.last_cycle = None;
-                let need = self.need(task.job);
-                let m = self.cluster.machines.get_mut(machine)?;
-                let e = m.slots.get_mut(&(task, attempt))?;
-                e.demand = need;
-                let Some(j) = self.cluster.jobs.get_mut(&task.job) else {
-                    match ctx.job_cache.outcome(task.job) {
-                        Some(_) => e.stop_grace_s = Some(0.0),
-                        None => self.read_job(ctx, task.job),
-                    }
-                    return None;
-                };
-                j.started = true;
-                let place = (machine.clone(), attempt);
-                let elsewhere = j.placed.get(&task.index).is_some_and(|p| *p != place);
-                if j.ended.is_some() || j.done.get(task.index) || elsewhere {
-                    // Not wanted here. An attempt elsewhere is left alone.
-                    e.stop_grace_s = Some(0.0);
-                    e.stop_sent_at = None;
-                } else {
-                    j.placed.insert(task.index, place);
-                }
-                None
-            }
-            TaskChange::Exited { task, attempt, reason: why, ran_ms } => {
-                self.scheduler.changed = true;
-                let stands = another_replica_runs(ctx, &self.cluster, task);
-                let need = self.need(task.job);
-                let m = self.cluster.machines.get_mut(machine)?;
-                if let Some(e) = m.slots.get_mut(&(task, attempt)) {
-                    e.demand = need;
-                }
-                let Some(j) = self.cluster.jobs.get_mut(&task.job) else {
-                    self.read_job(ctx, task.job);
-                    return None;
-                };
-                let mut failed_before = BTreeSet::new();
-                let service = j.spec.is_service();
-                let lasted = ran_ms.is_some_and(|ran| ran >= ctx.cfg.lease_ms);
-                if why == ExitReason::Done && !service {
-                    if j.mark_done(task.index) {
-                        self.writer.unwritten.insert(task.job);
-                    }
-                    if j.is_complete() {
-                        self.writer.complete.insert(task.job);
-                    }
-                    failed_before = j.health.record_success(machine);
-                    m.health.record_success();
-                }
-                if service && (lasted || stands) {
-                    // What has run for long, here or elsewhere, is not the service's fault.
-                    failed_before = j.health.record_success(machine);
-                }
-                let ours = j.end_placement(task.index, machine, attempt);
-                if !ours || j.ended.is_some() {
-                    return None;
-                }
-                match why {
-                    // A replica that is done at once fails, too: it would start without end.
-                    ExitReason::Done if !service || lasted => {}
-                    ExitReason::Error | ExitReason::Done => {
-                        let first = j.health.record_failure(machine, now, ctx.cfg.lease_ms);
-                        if j.health.has_succeeded() {
-                            m.health.record_failure(task.job, now);
-                        }
-                        // A line for each task of an array would be thousands.
-                        return first.then(|| JobEvent::TaskFailed {
-                            task,
-                            machine: machine.clone(),
-                            crash_looping: j.health.is_crash_looping(),
-                            ran_ms: ran_ms.unwrap_or(0),
-                        });
-                    }
-                    ExitReason::NoRoom => m.no_room_until = now + 2000,
-                    ExitReason::Unknown => j.health.back_off(now + 2000),
-                    _ => {}
-                }
-                // It was not the job.
-                for other in failed_before.iter().filter(|o| *o != machine) {
-                    if let Some(m) = self.cluster.machines.get_mut(other) {
-                        m.health.record_failure(task.job, now);
-                    }
-                }
-                None
+                self.cluster.task_present(ctx, machine, task, attempt)
             }
+            TaskChange::Exited(exit) => self.cluster.task_exited(ctx, machine, exit),
+        };
+        self.scheduler.changed |= reconciled.scheduling_due;
+        if reconciled.usage_may_have_grown {
+            self.scheduler.last_cycle = None;
         }
+        if let Some(job) = reconciled.unknown_job {
+            self.failover.read_job(ctx.cfg, job);
+        }
+        self.writer.unwritten_jobs.extend(reconciled.job_with_completion);
+        self.writer.complete_jobs.extend(reconciled.complete_job);
+        reconciled.event
     }
+}
 
-    pub(in crate::leader) fn apply(
+impl Cluster {
+    /// An attempt is certainly not on the machine: its task waits again.
+    fn task_gone(&mut self, machine: &MachineId, task: TaskId, attempt: Attempt) -> Reconciled {
+        let job = self.jobs.get_mut(&task.job);
+        let freed = job.is_some_and(|job| job.end_placement(task.index, machine, attempt));
+        Reconciled { scheduling_due: freed, ..Reconciled::default() }
+    }
+
+    /// An attempt is on the machine. It is stopped if it is not wanted there.
+    fn task_present(
         &mut self,
         ctx: &Context,
-        calls: &mut Calls,
         machine: &MachineId,
-        changes: Vec<TaskChange>,
-    ) {
-        for c in changes {
-            if let Some(event) = self.change(ctx, machine, c) {
-                calls.log(event);
+        task: TaskId,
+        attempt: Attempt,
+    ) -> Reconciled {
+        let mut reconciled = Reconciled { usage_may_have_grown: true, ..Reconciled::default() };
+        let demand = self.task_demand(task.job);
+        let machine_slots = self.machines.get_mut(machine).map(|m| &mut m.slots);
+        let Some(slot) = machine_slots.and_then(|slots| slots.get_mut(&(task, attempt))) else {
+            return reconciled;
+        };
+        slot.demand = demand;
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            match ctx.job_cache.outcome(task.job) {
+                Some(_) => slot.stop_grace_s = Some(0.0),
+                None => reconciled.unknown_job = Some(task.job),
             }
+            return reconciled;
+        };
+        job.started = true;
+        let place = (machine.clone(), attempt);
+        let elsewhere = job.placed.get(&task.index).is_some_and(|placed| *placed != place);
+        if job.ended.is_some() || job.done.get(task.index) || elsewhere {
+            // Not wanted here. An attempt elsewhere is left alone.
+            slot.stop_at_once();
+        } else {
+            job.placed.insert(task.index, place);
         }
+        reconciled
     }
 
-    pub(in crate::leader) fn note_images(&mut self, ctx: &Context, machine: &MachineId) {
-        let Some(m) = self.cluster.machines.get_mut(machine) else { return };
-        let cache = ctx.types.iter().find(|t| t.name == m.machine_type).map_or(0.0, |t| t.cache_gb);
-        let running: BTreeSet<JobId> =
-            m.slots.iter().filter(|(_, e)| e.holds_resources()).map(|((t, _), _)| t.job).collect();
-        for job in running {
-            if let Some(j) = self.cluster.jobs.get(&job) {
-                m.record_image(&j.spec.image, j.spec.image_gb, cache);
+    /// An attempt has exited: records its outcome in its job and in the machine's health.
+    fn task_exited(&mut self, ctx: &Context, machine: &MachineId, exit: TaskExit) -> Reconciled {
+        let TaskExit { task, attempt, reason, ran_ms } = exit;
+        let mut reconciled = Reconciled { scheduling_due: true, ..Reconciled::default() };
+        let another_replica_runs = another_replica_runs(ctx, self, task);
+        let demand = self.task_demand(task.job);
+        let Some(m) = self.machines.get_mut(machine) else { return reconciled };
+        if let Some(slot) = m.slots.get_mut(&(task, attempt)) {
+            slot.demand = demand;
+        }
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            reconciled.unknown_job = Some(task.job);
+            return reconciled;
+        };
+        let service = job.spec.is_service();
+        let ran_long = ran_ms.is_some_and(|ran| ran >= ctx.cfg.lease_ms);
+        let mut failed_before = BTreeSet::new();
+        if reason == ExitReason::Done && !service {
+            reconciled.job_with_completion = job.mark_done(task.index).then_some(task.job);
+            reconciled.complete_job = job.is_complete().then_some(task.job);
+            failed_before = job.health.record_success(machine);
+            m.health.record_success();
+        }
+        if service && (ran_long || another_replica_runs) {
+            // What has run for long, here or elsewhere, is not the service's fault.
+            failed_before = job.health.record_success(machine);
+        }
+        let was_placed_here = job.end_placement(task.index, machine, attempt);
+        if !was_placed_here || job.ended.is_some() {
+            return reconciled;
+        }
+        match reason {
+            // A replica that is done at once fails, too: it would start without end.
+            ExitReason::Done if !service || ran_long => {}
+            ExitReason::Error | ExitReason::Done => {
+                reconciled.event = record_failure(ctx, job, m, exit);
+                return reconciled;
             }
+            ExitReason::NoRoom => m.no_room_until = ctx.now + NO_ROOM_BACK_OFF_MS,
+            ExitReason::Unknown => job.health.back_off(ctx.now + UNKNOWN_EXIT_BACK_OFF_MS),
+            ExitReason::Stopped | ExitReason::Busy => {}
         }
+        self.blame_machines(ctx.now, machine, task.job, failed_before);
+        reconciled
     }
 
-    /// Tasks that can save leave a machine that is about to go, and so do those that
-    /// cannot be done by then: what they did is lost, and elsewhere they begin sooner.
-    pub(in crate::leader) fn drain(&mut self, now: Ms, machine: &MachineId) {
-        let Some(m) = self.cluster.machines.get_mut(machine) else { return };
-        let left_s = m.reclaim_at.map_or(0.0, |t| t.saturating_sub(now) as f64 / 1000.0);
-        for ((task, _), e) in m.slots.iter_mut().filter(|(_, e)| e.stop_grace_s.is_none()) {
-            let Some(need) = e.demand else { continue };
-            let ran_s = e.running_since.map_or(0.0, |t| (now - t) as f64 / 1000.0);
-            let run_s = self.cluster.jobs.get(&task.job).map_or(0.0, |j| j.spec.estimate_s);
-            if self.cluster.jobs.get(&task.job).is_some_and(|j| j.spec.is_service()) {
-                // It runs until it is lost: moved now, it is away for a moment.
-                e.stop_grace_s = Some(0.0);
-                continue;
+    /// A job ended well on one machine: that it failed on others before was not its fault.
+    fn blame_machines(
+        &mut self,
+        now: Ms,
+        ended_well_on: &MachineId,
+        job: JobId,
+        failed_on: BTreeSet<MachineId>,
+    ) {
+        for other in failed_on.iter().filter(|other| *other != ended_well_on) {
+            if let Some(m) = self.machines.get_mut(other) {
+                m.health.record_failure(job, now);
             }
-            e.stop_grace_s = match need.save_s {
-                Some(save) => Some(save + 1.0),
-                // Estimates are often too high: in doubt it may go on.
-                None => (SURELY_RUNS * run_s - ran_s > left_s).then_some(0.0),
-            };
         }
-        self.withdraw(machine);
     }
+}
 
-    /// Takes back what was assigned and never sent.
-    pub(in crate::leader) fn withdraw(&mut self, machine: &MachineId) {
-        let Some(m) = self.cluster.machines.get_mut(machine) else { return };
-        let unsent: Vec<(TaskId, Attempt)> = m
-            .slots
-            .iter()
-            .filter(|(_, e)| matches!(e.phase, TaskPhase::Assigned))
-            .map(|(k, _)| *k)
-            .collect();
-        for (task, attempt) in unsent {
-            m.slots.remove(&(task, attempt));
-            if let Some(j) = self.cluster.jobs.get_mut(&task.job) {
-                j.end_placement(task.index, machine, attempt);
-            }
-            self.scheduler.changed = true;
-        }
+/// Records a failure in the job, and in the machine's health if the job ends well elsewhere.
+/// Only the first failure of a job on a machine is logged: a line for each task of an array
+/// would be thousands.
+fn record_failure(
+    ctx: &Context,
+    job: &mut JobState,
+    machine: &mut Machine,
+    exit: TaskExit,
+) -> Option<JobEvent> {
+    let first = job.health.record_failure(&machine.id, ctx.now, ctx.cfg.lease_ms);
+    if job.health.has_succeeded() {
+        machine.health.record_failure(job.id, ctx.now);
     }
+    first.then(|| JobEvent::TaskFailed {
+        task: exit.task,
+        machine: machine.id.clone(),
+        crash_looping: job.health.is_crash_looping(),
+        ran_ms: exit.ran_ms.unwrap_or(0),
+    })
 }
--- a/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
@@ -1,11 +1,14 @@
 use super::*;
+use crate::jobs::JobCache;
+use crate::model::{FencingToken, JobSpec, Revision};
 use crate::settings::sample::{a_job, settings};
-use crate::settings::Team;
+use crate::settings::{Settings, Team};
+use crate::store::records::{encode, JobRecord, LEDGER_KEY};
 
-/// The next leader would learn of a faulty job anew, with all its tasks at once. And a
+/// The next leader would learn of a crash loop anew, with all tasks of the job at once. And a
 /// team that is named no more leaves jobs and amounts behind: they are kept, not run.
 #[test]
-fn a_successor_knows_the_faulty_job_and_bears_a_team_that_is_gone() {
+fn a_new_leader_recovers_crash_loops_and_ignores_a_removed_team() {
     let inf = f64::INFINITY;
     let team = Team { name: "t".into(), cpus: 8.0, cpus_max: inf, gpus: 0.0, gpus_max: inf };
     let cfg = Settings { teams: vec![team], ..settings() };
@@ -22,7 +25,7 @@
         holds_valid_lease: true,
         job_cache_is_fresh: true,
     };
-    let led = |value: &str| {
+    let room_after_failover = |value: &str| {
         let mut leader = Leader::new(&ctx, FencingToken(2), Revision(1));
         leader.failover.loading = Loading::Ledger;
         let item = KeyValue {
@@ -31,7 +34,7 @@
             mod_revision: Revision(3),
             lease_id: None,
         };
-        leader.load_answer(&ctx, &mut Calls::default(), StoreReply::KeyValue(item));
+        leader.load_reply(&ctx, &mut Calls::default(), StoreReply::KeyValue(item));
         assert!(leader.loaded() && !leader.cluster.jobs.contains_key(&JobId(2)));
         leader.cluster.jobs[&JobId(1)].health.max_new_tasks(0)
     };
@@ -40,7 +43,7 @@
         leases_end: 0,
         suspects: vec![JobId(1), JobId(2)],
     };
-    assert_eq!(led(&encode(&record)), 1);
+    assert_eq!(room_after_failover(&encode(&record)), 1);
     // As an earlier version wrote it.
-    assert_eq!(led(r#"{"teams":[["t",5.0,7.0]],"leases_end":0}"#), u32::MAX);
+    assert_eq!(room_after_failover(r#"{"teams":[["t",5.0,7.0]],"leases_end":0}"#), u32::MAX);
 }
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -1,347 +1,263 @@
-//! What is written: the machine registry, completions, ends, the ledger.
+//! Fills a transaction with what has to be written, the most urgent first.
 
-use crate::leader::*;
-use std::collections::HashSet;
-use std::ops::Bound::{Excluded, Unbounded};
+use crate::fairness::Ledger;
+use crate::io::{Precondition, StoreRequest};
+use crate::jobs::JobState;
+use crate::leader::cluster::Cluster;
+use crate::leader::failover::MAX_RECORDED_CRASH_LOOPS;
+use crate::leader::persistence::machine_registry::MachineRegistry;
+use crate::leader::persistence::transaction::{TransactionBuilder, WriteBudget};
+use crate::leader::persistence::writer::Writer;
+use crate::leader::{Context, Leader};
+use crate::model::{FencingToken, JobId, Ms, Revision, WallMs};
+use crate::store::calls::{Calls, StorePurpose};
+use crate::store::pending_transaction::{WrittenCompletions, WrittenSegment};
+use crate::store::rate_limiter::CallPriority;
+use crate::store::records::{
+    active_job_key, completions_key, encode, machine_registry_key, LEADER_KEY, LEDGER_KEY,
+    PRIMARY_ZONE_KEY,
+};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// A transaction that is filled up to the limits of the state service. One that passes
-/// them is refused for ever, since the same would be written again.
-struct Txn {
-    preconditions: Vec<Precondition>,
-    puts: Vec<PutRequest>,
-    deletes: Vec<String>,
-    most: usize,
-    bytes: usize,
-}
+/// Changes in one transaction, however few the settings allow: an outcome takes two.
+const MIN_TRANSACTION_OPS: usize = 2;
+/// Bytes of the ledger record at the most.
+const LEDGER_BYTES: usize = 4096;
+/// Bytes of a zone's name at the most.
+const ZONE_BYTES: usize = 256;
+/// Milliseconds until a transaction for which no call was left is made again.
+const RATE_LIMITED_RETRY_MS: Ms = 20;
 
-impl Txn {
-    /// What a key and its mod revision, or a change, take at the most beside the value.
-    const FRAME: usize = 128;
+/// The parts of a leader that a transaction is filled from.
+struct WriteSources<'a> {
+    cluster: &'a mut Cluster,
+    registry: &'a mut MachineRegistry,
+    ledger: &'a Ledger,
+    primary_zone: Option<&'a str>,
+    unknown_jobs: &'a BTreeSet<JobId>,
+    token: FencingToken,
+    /// Mod revision of the leader's record: a transaction succeeds only while it leads.
+    leader_revision: Revision,
+}
 
-    fn new(condition: Precondition, most: usize) -> Self {
-        Txn {
-            preconditions: vec![condition],
-            puts: Vec::new(),
-            deletes: Vec::new(),
-            most,
-            bytes: Self::FRAME,
+impl Leader {
+    /// Writes what has to be written, if a transaction may go out.
+    pub(in crate::leader) fn flush(&mut self, ctx: &Context, calls: &mut Calls) {
+        if !self.writer.is_ready(ctx.now) || !self.loaded() || !ctx.holds_valid_lease {
+            return;
         }
-    }
-
-    /// Whether so many changes with so much in them still fit. The first always do.
-    fn room(&self, changes: usize, bytes: usize) -> bool {
-        let have = self.puts.len() + self.deletes.len();
-        have == 0
-            || (have + changes <= self.most
-                && self.bytes + changes * 2 * Self::FRAME + bytes <= TXN_BYTES)
-    }
-
-    fn put(&mut self, mod_revision: Revision, key: String, value: String) {
-        self.bytes += 2 * Self::FRAME + value.len();
-        self.preconditions.push(Precondition::new(key.clone(), mod_revision));
-        self.puts.push(PutRequest { key, value, lease_id: None });
-    }
-
-    fn put_end(&mut self, job: JobId, mod_revision: Revision) {
-        self.bytes += 3 * Self::FRAME;
-        self.preconditions.push(Precondition::new(active_job_key(job), mod_revision));
-        self.deletes.push(active_job_key(job));
-        self.puts.push(PutRequest {
-            key: outcome_key(job),
-            value: encode(&JobOutcome::Done),
-            lease_id: None,
-        });
-    }
-
-    fn remove(&mut self, key: String) {
-        self.bytes += Self::FRAME;
-        self.deletes.push(key);
+        let sources = WriteSources {
+            cluster: &mut self.cluster,
+            registry: &mut self.registry,
+            ledger: &self.ledger,
+            primary_zone: self.autoscaler.primary_zone.as_deref(),
+            unknown_jobs: &self.failover.unknown,
+            token: self.token,
+            leader_revision: self.mod_revision,
+        };
+        self.writer.flush(ctx, calls, sources);
     }
 }
 
-impl Leader {
-    pub fn flush(&mut self, ctx: &Context, calls: &mut Calls) {
-        if self.writer.in_flight
-            || !self.loaded()
-            || !ctx.holds_valid_lease
-            || ctx.now < self.writer.not_before
-        {
+impl Writer {
+    fn flush(&mut self, ctx: &Context, calls: &mut Calls, sources: WriteSources) {
+        self.refresh_stale_keys(ctx, calls, sources.token);
+        self.back_off.retain(|_, until| *until > ctx.now);
+        let max_changes = ctx.cfg.transaction_ops.max(MIN_TRANSACTION_OPS).min(self.max_changes);
+        let precondition = Precondition::new(LEADER_KEY, sources.leader_revision);
+        let mut transaction = TransactionBuilder::new(precondition, max_changes);
+        let mut budget = WriteBudget { now: ctx.now, writes: &mut calls.write_rate };
+        self.add_outcomes(ctx, &sources, &mut transaction, &mut budget);
+        self.add_registry_segments(sources.registry, &mut transaction, &mut budget);
+        self.add_ledger(ctx, &sources, &mut transaction, &mut budget);
+        self.add_primary_zone(sources.primary_zone, &mut transaction, &mut budget);
+        self.add_completions(ctx, &mut sources.cluster.jobs, &mut transaction, &mut budget);
+        self.add_deletions(&mut transaction, &mut budget);
+        let Some((request, pending)) = transaction.finish() else { return };
+        if !calls.try_acquire(ctx.now, CallPriority::Completion) {
+            let completions_by = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
+            self.restore(&mut sources.cluster.jobs, sources.registry, pending, completions_by);
+            self.not_before = ctx.now + RATE_LIMITED_RETRY_MS;
             return;
         }
-        for (key, asked) in self.writer.refresh.iter_mut().filter(|(_, asked)| !**asked) {
+        self.in_flight = true;
+        let purpose =
+            StorePurpose::LeaderTransaction { token: sources.token, pending: Box::new(pending) };
+        calls.send_to_store(purpose, request, ctx.cfg.leader_lease_ms() / 4);
+    }
+
+    /// Reads the mod revisions again that are not known.
+    fn refresh_stale_keys(&mut self, ctx: &Context, calls: &mut Calls, token: FencingToken) {
+        for (key, in_flight) in self.stale_keys.iter_mut().filter(|(_, in_flight)| !**in_flight) {
             if calls.try_acquire(ctx.now, CallPriority::Completion) {
-                *asked = true;
-                let purpose = StorePurpose::RefreshRevision { token: self.token, key: key.clone() };
-                calls.send_to_store(
-                    purpose,
-                    StoreRequest::Get(key.clone()),
-                    ctx.cfg.leader_lease_ms() / 4,
-                );
+                *in_flight = true;
+                let purpose = StorePurpose::RefreshRevision { token, key: key.clone() };
+                let timeout_ms = ctx.cfg.leader_lease_ms() / 4;
+                calls.send_to_store(purpose, StoreRequest::Get(key.clone()), timeout_ms);
             }
         }
-        let now = ctx.now;
-        let mut f = PendingWrite::default();
-        self.writer.parked.retain(|_, until| *until > now);
-        let most = ctx.cfg.transaction_ops.max(2).min(self.writer.changes_most);
-        let mut t = Txn::new(Precondition::new(LEADER_KEY, self.mod_revision), most);
-        let mut paid = |n: f64, class| calls.write_rate.try_acquire(now, n, class);
-        for id in &self.writer.complete {
-            let Some(j) = self.cluster.jobs.get(id).filter(|j| j.ended.is_none()) else { continue };
+    }
+
+    /// Adds the outcomes of jobs whose tasks are all done.
+    fn add_outcomes(
+        &self,
+        ctx: &Context,
+        sources: &WriteSources,
+        transaction: &mut TransactionBuilder,
+        budget: &mut WriteBudget,
+    ) {
+        for id in &self.complete_jobs {
+            let job = sources.cluster.jobs.get(id).filter(|job| job.ended.is_none());
+            let Some(job) = job else { continue };
             if !ctx.job_cache.active.contains_key(id)
-                || self.failover.unknown.contains(id)
-                || self.writer.parked.contains_key(&active_job_key(*id))
+                || sources.unknown_jobs.contains(id)
+                || self.back_off.contains_key(&active_job_key(*id))
             {
                 continue;
             }
-            if !t.room(2, 128) || !paid(2.0, CallPriority::Completion) {
-                break;
+            if !transaction.has_room_for_outcome() || !budget.acquire_outcome() {
+                return;
             }
-            // The end has no mod revision of its own to compare: a job that is still active has
-            // no end yet.
-            f.ends.push(*id);
-            t.put_end(*id, j.mod_revision);
+            transaction.put_outcome(*id, job.mod_revision);
         }
-        let mod_revision =
-            |key: &str| self.writer.mod_revisions.get(key).copied().unwrap_or(Revision::NONE);
-        let shut = |key: &str| {
-            self.writer.refresh.contains_key(key) || self.writer.parked.contains_key(key)
-        };
-        // In turn: few fit into one transaction, and each has machines that wait for it.
-        let after = self.registry.dirty.range((Excluded(self.registry.last_written), Unbounded));
-        let order: Vec<usize> = after
-            .chain(self.registry.dirty.range(..=self.registry.last_written))
-            .copied()
-            .collect();
-        for part in order {
-            let key = machine_registry_key(part);
-            if shut(&key)
-                || self.registry.waits.get(&part).is_some_and(|w| !w.is_empty())
-                || !t.room(1, self.registry.bytes[part])
-                || !paid(1.0, CallPriority::Request)
+    }
+
+    /// Adds the segments of the machine registry that have to be written.
+    fn add_registry_segments(
+        &self,
+        registry: &mut MachineRegistry,
+        transaction: &mut TransactionBuilder,
+        budget: &mut WriteBudget,
+    ) {
+        for segment in registry.write_order() {
+            let key = machine_registry_key(segment);
+            if self.is_blocked(&key)
+                || registry.must_wait(segment)
+                || !transaction.has_room(1, registry.segment_bytes(segment))
+                || !budget.acquire(1, CallPriority::Request)
             {
                 continue;
             }
-            self.registry.dirty.remove(&part);
-            self.registry.last_written = part;
-            let may_hold = self.registry.parts[part].iter().filter(|e| !e.free);
-            f.registry.push((part, may_hold.map(|e| e.id.clone()).collect()));
-            f.keys.push(key.clone());
-            t.put(mod_revision(&key), key, encode(&self.registry.parts[part]));
+            registry.dirty.remove(&segment);
+            registry.last_written = segment;
+            let in_use = registry.in_use(segment).cloned().collect();
+            transaction.pending.registry_segments.push(WrittenSegment { segment, in_use });
+            let value = encode(&registry.records(segment));
+            transaction.put(self.mod_revision(&key), key, value);
         }
-        if self.writer.ledger_due
-            && !shut(LEDGER_KEY)
-            && t.room(1, 4096)
-            && paid(1.0, CallPriority::Completion)
-        {
-            self.writer.ledger_due = false;
-            f.ledger = true;
-            let leases_end = ctx.wall + (ctx.cfg.policy.lease_term_s * 1000.0) as WallMs;
-            f.keys.push(LEDGER_KEY.into());
-            let sick = self
-                .cluster
-                .jobs
-                .values()
-                .filter(|j| j.ended.is_none() && j.health.is_crash_looping());
-            let suspects = sick.map(|j| j.id).take(SUSPECTS_TOLD).collect();
-            let record = self.ledger.record(ctx.cfg, leases_end, suspects);
-            t.put(mod_revision(LEDGER_KEY), LEDGER_KEY.into(), encode(&record));
-        }
-        if self.writer.preferred_zone_due
-            && !shut(PRIMARY_ZONE_KEY)
-            && t.room(1, 256)
-            && paid(1.0, CallPriority::Background)
+    }
+
+    /// Adds the fairness ledger, with the jobs in a crash loop.
+    fn add_ledger(
+        &mut self,
+        ctx: &Context,
+        sources: &WriteSources,
+        transaction: &mut TransactionBuilder,
+        budget: &mut WriteBudget,
+    ) {
+        if !self.ledger_due
+            || self.is_blocked(LEDGER_KEY)
+            || !transaction.has_room(1, LEDGER_BYTES)
+            || !budget.acquire(1, CallPriority::Completion)
         {
-            self.writer.preferred_zone_due = false;
-            f.primary_zone = true;
-            f.keys.push(PRIMARY_ZONE_KEY.into());
-            t.put(
-                mod_revision(PRIMARY_ZONE_KEY),
-                PRIMARY_ZONE_KEY.into(),
-                encode(&self.autoscaler.primary_zone),
-            );
-        }
-        if now >= self.writer.next_parts && !self.writer.unwritten.is_empty() {
-            // Were the lowest ids written first each time, the others' completions would
-            // wait for as long as more comes than can be written.
-            let last = self.writer.written_last;
-            let after = self.writer.unwritten.range((Excluded(last), Unbounded));
-            let order: Vec<JobId> =
-                after.chain(self.writer.unwritten.range(..=last)).copied().collect();
-            let mut left = false;
-            'jobs: for id in order {
-                let Some(j) = self.cluster.jobs.get_mut(&id) else {
-                    self.writer.unwritten.remove(&id);
-                    continue;
-                };
-                if j.ended.is_some() || j.is_complete() {
-                    self.writer.unwritten.remove(&id);
-                    continue;
-                }
-                for part in j.dirty_segments.clone() {
-                    let key = completions_key(id, part);
-                    if self.writer.refresh.contains_key(&key)
-                        || self.writer.parked.contains_key(&key)
-                    {
-                        continue;
-                    }
-                    let text = j.done.segment(part);
-                    if !t.room(1, text.len()) || !paid(1.0, CallPriority::Background) {
-                        left = true;
-                        break 'jobs;
-                    }
-                    j.dirty_segments.remove(&part);
-                    j.stored_segments.insert(part);
-                    f.keys.push(key.clone());
-                    t.put(mod_revision(&key), key, encode(&text));
-                    f.parts.push((id, part, text));
-                }
-                self.writer.written_last = id;
-                if j.dirty_segments.is_empty() {
-                    self.writer.unwritten.remove(&id);
-                }
-            }
-            if !left {
-                self.writer.next_parts = now + ctx.cfg.heartbeat_interval_ms;
-            }
-        }
-        while let Some((job, part)) = self.writer.cleanup.first().copied() {
-            if !t.room(1, 0) || !paid(1.0, CallPriority::Background) {
-                break;
-            }
-            self.writer.cleanup.pop_first();
-            t.remove(completions_key(job, part));
-            f.cleaned.push((job, part));
-        }
-        let Txn { preconditions, puts, deletes, .. } = t;
-        f.changes = puts.len() + deletes.len();
-        if f.changes == 0 {
-            return;
-        }
-        if !calls.try_acquire(now, CallPriority::Completion) {
-            self.undo(ctx, f);
-            self.writer.not_before = now + 20;
             return;
         }
-        self.writer.in_flight = true;
-        let purpose = StorePurpose::LeaderTransaction { token: self.token, pending: Box::new(f) };
-        let op = StoreRequest::Transaction { preconditions, puts, deletes };
-        calls.send_to_store(purpose, op, ctx.cfg.leader_lease_ms() / 4);
+        self.ledger_due = false;
+        transaction.pending.ledger = true;
+        let leases_end = ctx.wall + (ctx.cfg.policy.lease_term_s * 1000.0) as WallMs;
+        let jobs = sources.cluster.jobs.values();
+        let crash_loops = jobs
+            .filter(|job| job.ended.is_none() && job.health.is_crash_looping())
+            .map(|job| job.id)
+            .take(MAX_RECORDED_CRASH_LOOPS)
+            .collect();
+        let record = sources.ledger.record(ctx.cfg, leases_end, crash_loops);
+        transaction.put(self.mod_revision(LEDGER_KEY), LEDGER_KEY.into(), encode(&record));
     }
 
-    fn undo(&mut self, ctx: &Context, f: PendingWrite) {
-        for (job, part, _) in f.parts {
-            if let Some(j) = self.cluster.jobs.get_mut(&job) {
-                j.dirty_segments.insert(part);
-                self.writer.unwritten.insert(job);
-            }
+    /// Adds the primary zone.
+    fn add_primary_zone(
+        &mut self,
+        primary_zone: Option<&str>,
+        transaction: &mut TransactionBuilder,
+        budget: &mut WriteBudget,
+    ) {
+        if !self.primary_zone_due
+            || self.is_blocked(PRIMARY_ZONE_KEY)
+            || !transaction.has_room(1, ZONE_BYTES)
+            || !budget.acquire(1, CallPriority::Background)
+        {
+            return;
         }
-        self.registry.dirty.extend(f.registry.into_iter().map(|(p, _)| p));
-        self.writer.cleanup.extend(f.cleaned);
-        self.writer.ledger_due |= f.ledger;
-        self.writer.preferred_zone_due |= f.primary_zone;
-        self.writer.next_parts =
-            self.writer.next_parts.min(ctx.now + ctx.cfg.heartbeat_interval_ms / 4);
+        self.primary_zone_due = false;
+        transaction.pending.primary_zone = true;
+        let mod_revision = self.mod_revision(PRIMARY_ZONE_KEY);
+        transaction.put(mod_revision, PRIMARY_ZONE_KEY.into(), encode(&primary_zone));
     }
 
-    pub fn flush_answer(
+    /// Adds the completions of unfinished jobs, at most once a heartbeat interval.
+    fn add_completions(
         &mut self,
         ctx: &Context,
-        mut f: PendingWrite,
-        reply: StoreReply,
-    ) -> WriteOutcome {
-        self.writer.in_flight = false;
-        let mut out = WriteOutcome::default();
-        match reply {
-            StoreReply::Committed { revision } => {
-                self.writer.changes_most = self.writer.changes_most.saturating_mul(2);
-                for key in f.keys {
-                    self.writer.mod_revisions.insert(key, revision);
-                }
-                for (job, part, text) in f.parts {
-                    if let Some(j) = self.cluster.jobs.get_mut(&job) {
-                        j.durable.add_segment(part, &text);
-                    }
-                }
-                for (part, ids) in f.registry {
-                    self.registry_written(part);
-                    let still: HashSet<&MachineId> = self.registry.parts[part]
-                        .iter()
-                        .filter(|e| !e.free)
-                        .map(|e| &e.id)
-                        .collect();
-                    for id in ids.iter().filter(|id| still.contains(id)) {
-                        if let Some(m) = self
-                            .cluster
-                            .machines
-                            .get_mut(id)
-                            .filter(|m| m.free_in_segments.is_empty())
-                        {
-                            self.scheduler.changed |= !m.registered_in_use;
-                            m.registered_in_use = true;
-                        }
-                    }
-                }
-                out.ends = f.ends;
-            }
-            StoreReply::Conflict { failed } => {
-                out.deposed = failed.iter().any(|k| k == LEADER_KEY);
-                let ends = std::mem::take(&mut f.ends);
-                out.read =
-                    ends.into_iter().filter(|j| failed.contains(&active_job_key(*j))).collect();
-                for key in failed.into_iter().filter(|k| f.keys.contains(k)) {
-                    self.writer.refresh.insert(key, false);
-                }
-                self.undo(ctx, f);
-            }
-            StoreReply::Rejected => {
-                // Written again as it is, it would be rejected for ever, and nothing after it
-                // would be written: fewer changes at once, and what is rejected alone rests.
-                self.writer.changes_most = (f.changes / 2).max(1);
-                if f.changes <= 1 || (f.ends.len() == 1 && f.keys.is_empty()) {
-                    let until = ctx.now + ctx.cfg.lease_ms * PARKED_LEASES;
-                    let ends = f.ends.iter().map(|j| active_job_key(*j));
-                    let keys: Vec<String> = f.keys.iter().cloned().chain(ends).collect();
-                    out.rejected = Some(keys.join(","));
-                    self.writer.parked.extend(keys.into_iter().map(|k| (k, until)));
-                    f.cleaned.clear();
-                }
-                self.undo(ctx, f);
-                self.writer.not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
-            }
-            StoreReply::Refused => {
-                self.undo(ctx, f);
-                self.writer.not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
+        jobs: &mut BTreeMap<JobId, JobState>,
+        transaction: &mut TransactionBuilder,
+        budget: &mut WriteBudget,
+    ) {
+        if ctx.now < self.next_completions_at || self.unwritten_jobs.is_empty() {
+            return;
+        }
+        for id in self.completion_order() {
+            let job = jobs.get_mut(&id).filter(|job| job.ended.is_none() && !job.is_complete());
+            let Some(job) = job else {
+                self.unwritten_jobs.remove(&id);
+                continue;
+            };
+            if !self.add_completions_of(job, transaction, budget) {
+                return;
             }
-            _ => {
-                // It may yet be carried out. Every key is written again only with the
-                // mod revision it has by then, so the late one and ours cannot both win.
-                for key in std::mem::take(&mut f.keys) {
-                    self.writer.refresh.insert(key, false);
-                }
-                self.undo(ctx, f);
-                self.writer.not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
+            self.last_written_job = id;
+            if job.dirty_segments.is_empty() {
+                self.unwritten_jobs.remove(&id);
             }
         }
-        out
+        self.next_completions_at = ctx.now + ctx.cfg.heartbeat_interval_ms;
     }
 
-    pub fn refresh_answer(&mut self, key: String, reply: StoreReply) {
-        match reply {
-            StoreReply::KeyValue(i) => {
-                self.writer.mod_revisions.insert(key.clone(), i.mod_revision);
-                self.writer.refresh.remove(&key);
+    /// Adds the completions of one job; false if there was no room for all that may be written.
+    fn add_completions_of(
+        &self,
+        job: &mut JobState,
+        transaction: &mut TransactionBuilder,
+        budget: &mut WriteBudget,
+    ) -> bool {
+        for segment in job.dirty_segments.clone() {
+            let key = completions_key(job.id, segment);
+            if self.is_blocked(&key) {
+                continue;
             }
-            StoreReply::NotFound => {
-                self.writer.mod_revisions.remove(&key);
-                self.writer.refresh.remove(&key);
+            let text = job.done.segment(segment);
+            if !transaction.has_room(1, text.len()) || !budget.acquire(1, CallPriority::Background)
+            {
+                return false;
             }
-            _ => {
-                self.writer.refresh.insert(key, false);
+            job.dirty_segments.remove(&segment);
+            job.stored_segments.insert(segment);
+            transaction.put(self.mod_revision(&key), key, encode(&text));
+            let written = WrittenCompletions { job: job.id, segment, text };
+            transaction.pending.completions.push(written);
+        }
+        true
+    }
+
+    /// Deletes the completions of ended jobs.
+    fn add_deletions(&mut self, transaction: &mut TransactionBuilder, budget: &mut WriteBudget) {
+        while let Some(&(job, segment)) = self.obsolete_completions.first() {
+            if !transaction.has_room(1, 0) || !budget.acquire(1, CallPriority::Background) {
+                return;
             }
+            self.obsolete_completions.pop_first();
+            transaction.delete(completions_key(job, segment));
+            transaction.pending.deleted_completions.push((job, segment));
         }
     }
 }
-
-#[cfg(test)]
-#[path = "flush_tests.rs"]
-mod tests;
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -1,17 +1,23 @@
 use super::*;
+use crate::io::{Effect, StoreReply, StoreRequest};
+use crate::jobs::JobCache;
+use crate::model::{FencingToken, Revision};
 use crate::settings::sample::settings;
+use crate::settings::Settings;
+use crate::store::calls::StorePurpose;
+use crate::store::records::machine_registry_key;
 use std::sync::Arc;
 
 /// The machine registry as the state service holds it, and how often it was written.
 #[derive(Clone, Default)]
-struct Kept {
-    parts: BTreeMap<String, String>,
+struct StoredRegistry {
+    segments: BTreeMap<String, String>,
     revision: Revision,
 }
 
-impl Kept {
-    fn entries(&self) -> Vec<MachineRecord> {
-        self.parts.values().flat_map(|v| decode::<Vec<MachineRecord>>(v).unwrap()).collect()
+impl StoredRegistry {
+    fn records(&self) -> Vec<MachineRecord> {
+        self.segments.values().flat_map(|v| decode::<Vec<MachineRecord>>(v).unwrap()).collect()
     }
 
     fn load(&self, ctx: &Context) -> Leader {
@@ -24,14 +30,14 @@
             mod_revision: Revision(1),
             lease_id: None,
         };
-        leader.load_answer(ctx, calls, rows(self.parts.iter().map(item).collect()));
-        leader.load_answer(ctx, calls, rows(Vec::new()));
-        leader.load_answer(ctx, calls, StoreReply::NotFound);
+        leader.load_reply(ctx, calls, rows(self.segments.iter().map(item).collect()));
+        leader.load_reply(ctx, calls, rows(Vec::new()));
+        leader.load_reply(ctx, calls, StoreReply::NotFound);
         assert!(leader.loaded());
         leader
     }
 
-    /// Carries out one flush; false if there was none.
+    /// Carries out one transaction; false if there was none.
     fn flush(&mut self, ctx: &Context, leader: &mut Leader) -> bool {
         let mut calls = Calls::default();
         calls.write_rate.set_rate(1e6);
@@ -47,20 +53,20 @@
         self.revision.0 += 1;
         for p in puts.into_iter().filter(|p| p.key.starts_with(MACHINE_REGISTRY_PREFIX)) {
             assert!(p.value.len() <= ctx.cfg.value_bytes, "{} holds {}", p.key, p.value.len());
-            self.parts.insert(p.key, p.value);
+            self.segments.insert(p.key, p.value);
         }
         let Some(StorePurpose::LeaderTransaction { pending, .. }) = calls.finish_store(op) else {
-            panic!("no flush")
+            panic!("no transaction")
         };
-        leader.flush_answer(ctx, *pending, StoreReply::Committed { revision: self.revision });
+        leader.transaction_reply(ctx, *pending, StoreReply::Committed { revision: self.revision });
         true
     }
 
-    /// Each name is somewhere, and nowhere is free what a start may be made on.
-    fn check(&self, leader: &Leader, names: usize, busy: &dyn Fn(usize) -> bool) {
-        let entries = self.entries();
+    /// Each machine is listed, and none passes for free on which a start may be made.
+    fn assert_consistent(&self, leader: &Leader, names: usize, busy: &dyn Fn(usize) -> bool) {
+        let records = self.records();
         for i in 0..names {
-            let here: Vec<&MachineRecord> = entries.iter().filter(|e| e.id == id(i)).collect();
+            let here: Vec<&MachineRecord> = records.iter().filter(|e| e.id == id(i)).collect();
             assert!(!here.is_empty(), "{} is lost", id(i));
             let free = here.iter().all(|e| e.free);
             assert!(!busy(i) || !free, "{} passes for free", id(i));
@@ -78,25 +84,25 @@
     MachineId(Arc::from(format!("m-{i:06}")))
 }
 
-fn part(range: std::ops::Range<usize>, free: impl Fn(usize) -> bool) -> String {
-    let entry = |i| MachineRecord {
+fn segment(range: std::ops::Range<usize>, free: impl Fn(usize) -> bool) -> String {
+    let record = |i| MachineRecord {
         id: id(i),
         machine_type: "folio-box".into(),
         zone: "toowong-store".into(),
         spot: false,
         free: free(i),
     };
-    encode(&range.map(entry).collect::<Vec<_>>())
+    encode(&range.map(record).collect::<Vec<_>>())
 }
 
 fn limits() -> Settings {
     Settings { value_bytes: 512, transaction_ops: 2, ..settings() }
 }
 
-/// What an earlier version left larger than a value may be now is cut, a piece at a time. A
-/// leader that ends after any piece leaves every name where the next one finds it.
+/// A segment that an earlier version left larger than a value may be now is split. A
+/// leader that ends after any piece leaves every machine where the next one finds it.
 #[test]
-fn a_large_part_is_cut_without_losing_a_name() {
+fn an_oversized_segment_is_split_without_losing_a_machine() {
     let (cfg, job_cache) = (limits(), JobCache::new(10));
     let ctx = Context {
         cfg: &cfg,
@@ -109,36 +115,36 @@
     };
     let busy = |i: usize| !i.is_multiple_of(3);
     for ends_after in 0..12 {
-        let mut kept = Kept::default();
-        kept.parts.insert(machine_registry_key(0), part(0..40, |i| !busy(i)));
-        kept.parts.insert(machine_registry_key(1), part(40..43, |i| !busy(i)));
-        let mut leader = kept.load(&ctx);
+        let mut stored = StoredRegistry::default();
+        stored.segments.insert(machine_registry_key(0), segment(0..40, |i| !busy(i)));
+        stored.segments.insert(machine_registry_key(1), segment(40..43, |i| !busy(i)));
+        let mut leader = stored.load(&ctx);
         // Whichever part's turn it is.
         leader.registry.last_written = ends_after % 8;
         let mut touched = BTreeSet::new();
         for step in 0..60 {
             if step == ends_after {
-                leader = kept.load(&ctx);
+                leader = stored.load(&ctx);
                 touched.clear();
             }
-            // Machines report while it goes on, and may be given work once that is kept.
+            // Machines report while it goes on, and may be given work once that is stored.
             for i in [step * 7 % 43, (step * 7 + 12) % 43, (step * 7 + 30) % 43] {
-                leader.note_free(&id(i), false);
+                leader.set_registered_free(&id(i), false);
                 touched.insert(i);
             }
-            kept.flush(&ctx, &mut leader);
-            kept.check(&leader, 43, &|i| busy(i));
+            stored.flush(&ctx, &mut leader);
+            stored.assert_consistent(&leader, 43, &|i| busy(i));
         }
         for _ in 0..200 {
             leader.writer.not_before = 0;
-            if !kept.flush(&ctx, &mut leader) {
+            if !stored.flush(&ctx, &mut leader) {
                 break;
             }
-            kept.check(&leader, 43, &|i| busy(i));
+            stored.assert_consistent(&leader, 43, &|i| busy(i));
         }
         assert!(leader.registry.waits.is_empty() && leader.registry.dirty.is_empty());
-        assert_eq!(kept.entries().len(), 43, "named once each in the end");
-        assert!(kept.parts.values().all(|v| v.len() <= cfg.value_bytes));
+        assert_eq!(stored.records().len(), 43, "listed once each in the end");
+        assert!(stored.segments.values().all(|v| v.len() <= cfg.value_bytes));
         assert!(
             touched.iter().all(|i| leader.cluster.machines[&id(*i)].registered_in_use),
             "no work for some"
@@ -146,10 +152,10 @@
     }
 }
 
-/// A leader that ended while it cut, or an old version that wrote a part again, leaves names
-/// in two parts, of which one may say that nothing runs there.
+/// A leader that ended while it cut, or an old version that wrote a segment again, leaves machines
+/// in two segments, of which one may say that nothing runs there.
 #[test]
-fn a_name_in_two_parts_is_free_only_if_both_say_so() {
+fn a_machine_in_two_segments_is_free_only_if_both_say_so() {
     let (cfg, job_cache) = (limits(), JobCache::new(10));
     let ctx = Context {
         cfg: &cfg,
@@ -160,10 +166,10 @@
         holds_valid_lease: true,
         job_cache_is_fresh: true,
     };
-    let mut kept = Kept::default();
-    kept.parts.insert(machine_registry_key(0), part(0..4, |i| i < 2));
-    kept.parts.insert(machine_registry_key(1), part(0..4, |i| i.is_multiple_of(2)));
-    let mut leader = kept.load(&ctx);
+    let mut stored = StoredRegistry::default();
+    stored.segments.insert(machine_registry_key(0), segment(0..4, |i| i < 2));
+    stored.segments.insert(machine_registry_key(1), segment(0..4, |i| i.is_multiple_of(2)));
+    let mut leader = stored.load(&ctx);
     let reconciled: Vec<bool> =
         (0..4).map(|i| leader.cluster.machines[&id(i)].reconciled).collect();
     assert_eq!(reconciled, [true, false, false, false]);
@@ -172,10 +178,10 @@
             && !leader.cluster.machines[&id(2)].registered_in_use
     );
     for _ in 0..20 {
-        kept.flush(&ctx, &mut leader);
-        kept.check(&leader, 4, &|i| i > 0);
+        stored.flush(&ctx, &mut leader);
+        stored.assert_consistent(&leader, 4, &|i| i > 0);
     }
-    assert_eq!(kept.entries().len(), 4);
+    assert_eq!(stored.records().len(), 4);
     assert!(
         leader.cluster.machines[&id(1)].registered_in_use
             && leader.cluster.machines[&id(2)].registered_in_use
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -103,16 +103,16 @@
         }
     };
     let silent = |leader: &Leader| {
-        let reachable_since = leader.liveness.silence_counts_from;
+        let reachable_since = leader.liveness.reachable_since;
         silent_machines_with_replicas(&test.context(now), &leader.cluster, reachable_since)
     };
     hear(&mut leader, &with[..1], now - 3_400);
     assert!(silent(&leader).is_empty(), "too soon");
     hear(&mut leader, &with[..1], now - 3_600);
     assert_eq!(silent(&leader).len(), 1);
-    leader.liveness.silence_counts_from = now - 2_000;
+    leader.liveness.reachable_since = now - 2_000;
     assert!(silent(&leader).is_empty(), "we stood still ourselves");
-    leader.liveness.silence_counts_from = 0;
+    leader.liveness.reachable_since = 0;
     // Half of a zone.
     let zone: Vec<MachineId> = leader
         .cluster
--- a/crates/basaltrail-core/src/machines/machine.rs
+++ b/crates/basaltrail-core/src/machines/machine.rs
@@ -2,7 +2,7 @@
 
 use crate::machines::health::MachineHealth;
 use crate::machines::machine_kind::MachineKind;
-use crate::machines::task_slot::{TaskChange, TaskPhase, TaskSlot};
+use crate::machines::task_slot::{TaskChange, TaskExit, TaskPhase, TaskSlot};
 use crate::model::{AgentEpoch, Attempt, Heartbeat, ListedState, MachineId, Ms, TaskId, TaskState};
 use crate::resources::Resources;
 use std::collections::{BTreeMap, BTreeSet};
@@ -364,7 +364,7 @@
             }
             slot.outcome_recorded = true;
             let ran_ms = slot.running_since.map(|since| now - since);
-            return Some(TaskChange::Exited { task, attempt, reason, ran_ms });
+            return Some(TaskChange::Exited(TaskExit { task, attempt, reason, ran_ms }));
         }
         (!known || slot.demand.is_none()).then_some(TaskChange::Present { task, attempt })
     }
--- a/crates/basaltrail-core/src/machines/mod.rs
+++ b/crates/basaltrail-core/src/machines/mod.rs
@@ -11,4 +11,4 @@
 
 pub use machine::{Decommission, Machine};
 pub use machine_kind::MachineKind;
-pub use task_slot::{TaskChange, TaskDemand, TaskPhase, TaskSlot};
+pub use task_slot::{TaskChange, TaskDemand, TaskExit, TaskPhase, TaskSlot};
--- a/crates/basaltrail-core/src/machines/task_slot.rs
+++ b/crates/basaltrail-core/src/machines/task_slot.rs
@@ -1,6 +1,6 @@
 //! Task slots: one attempt of a task that occupies, or may occupy, a part of a machine.
 
-use crate::model::{Attempt, ExitReason, JobId, Ms, Priority, TaskId, TaskState};
+use crate::model::{Attempt, ExitReason, Ms, Priority, TaskId, TaskState};
 use crate::resources::Resources;
 
 /// How far the start of a task has come.
@@ -104,25 +104,30 @@
         attempt: Attempt,
     },
     /// The attempt has exited.
-    Exited {
-        /// The task.
-        task: TaskId,
-        /// Its attempt.
-        attempt: Attempt,
-        /// How it ended.
-        reason: ExitReason,
-        /// Milliseconds that it was seen running, if it was.
-        ran_ms: Option<Ms>,
-    },
+    Exited(TaskExit),
+}
+
+/// The end of an attempt, as its machine's agent reported it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TaskExit {
+    /// The task.
+    pub task: TaskId,
+    /// Its attempt.
+    pub attempt: Attempt,
+    /// How it ended.
+    pub reason: ExitReason,
+    /// Milliseconds that it was seen running, if it was.
+    pub ran_ms: Option<Ms>,
 }
 
 impl TaskChange {
-    /// The job of the task.
-    pub fn job(&self) -> JobId {
-        match self {
-            TaskChange::Gone { task, .. }
-            | TaskChange::Present { task, .. }
-            | TaskChange::Exited { task, .. } => task.job,
+    /// The change by which an attempt became known that was reported before its job was known.
+    pub fn reported(task: TaskId, attempt: Attempt, phase: TaskPhase) -> Self {
+        match phase {
+            TaskPhase::Confirmed(TaskState::Exited(reason)) => {
+                TaskChange::Exited(TaskExit { task, attempt, reason, ran_ms: None })
+            }
+            _ => TaskChange::Present { task, attempt },
         }
     }
 }
--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -6,8 +6,8 @@
 use crate::events::LogEvent;
 use crate::io::{CloudRequest, Effect, StoreRequest};
 use crate::jobs::watch::WatchKind;
-use crate::leader::PendingWrite;
 use crate::model::{CallId, FencingToken, JobId, MachineId, Ms, RequestId};
+use crate::store::pending_transaction::PendingTransaction;
 use crate::store::rate_limiter::{CallPriority, TokenBucket};
 use crate::store::records::{ACTIVE_JOBS_PREFIX, ADMISSION_PREFIX};
 use basaltrail_admission::QuotaWrite;
@@ -92,7 +92,7 @@
         /// The term.
         token: FencingToken,
         /// What it writes.
-        pending: Box<PendingWrite>,
+        pending: Box<PendingTransaction>,
     },
     /// Reads the mod revision of one of the leader's keys.
     RefreshRevision {
