--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -16,7 +16,7 @@
 mod store_replies;
 mod submissions;
 
-use crate::election::Election;
+use crate::election::{Election, ElectionSettings};
 use crate::events::{LeadershipEvent, ResignReason};
 use crate::io::{Effect, Input};
 use crate::jobs::watch::JobWatch;
@@ -91,13 +91,13 @@
             wall: 0,
             rng: SmallRng::seed_from_u64(seed),
             calls: Calls::default(),
-            election: Election::new(
-                &cfg.controller,
-                cfg.incarnation,
-                cfg.policy.admission.is_some(),
-                lease_ttl,
-                cfg.less_drift_margin(lease_ttl),
-            ),
+            election: Election::new(ElectionSettings {
+                controller: cfg.controller.clone(),
+                incarnation: cfg.incarnation,
+                allocates_quotas: cfg.policy.admission.is_some(),
+                lease_ttl_ms: lease_ttl,
+                lease_validity_ms: cfg.less_drift_margin(lease_ttl),
+            }),
             job_cache: JobCache::new(max_outcomes),
             job_watch: JobWatch::default(),
             requests: RequestQueue::default(),
@@ -252,10 +252,11 @@
         if self.election.primary_zone().unwrap_or(self.cfg.busiest_zone()) != self.cfg.zone {
             jitter += self.cfg.leader_lease_ms() / 8;
         }
-        for (call, request, timeout_ms) in self.election.calls(self.now, jitter) {
+        for due in self.election.requests(self.now, jitter) {
             // Leases come first and never wait; they are few.
             self.calls.try_acquire(self.now, CallPriority::Lease);
-            self.calls.send_to_store(StorePurpose::Election(call), request, timeout_ms);
+            let purpose = StorePurpose::Election(due.call);
+            self.calls.send_to_store(purpose, due.request, due.timeout_ms);
         }
         let holds_valid_lease = self.election.holds_valid_lease(self.now);
         self.lease_held_since =
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -1,7 +1,7 @@
 //! Replies of the store: each goes to the part of the controller that made the call.
 
 use super::Controller;
-use crate::election;
+use crate::election::ElectionCall;
 use crate::events::{JobEvent, StoreEvent};
 use crate::io::{StoreReply, StoreRequest};
 use crate::leader::WriteOutcome;
@@ -57,17 +57,18 @@
         }
     }
 
-    fn election_replied(&mut self, call: election::Call, reply: StoreReply) {
-        if let Some(lease_id) = self.election.answer(self.now, call, reply) {
-            let purpose = StorePurpose::Election(election::Call::Revoke { lease_id });
+    fn election_replied(&mut self, call: ElectionCall, reply: StoreReply) {
+        if let Some(lease_id) = self.election.reply(self.now, call, reply) {
+            let purpose = StorePurpose::Election(ElectionCall::RevokeLease { lease_id });
             let request = StoreRequest::RevokeLease { lease_id };
             self.calls.send_to_store(purpose, request, REVOKE_TIMEOUT_MS);
         }
-        if let Some((call, request, timeout_ms)) = self.election.take() {
+        if let Some(due) = self.election.campaign_request() {
             // Leases come first; the change is counted and never waits.
             let changes = TAKE_LEADERSHIP_CHANGES;
             self.calls.write_rate.try_acquire(self.now, changes, CallPriority::Lease);
-            self.calls.send_to_store(StorePurpose::Election(call), request, timeout_ms);
+            let purpose = StorePurpose::Election(due.call);
+            self.calls.send_to_store(purpose, due.request, due.timeout_ms);
         }
     }
 
--- a/crates/basaltrail-core/src/election.rs
+++ b/crates/basaltrail-core/src/election.rs
@@ -1,13 +1,34 @@
-//! Leadership: one key held under a lease of the state service, one growing token.
+//! Leader election: one key held under a lease of the state service, and one growing token.
 //!
-//! A controller is entitled from the moment its last successful extend was *sent*,
-//! for the lease's life less clock drift; the service ends a lease late but never
-//! early, so no two controllers are entitled at once. Nothing peers say counts here.
+//! A controller holds a valid lease from the moment at which its last successful keep-alive was
+//! *sent*, for the lease's time to live less clock drift; the service ends a lease late but never
+//! early, so no two controllers hold a valid one at once. Nothing that peers say counts here.
+//!
+//! The election is a state machine without I/O: [`Election::requests`] returns what to ask the
+//! state service now, [`Election::reply`] takes the answers.
+
+use crate::io::{KeyValue, Precondition, PutRequest, StoreReply, StoreRequest, WatchEvent};
+use crate::model::{FencingToken, LeaseId, Ms, Revision};
+use crate::store::records::{
+    decode, encode, LeaderRecord, CONTROL_PREFIX, LEADER_KEY, PRIMARY_ZONE_KEY, TERM_KEY,
+};
 
-use crate::io::*;
-use crate::model::*;
-use crate::store::records::*;
+/// Keys under the control prefix at the most: there are three.
+const CONTROL_KEYS: u32 = 10;
+/// Keep-alives in the time to live of a lease: several may be lost before it expires.
+const KEEP_ALIVES_PER_TTL: Ms = 5;
+/// Pauses after a failed request in the time to live of a lease.
+const PAUSES_PER_TTL: Ms = 20;
+/// Revocations of the lease of an earlier process in the time to live of a lease.
+const REVOCATIONS_PER_TTL: Ms = 10;
+/// The time for which a watch waits, as a part of the time to live of a lease.
+const WATCHES_PER_TTL: Ms = 2;
+/// The time for which a request waits for its answer, as a part of the time to live of a lease.
+const TIMEOUTS_PER_TTL: Ms = 4;
+/// `next_campaign` while the jitter is to be drawn anew.
+const JITTER_NOT_DRAWN: Ms = Ms::MAX;
 
+/// Who holds the leader key.
 #[derive(Clone, Debug, PartialEq)]
 struct Holder {
     record: LeaderRecord,
@@ -15,12 +36,15 @@
     lease_id: Option<LeaseId>,
 }
 
+/// What was last read of the keys under the control prefix.
 #[derive(Clone, Debug, Default)]
 struct View {
     holder: Option<Holder>,
+    /// The token of the last leader.
     term: FencingToken,
     term_mod_revision: Revision,
     primary_zone: Option<String>,
+    /// The store's revision up to which changes are known.
     revision: Revision,
 }
 
@@ -33,327 +57,439 @@
 /// What a leader holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaderTerm {
+    /// The fencing token that it leads with.
     pub token: FencingToken,
+    /// The mod revision of its record under the leader key.
     pub mod_revision: Revision,
     lease_id: LeaseId,
+    /// The moment at which another controller may hold a valid lease.
     lease_valid_until: Ms,
 }
 
-/// Calls the election has in flight.
+/// A lease that was granted for a campaign.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct GrantedLease {
+    lease_id: LeaseId,
+    /// When it was asked for; its time to live counts from there.
+    requested_at: Ms,
+}
+
+/// What a request of the election is for; it comes back with the reply.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Call {
+pub enum ElectionCall {
+    /// Reads the keys under the control prefix.
     List,
+    /// Watches the keys under the control prefix.
     Watch,
-    Grant { sent: Ms },
-    Take { lease_id: LeaseId, granted: Ms, token: FencingToken },
-    Extend { sent: Ms },
-    Revoke { lease_id: LeaseId },
+    /// Asks for a lease to campaign with.
+    GrantLease {
+        /// When the request was made.
+        sent: Ms,
+    },
+    /// Writes the leader key and the next token under the lease.
+    Campaign {
+        /// The lease.
+        lease_id: LeaseId,
+        /// When the lease was asked for.
+        lease_requested_at: Ms,
+        /// The token to lead with.
+        token: FencingToken,
+    },
+    /// Extends the leader's lease.
+    KeepAlive {
+        /// When the request was made.
+        sent: Ms,
+    },
+    /// Ends a lease that nobody leads with any more.
+    RevokeLease {
+        /// The lease.
+        lease_id: LeaseId,
+    },
 }
 
+/// A request of the election to the state service.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ElectionRequest {
+    /// What it is for.
+    pub call: ElectionCall,
+    /// The request.
+    pub request: StoreRequest,
+    /// Milliseconds after which its outcome counts as unknown.
+    pub timeout_ms: Ms,
+}
+
+/// How a controller takes part in elections.
+#[derive(Clone, Debug)]
+pub struct ElectionSettings {
+    /// The controller's name.
+    pub controller: String,
+    /// A number that grows with each process of the controller.
+    pub incarnation: u64,
+    /// Whether it allocates admission quotas while it leads.
+    pub allocates_quotas: bool,
+    /// Time to live of the leader's lease, in milliseconds.
+    pub lease_ttl_ms: Ms,
+    /// Milliseconds for which a lease is valid from the moment at which it was asked for: its time
+    /// to live less clock drift.
+    pub lease_validity_ms: Ms,
+}
+
+/// Requests that are on their way.
+#[derive(Clone, Copy, Debug, Default)]
+struct InFlight {
+    list: bool,
+    watch: bool,
+    /// A grant, a campaign or a revocation.
+    campaign: bool,
+    keep_alive: bool,
+}
+
+/// One controller's part in the election.
 pub struct Election {
-    controller: String,
-    incarnation: u64,
-    /// Whether it hands out allotments while it leads.
-    allots: bool,
-    ttl: Ms,
-    lease_validity: Ms,
+    settings: ElectionSettings,
+    /// What was last read; `None` if it has to be read again.
     view: Option<View>,
     role: Role,
-    watching: bool,
-    listing: bool,
-    acting: bool,
-    extending: bool,
-    /// A lease just granted, and when it was asked for.
-    pending: Option<(LeaseId, Ms)>,
-    next_list: Ms,
-    next_act: Ms,
-    next_revoke: Ms,
-    hold_until: Ms,
-    next_extend: Ms,
+    in_flight: InFlight,
+    /// A lease just granted, with which the campaign follows.
+    granted: Option<GrantedLease>,
+    /// No list or watch goes out before.
+    next_read: Ms,
+    /// No lease to campaign with is asked for before.
+    next_campaign: Ms,
+    /// No lease of an earlier process is revoked before.
+    next_revocation: Ms,
+    /// After resigning: no lease to campaign with is asked for before.
+    resigned_until: Ms,
+    /// When the lease is extended next.
+    next_keep_alive: Ms,
 }
 
 impl Election {
-    pub fn new(
-        controller: &str,
-        incarnation: u64,
-        allots: bool,
-        ttl: Ms,
-        lease_validity: Ms,
-    ) -> Self {
+    /// A controller that has read nothing yet.
+    pub fn new(settings: ElectionSettings) -> Self {
         Election {
-            controller: controller.into(),
-            incarnation,
-            allots,
-            ttl,
-            lease_validity,
+            settings,
             view: None,
             role: Role::Following,
-            watching: false,
-            listing: false,
-            acting: false,
-            extending: false,
-            pending: None,
-            next_list: 0,
-            next_act: 0,
-            next_revoke: 0,
-            hold_until: 0,
-            next_extend: 0,
+            in_flight: InFlight::default(),
+            granted: None,
+            next_read: 0,
+            next_campaign: 0,
+            next_revocation: 0,
+            resigned_until: 0,
+            next_keep_alive: 0,
         }
     }
 
-    /// What this controller leads with, entitled at the moment or not.
+    /// What this controller leads with, whether or not its lease is valid at the moment.
     pub fn leader_term(&self) -> Option<LeaderTerm> {
         match &self.role {
-            Role::Leading(l) => Some(*l),
+            Role::Leading(term) => Some(*term),
             Role::Following => None,
         }
     }
 
-    /// Whether this controller may act for the controllers now.
+    /// Whether this controller may act as the leader now.
     pub fn holds_valid_lease(&self, now: Ms) -> bool {
-        self.leader_term().is_some_and(|l| now < l.lease_valid_until)
+        self.leader_term().is_some_and(|term| now < term.lease_valid_until)
+    }
+
+    fn holder(&self) -> Option<&Holder> {
+        self.view.as_ref()?.holder.as_ref()
     }
 
-    /// The zone that a leader had better be in, as the last one left word.
+    /// The zone in which the next leader should be, as the last one recorded it.
     pub fn primary_zone(&self) -> Option<&str> {
         self.view.as_ref()?.primary_zone.as_deref()
     }
 
     /// The controller that is believed to lead; a hint.
     pub fn leader_hint(&self) -> Option<&str> {
-        self.view.as_ref()?.holder.as_ref().map(|h| h.record.controller.as_str())
+        self.holder().map(|holder| holder.record.controller.as_str())
     }
 
-    /// Whether the leader that was read last hands out allotments.
+    /// Whether the leader that was read last allocates admission quotas.
     pub fn leader_allots(&self) -> Option<bool> {
-        self.view.as_ref()?.holder.as_ref().map(|h| h.record.allots)
+        self.holder().map(|holder| holder.record.allots)
     }
 
     /// The last term that this controller knows of, and the revision at which it was read.
     pub fn seen(&self) -> (FencingToken, Revision) {
-        self.view.as_ref().map_or((FencingToken(0), Revision::NONE), |v| (v.term, v.revision))
+        let view = self.view.as_ref();
+        view.map_or((FencingToken(0), Revision::NONE), |view| (view.term, view.revision))
     }
 
+    /// Leads no more; what the keys hold is read again.
     pub fn step_down(&mut self, now: Ms) {
         self.role = Role::Following;
         self.view = None;
-        self.next_list = now;
+        self.next_read = now;
     }
 
-    /// Gives leadership up for a while, so that another controller may take it. The lease is
-    /// ended as that of an earlier process would be.
-    pub fn resign(&mut self, now: Ms, hold: Ms) {
+    /// Gives leadership up for `hold_ms`, so that another controller may take it. The lease is
+    /// revoked as that of an earlier process would be.
+    pub fn resign(&mut self, now: Ms, hold_ms: Ms) {
         self.step_down(now);
-        self.hold_until = now + hold;
+        self.resigned_until = now + hold_ms;
     }
 
-    /// The calls to make now. `jitter` keeps equal controllers from asking at once.
-    pub fn calls(&mut self, now: Ms, jitter: Ms) -> Vec<(Call, StoreRequest, Ms)> {
-        let mut out = Vec::new();
-        let wait = self.ttl / 2;
-        if self.view.is_none() {
-            if !self.listing && now >= self.next_list {
-                self.listing = true;
-                let op =
-                    StoreRequest::List { prefix: CONTROL_PREFIX.into(), after: None, limit: 10 };
-                out.push((Call::List, op, self.ttl / 4));
-            }
-        } else if !self.watching && now >= self.next_list {
-            if let Some(v) = &self.view {
-                self.watching = true;
-                let op = StoreRequest::Watch {
-                    prefix: CONTROL_PREFIX.into(),
-                    after: v.revision,
-                    wait_ms: wait,
-                };
-                out.push((Call::Watch, op, wait + self.ttl / 4));
+    fn request(&self, call: ElectionCall, request: StoreRequest) -> ElectionRequest {
+        let timeout_ms = self.settings.lease_ttl_ms / TIMEOUTS_PER_TTL;
+        ElectionRequest { call, request, timeout_ms }
+    }
+
+    fn pause_ms(&self) -> Ms {
+        self.settings.lease_ttl_ms / PAUSES_PER_TTL
+    }
+
+    /// The requests to make now. `jitter_ms` keeps equal controllers from campaigning at once.
+    pub fn requests(&mut self, now: Ms, jitter_ms: Ms) -> Vec<ElectionRequest> {
+        let mut requests = Vec::new();
+        requests.extend(self.read_request(now));
+        requests.extend(match self.role {
+            Role::Leading(term) => self.keep_alive_request(now, term.lease_id),
+            Role::Following => self.follower_request(now, jitter_ms),
+        });
+        requests
+    }
+
+    /// Lists the keys if nothing is known of them, and watches them otherwise.
+    fn read_request(&mut self, now: Ms) -> Option<ElectionRequest> {
+        if now < self.next_read {
+            return None;
+        }
+        let prefix = CONTROL_PREFIX.to_string();
+        let Some(view) = &self.view else {
+            if self.in_flight.list {
+                return None;
             }
+            self.in_flight.list = true;
+            let list = StoreRequest::List { prefix, after: None, limit: CONTROL_KEYS };
+            return Some(self.request(ElectionCall::List, list));
+        };
+        if self.in_flight.watch {
+            return None;
         }
-        match &self.role {
-            Role::Leading(l) => {
-                if !self.extending && now >= self.next_extend {
-                    self.extending = true;
-                    let op = StoreRequest::KeepAlive { lease_id: l.lease_id };
-                    out.push((Call::Extend { sent: now }, op, self.ttl / 5));
-                }
+        let wait_ms = self.settings.lease_ttl_ms / WATCHES_PER_TTL;
+        let watch = StoreRequest::Watch { prefix, after: view.revision, wait_ms };
+        self.in_flight.watch = true;
+        let request = self.request(ElectionCall::Watch, watch);
+        Some(ElectionRequest { timeout_ms: wait_ms + request.timeout_ms, ..request })
+    }
+
+    fn keep_alive_request(&mut self, now: Ms, lease_id: LeaseId) -> Option<ElectionRequest> {
+        if self.in_flight.keep_alive || now < self.next_keep_alive {
+            return None;
+        }
+        self.in_flight.keep_alive = true;
+        Some(ElectionRequest {
+            call: ElectionCall::KeepAlive { sent: now },
+            request: StoreRequest::KeepAlive { lease_id },
+            timeout_ms: self.settings.lease_ttl_ms / KEEP_ALIVES_PER_TTL,
+        })
+    }
+
+    /// Revokes the lease of an earlier process of this controller, or begins a campaign if nobody
+    /// leads.
+    fn follower_request(&mut self, now: Ms, jitter_ms: Ms) -> Option<ElectionRequest> {
+        let view = self.view.as_ref().filter(|_| !self.in_flight.campaign)?;
+        match &view.holder {
+            // Our own name with a process that is gone (or a campaign whose outcome we never
+            // learnt): nobody acts under it, so its lease can end now.
+            Some(holder)
+                if holder.record.controller == self.settings.controller
+                    && now >= self.next_revocation =>
+            {
+                let lease_id = holder.lease_id?;
+                self.in_flight.campaign = true;
+                self.next_revocation = now + self.settings.lease_ttl_ms / REVOCATIONS_PER_TTL;
+                let call = ElectionCall::RevokeLease { lease_id };
+                Some(self.request(call, StoreRequest::RevokeLease { lease_id }))
             }
-            Role::Following => {
-                let Some(v) = self.view.as_ref().filter(|_| !self.acting) else { return out };
-                match &v.holder {
-                    // Our own name with a process that is gone (or a take whose outcome
-                    // we never heard): nobody acts under it, so its lease can end now.
-                    Some(h)
-                        if h.record.controller == self.controller && now >= self.next_revoke =>
-                    {
-                        if let Some(lease_id) = h.lease_id {
-                            self.acting = true;
-                            self.next_revoke = now + self.ttl / 10;
-                            let op = StoreRequest::RevokeLease { lease_id };
-                            out.push((Call::Revoke { lease_id }, op, self.ttl / 4));
-                        }
-                    }
-                    None if self.next_act == Ms::MAX => self.next_act = now + jitter,
-                    None if now >= self.next_act.max(self.hold_until) => {
-                        self.acting = true;
-                        let op = StoreRequest::GrantLease { ttl_ms: self.ttl };
-                        out.push((Call::Grant { sent: now }, op, self.ttl / 4));
-                    }
-                    _ => {}
-                }
+            None if self.next_campaign == JITTER_NOT_DRAWN => {
+                self.next_campaign = now + jitter_ms;
+                None
+            }
+            None if now >= self.next_campaign.max(self.resigned_until) => {
+                self.in_flight.campaign = true;
+                let grant = StoreRequest::GrantLease { ttl_ms: self.settings.lease_ttl_ms };
+                Some(self.request(ElectionCall::GrantLease { sent: now }, grant))
             }
+            _ => None,
         }
-        out
     }
 
+    /// Takes what a key under the control prefix holds now; `None` if it was deleted.
     fn learn(&mut self, key: &str, item: Option<&KeyValue>, now: Ms) {
-        let Some(v) = self.view.as_mut() else { return };
+        let Some(view) = self.view.as_mut() else { return };
         if key == LEADER_KEY {
-            v.holder = item.and_then(|i| {
-                let record = decode(&i.value)?;
-                Some(Holder { record, mod_revision: i.mod_revision, lease_id: i.lease_id })
+            view.holder = item.and_then(|item| {
+                let record = decode(&item.value)?;
+                let KeyValue { mod_revision, lease_id, .. } = *item;
+                Some(Holder { record, mod_revision, lease_id })
             });
-            if v.holder.is_none() {
-                self.next_act = Ms::MAX; // a fresh draw of the jitter
+            if view.holder.is_none() {
+                self.next_campaign = JITTER_NOT_DRAWN;
             }
         } else if key == TERM_KEY {
-            if let Some(i) = item {
-                v.term = decode(&i.value).unwrap_or_default();
-                v.term_mod_revision = i.mod_revision;
+            if let Some(item) = item {
+                view.term = decode(&item.value).unwrap_or_default();
+                view.term_mod_revision = item.mod_revision;
             }
         } else if key == PRIMARY_ZONE_KEY {
-            v.primary_zone = item.and_then(|i| decode(&i.value));
+            view.primary_zone = item.and_then(|item| decode(&item.value));
         }
-        let holder = v.holder.clone();
-        if let (Role::Leading(l), Some(h)) = (&self.role, holder) {
-            if h.mod_revision > l.mod_revision {
+        let holder_revision = view.holder.as_ref().map(|holder| holder.mod_revision);
+        if let (Role::Leading(term), Some(holder_revision)) = (&self.role, holder_revision) {
+            if holder_revision > term.mod_revision {
                 self.step_down(now);
             }
         }
     }
 
-    /// Takes an answer; gives a lease that must be ended, if there is one.
-    pub fn answer(&mut self, now: Ms, call: Call, reply: StoreReply) -> Option<LeaseId> {
-        let pause = self.ttl / 20;
-        match (call, reply) {
-            (Call::List, StoreReply::Page { items, revision, .. }) => {
-                self.listing = false;
-                self.view = Some(View { revision, ..View::default() });
-                self.next_act = Ms::MAX;
-                for i in &items {
-                    self.learn(&i.key, Some(i), now);
-                }
-            }
-            (Call::List, _) => {
-                self.listing = false;
-                self.next_list = now + pause;
+    /// Takes a reply; returns a lease that must be revoked, if there is one.
+    pub fn reply(&mut self, now: Ms, call: ElectionCall, reply: StoreReply) -> Option<LeaseId> {
+        match call {
+            ElectionCall::List => self.list_reply(now, reply),
+            ElectionCall::Watch => self.watch_reply(now, reply),
+            ElectionCall::GrantLease { sent } => return self.grant_reply(now, sent, reply),
+            ElectionCall::Campaign { lease_id, lease_requested_at, token } => {
+                let granted = GrantedLease { lease_id, requested_at: lease_requested_at };
+                return self.campaign_reply(now, granted, token, reply);
             }
-            (Call::Watch, StoreReply::Events { revision, events }) => {
-                self.watching = false;
-                for e in &events {
-                    match e {
-                        WatchEvent::Put(i) => self.learn(&i.key, Some(i), now),
-                        WatchEvent::Delete { key, .. } => self.learn(key, None, now),
-                    }
-                }
-                if let Some(v) = self.view.as_mut() {
-                    v.revision = v.revision.max(revision);
-                }
-            }
-            (Call::Watch, _) => {
-                // A controller that is cut off names no leader either: it would send workers
-                // to one that may be gone, again and again, until their leases end.
-                self.watching = false;
-                self.view = None;
-                self.next_list = now + pause;
-            }
-            (Call::Grant { sent }, StoreReply::LeaseGranted { lease_id }) => {
-                // The take follows at once; see `take`.
-                self.acting = false;
-                let Some(v) = &self.view else { return Some(lease_id) };
-                if v.holder.is_some() || self.leader_term().is_some() {
-                    return Some(lease_id);
-                }
-                self.acting = true;
-                self.pending = Some((lease_id, sent));
-            }
-            (Call::Grant { .. }, _) => {
-                self.acting = false;
-                self.next_act = now + pause;
-            }
-            (Call::Take { lease_id, granted, token }, StoreReply::Committed { revision }) => {
-                self.acting = false;
-                let lease_valid_until = granted + self.lease_validity;
-                self.role = Role::Leading(LeaderTerm {
-                    token,
-                    mod_revision: revision,
-                    lease_id,
-                    lease_valid_until,
-                });
-                self.next_extend = now;
-            }
-            (Call::Take { lease_id, .. }, _) => {
-                // Refused, lost to another, or unknown: the lease ends, so a late
-                // put under it does nothing that lasts.
-                self.acting = false;
-                self.view = None;
-                self.next_list = now + pause;
-                return Some(lease_id);
+            ElectionCall::KeepAlive { sent } => self.keep_alive_reply(now, sent, reply),
+            ElectionCall::RevokeLease { .. } => self.revoke_reply(now, reply),
+        }
+        None
+    }
+
+    fn list_reply(&mut self, now: Ms, reply: StoreReply) {
+        self.in_flight.list = false;
+        let StoreReply::Page { items, revision, .. } = reply else {
+            self.next_read = now + self.pause_ms();
+            return;
+        };
+        self.view = Some(View { revision, ..View::default() });
+        self.next_campaign = JITTER_NOT_DRAWN;
+        for item in &items {
+            self.learn(&item.key, Some(item), now);
+        }
+    }
+
+    fn watch_reply(&mut self, now: Ms, reply: StoreReply) {
+        self.in_flight.watch = false;
+        let StoreReply::Events { revision, events } = reply else {
+            // A controller that is partitioned names no leader either: it would send workers to
+            // one that may be gone, again and again, until their leases expire.
+            self.view = None;
+            self.next_read = now + self.pause_ms();
+            return;
+        };
+        for event in &events {
+            match event {
+                WatchEvent::Put(item) => self.learn(&item.key, Some(item), now),
+                WatchEvent::Delete { key, .. } => self.learn(key, None, now),
             }
-            (Call::Extend { sent }, StoreReply::Ok) => {
-                self.extending = false;
-                self.next_extend = sent + self.ttl / 5;
-                let lease_validity = self.lease_validity;
-                if let Role::Leading(l) = &mut self.role {
-                    l.lease_valid_until = l.lease_valid_until.max(sent + lease_validity);
+        }
+        if let Some(view) = self.view.as_mut() {
+            view.revision = view.revision.max(revision);
+        }
+    }
+
+    fn grant_reply(&mut self, now: Ms, sent: Ms, reply: StoreReply) -> Option<LeaseId> {
+        self.in_flight.campaign = false;
+        let StoreReply::LeaseGranted { lease_id } = reply else {
+            self.next_campaign = now + self.pause_ms();
+            return None;
+        };
+        // Somebody may have been elected since.
+        let nobody_leads = self.view.as_ref().is_some_and(|view| view.holder.is_none());
+        if !nobody_leads || self.leader_term().is_some() {
+            return Some(lease_id);
+        }
+        // The campaign follows at once; see `campaign_request`.
+        self.in_flight.campaign = true;
+        self.granted = Some(GrantedLease { lease_id, requested_at: sent });
+        None
+    }
+
+    fn campaign_reply(
+        &mut self,
+        now: Ms,
+        granted: GrantedLease,
+        token: FencingToken,
+        reply: StoreReply,
+    ) -> Option<LeaseId> {
+        self.in_flight.campaign = false;
+        let StoreReply::Committed { revision } = reply else {
+            // Refused, lost to another, or unknown: the lease is revoked, so a late put under it
+            // does nothing that lasts.
+            self.view = None;
+            self.next_read = now + self.pause_ms();
+            return Some(granted.lease_id);
+        };
+        self.role = Role::Leading(LeaderTerm {
+            token,
+            mod_revision: revision,
+            lease_id: granted.lease_id,
+            lease_valid_until: granted.requested_at + self.settings.lease_validity_ms,
+        });
+        self.next_keep_alive = now;
+        None
+    }
+
+    fn keep_alive_reply(&mut self, now: Ms, sent: Ms, reply: StoreReply) {
+        self.in_flight.keep_alive = false;
+        match reply {
+            StoreReply::Ok => {
+                self.next_keep_alive = sent + self.settings.lease_ttl_ms / KEEP_ALIVES_PER_TTL;
+                let valid_until = sent + self.settings.lease_validity_ms;
+                if let Role::Leading(term) = &mut self.role {
+                    term.lease_valid_until = term.lease_valid_until.max(valid_until);
                 }
             }
-            (Call::Extend { .. }, StoreReply::NotFound) => {
-                self.extending = false;
+            StoreReply::NotFound => {
                 if self.leader_term().is_some() {
                     self.step_down(now);
                 }
             }
-            (Call::Extend { .. }, _) => {
-                self.extending = false;
-                self.next_extend = now + pause;
-            }
-            (Call::Revoke { .. }, reply) => {
-                self.acting = false;
-                if matches!(reply, StoreReply::Ok | StoreReply::NotFound) {
-                    self.view = None;
-                    self.next_list = now;
-                }
-            }
+            _ => self.next_keep_alive = now + self.pause_ms(),
+        }
+    }
+
+    fn revoke_reply(&mut self, now: Ms, reply: StoreReply) {
+        self.in_flight.campaign = false;
+        if matches!(reply, StoreReply::Ok | StoreReply::NotFound) {
+            self.view = None;
+            self.next_read = now;
         }
-        None
     }
 
-    /// The take that follows a granted lease.
-    pub fn take(&mut self) -> Option<(Call, StoreRequest, Ms)> {
-        let (lease_id, granted) = self.pending.take()?;
-        let v = self.view.as_ref()?;
-        let token = FencingToken(v.term.0 + 1);
+    /// The campaign that follows a granted lease, to be made at once.
+    pub fn campaign_request(&mut self) -> Option<ElectionRequest> {
+        let GrantedLease { lease_id, requested_at } = self.granted.take()?;
+        let view = self.view.as_ref()?;
+        let token = FencingToken(view.term.0 + 1);
         let record = LeaderRecord {
-            controller: self.controller.clone(),
-            incarnation: self.incarnation,
+            controller: self.settings.controller.clone(),
+            incarnation: self.settings.incarnation,
             token,
-            allots: self.allots,
+            allots: self.settings.allocates_quotas,
         };
-        let op = StoreRequest::Transaction {
+        let put = |key: &str, value, lease_id| PutRequest { key: key.into(), value, lease_id };
+        let transaction = StoreRequest::Transaction {
             preconditions: vec![
                 Precondition::absent(LEADER_KEY),
-                Precondition::new(TERM_KEY, v.term_mod_revision),
+                Precondition::new(TERM_KEY, view.term_mod_revision),
             ],
             puts: vec![
-                PutRequest {
-                    key: LEADER_KEY.into(),
-                    value: encode(&record),
-                    lease_id: Some(lease_id),
-                },
-                PutRequest { key: TERM_KEY.into(), value: encode(&token), lease_id: None },
+                put(LEADER_KEY, encode(&record), Some(lease_id)),
+                put(TERM_KEY, encode(&token), None),
             ],
             deletes: Vec::new(),
         };
-        Some((Call::Take { lease_id, granted, token }, op, self.ttl / 4))
+        let call = ElectionCall::Campaign { lease_id, lease_requested_at: requested_at, token };
+        Some(self.request(call, transaction))
     }
 }
--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::answer::Answer;
 use crate::controller::request_queue::{ClientRequest, JobConfirmation, NewJob};
-use crate::election::Call;
+use crate::election::ElectionCall;
 use crate::events::LogEvent;
 use crate::io::{CloudRequest, Effect, StoreRequest};
 use crate::jobs::watch::WatchKind;
@@ -36,7 +36,7 @@
 /// for the leader of that term.
 pub enum StorePurpose {
     /// A call of the election.
-    Election(Call),
+    Election(ElectionCall),
     /// A page of the list of the jobs or of admission records.
     ListJobs {
         /// The key range.
