--- a/crates/basaltrail-core/src/answer.rs
+++ b/crates/basaltrail-core/src/answer.rs
@@ -71,7 +71,7 @@
     /// The submission is not admitted now.
     NotAdmitted(RejectionReason),
     /// A heartbeat that the leader may not answer now.
-    HeartbeatRefused(lease_renewal::Refusal),
+    HeartbeatRefused(lease_renewal::RenewalRefusal),
 }
 
 impl fmt::Display for UnavailableReason {
--- a/crates/basaltrail-core/src/controller/heartbeats.rs
+++ b/crates/basaltrail-core/src/controller/heartbeats.rs
@@ -4,7 +4,7 @@
 use super::Controller;
 use crate::answer::Answer;
 use crate::events::{HeartbeatEvent, HeartbeatSummary, HeartbeatVerdict, LeadershipEvent};
-use crate::lease_renewal::{AnswerCounters, Knowledge, Refusal};
+use crate::lease_renewal::{AnswerCounters, RenewalEvidence, RenewalRefusal};
 use crate::model::{FencingToken, Heartbeat, RequestId, Revision};
 use std::collections::BTreeSet;
 
@@ -26,9 +26,9 @@
     }
 
     /// What this controller may rely on now.
-    fn knowledge(&self) -> Knowledge<'_> {
+    fn knowledge(&self) -> RenewalEvidence<'_> {
         let holds_valid_lease = self.election.holds_valid_lease(self.now);
-        Knowledge {
+        RenewalEvidence {
             cfg: &self.cfg,
             job_cache: &self.job_cache,
             now: self.now,
@@ -38,12 +38,14 @@
         }
     }
 
-    fn answer_worker(&mut self, heartbeat: &Heartbeat) -> Result<Answer, Refusal> {
+    fn answer_worker(&mut self, heartbeat: &Heartbeat) -> Result<Answer, RenewalRefusal> {
         let knowledge = self.knowledge();
         let permit = knowledge.permit(heartbeat);
         let unknown = match permit {
             // Without a valid lease or a fresh job cache the heartbeat is not even taken.
-            Err(refusal @ (Refusal::NotEntitled | Refusal::JobsNotRead)) => return Err(refusal),
+            Err(refusal @ (RenewalRefusal::NoValidLease | RenewalRefusal::JobsNotRead)) => {
+                return Err(refusal)
+            }
             Err(_) => knowledge.unknown_jobs(heartbeat),
             Ok(_) => BTreeSet::new(),
         };
@@ -53,15 +55,15 @@
             }
             leader.heartbeat(ctx, calls, heartbeat, permit, rng)
         })
-        .unwrap_or(Err(Refusal::NotEntitled))
+        .unwrap_or(Err(RenewalRefusal::NoValidLease))
     }
 
     /// Checks the invariant of [`crate::lease_renewal`] by the answer alone. A violation is logged
     /// and the answer goes out: ending the process would help nobody.
     fn check_renewal(&mut self, heartbeat: &Heartbeat, answer: &Answer) {
         let Answer::Commands { commands, .. } = answer else { return };
-        self.heartbeat_counters.count_orders(commands);
-        let kept = self.knowledge().kept_without_knowledge(heartbeat, answer);
+        self.heartbeat_counters.count_renewal(commands);
+        let kept = self.knowledge().kept_without_evidence(heartbeat, answer);
         for task in &kept {
             self.heartbeat_counters.violations += 1;
             let machine = heartbeat.machine.clone();
@@ -69,7 +71,7 @@
         }
     }
 
-    fn log_decision(&mut self, heartbeat: &Heartbeat, decision: &Result<Answer, Refusal>) {
+    fn log_decision(&mut self, heartbeat: &Heartbeat, decision: &Result<Answer, RenewalRefusal>) {
         if !self.verbose {
             return;
         }
--- a/crates/basaltrail-core/src/events.rs
+++ b/crates/basaltrail-core/src/events.rs
@@ -4,7 +4,7 @@
 //! one line of `tracing` fields. `docs/on-call.md` tells what each event means and what to do.
 
 use crate::jobs::watch::WatchKind;
-use crate::lease_renewal::{AnswerCounters, Refusal};
+use crate::lease_renewal::{AnswerCounters, RenewalRefusal};
 use crate::model::{AgentEpoch, FencingToken, JobId, MachineId, Ms, Revision, TaskId};
 use basaltrail_admission::RejectionReason;
 
@@ -326,7 +326,7 @@
         commands: usize,
     },
     /// It was refused.
-    Refused(Refusal),
+    Refused(RenewalRefusal),
 }
 
 /// Answers to workers' heartbeats.
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::capacity::{machine_type, type_index};
 use crate::leader::{Context, Leader};
-use crate::lease_renewal::{Permit, Refusal};
+use crate::lease_renewal::{RenewalPermit, RenewalRefusal};
 use crate::machines::{Decommission, Machine, TaskPhase, TaskSlot};
 use crate::model::{Attempt, ExitReason, Heartbeat, MachineId, Ms, TaskCommand, TaskId, TaskState};
 use crate::store::calls::Calls;
@@ -18,7 +18,7 @@
 
 impl Leader {
     /// Takes a heartbeat that came while this controller holds a valid lease, and answers it.
-    /// `permit` is what [`crate::lease_renewal::Knowledge::permit`] said of it. A heartbeat that
+    /// `permit` is what [`crate::lease_renewal::RenewalEvidence::permit`] said of it. A heartbeat that
     /// is refused because of a job that is not known yet is taken all the same: what it says is
     /// true.
     ///
@@ -30,19 +30,19 @@
         ctx: &Context,
         calls: &mut Calls,
         heartbeat: &Heartbeat,
-        permit: Result<Permit, Refusal>,
+        permit: Result<RenewalPermit, RenewalRefusal>,
         rng: &mut SmallRng,
-    ) -> Result<Answer, Refusal> {
+    ) -> Result<Answer, RenewalRefusal> {
         if heartbeat.token > self.token {
             // It would drop the answer.
-            return Err(Refusal::HigherToken);
+            return Err(RenewalRefusal::HigherToken);
         }
         if !self.loaded() {
             let (answers, permit) = (&mut self.failover.loading_answers, permit?);
             return answers.answer(ctx.now, self.token, ctx.cfg.max_machines, heartbeat, permit);
         }
         if self.autoscaler.returned.contains(&heartbeat.machine) {
-            return Err(Refusal::MachineReturned);
+            return Err(RenewalRefusal::MachineReturned);
         }
         let machine = self.cluster.machines.get_mut(&heartbeat.machine);
         if heartbeat.token < self.token
@@ -50,7 +50,7 @@
         {
             let permit = permit?;
             if machine.is_some_and(|m| !m.answer_without_token(ctx.now)) {
-                return Err(Refusal::NoReportWithToken);
+                return Err(RenewalRefusal::TokenNotAdopted);
             }
             // It may be a late copy, so nothing of it is taken. The answer carries the token,
             // and the next heartbeat will; it renews the lease like any other.
@@ -63,7 +63,7 @@
             self.schedule(ctx, calls, rng);
         }
         self.backfill(ctx, &heartbeat.machine, rng);
-        let limit = permit.room();
+        let limit = permit.command_limit();
         let commands = self.cluster.commands(ctx, &heartbeat.machine, limit);
         Ok(permit.answer(self.token, commands))
     }
@@ -88,10 +88,10 @@
         ctx: &Context,
         calls: &mut Calls,
         heartbeat: &Heartbeat,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), RenewalRefusal> {
         let id = &heartbeat.machine;
         let machine = self.cluster.machines.get_mut(id).filter(|m| m.is_newer(heartbeat));
-        let Some(m) = machine else { return Err(Refusal::LateReport) };
+        let Some(m) = machine else { return Err(RenewalRefusal::StaleHeartbeat) };
         let first = m.last_heartbeat.is_none();
         let usable = m.reconciled && !m.lease_expired && m.receives_answers;
         let changes = m.apply_heartbeat(ctx.now, heartbeat, ctx.cfg.lease_ms);
--- a/crates/basaltrail-core/src/leader/failover/loading_answers.rs
+++ b/crates/basaltrail-core/src/leader/failover/loading_answers.rs
@@ -1,7 +1,7 @@
 //! Answers to heartbeats that come before the machine registry is read.
 
 use crate::answer::Answer;
-use crate::lease_renewal::{Permit, Refusal};
+use crate::lease_renewal::{RenewalPermit, RenewalRefusal};
 use crate::machines::machine::MAX_ANSWERS_WITHOUT_TOKEN;
 use crate::machines::Machine;
 use crate::model::{FencingToken, Heartbeat, MachineId, Ms};
@@ -39,16 +39,16 @@
         token: FencingToken,
         max_machines: usize,
         heartbeat: &Heartbeat,
-        permit: Permit,
-    ) -> Result<Answer, Refusal> {
+        permit: RenewalPermit,
+    ) -> Result<Answer, RenewalRefusal> {
         let known = self.by_machine.contains_key(&heartbeat.machine);
         if !known && self.by_machine.len() >= max_machines {
-            return Err(Refusal::Loading);
+            return Err(RenewalRefusal::Loading);
         }
         let answers = self.by_machine.entry(heartbeat.machine.clone()).or_default();
         if heartbeat.token < token {
             if answers.without_token >= MAX_ANSWERS_WITHOUT_TOKEN {
-                return Err(Refusal::NoReportWithToken);
+                return Err(RenewalRefusal::TokenNotAdopted);
             }
             answers.without_token += 1;
         }
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -6,9 +6,8 @@
 use crate::leader::scheduler::reserved_capacity::machines_for_services;
 use crate::leader::scheduler::test_cluster::{ready_machine, service, TestCluster};
 use crate::leader::Leader;
-use crate::lease_renewal::Knowledge;
-use crate::machines::MachineKind;
-use crate::machines::TaskPhase;
+use crate::lease_renewal::RenewalEvidence;
+use crate::machines::{MachineKind, TaskPhase};
 use crate::model::{
     AgentEpoch, FencingToken, Heartbeat, JobId, Ms, TaskCommand, TaskState, TaskStatus,
 };
@@ -189,8 +188,8 @@
     let ctx = test.context(200);
     let (cfg, job_cache) = (ctx.cfg, ctx.job_cache);
     let (lease_held_since, jobs_as_of) = (Some(0), Some(100));
-    let knowledge = Knowledge { cfg, job_cache, now: 200, lease_held_since, jobs_as_of };
-    let permit = knowledge.permit(&heartbeat);
+    let evidence = RenewalEvidence { cfg, job_cache, now: 200, lease_held_since, jobs_as_of };
+    let permit = evidence.permit(&heartbeat);
     let answer = leader.heartbeat(&ctx, &mut Calls::default(), &heartbeat, permit, &mut rng);
     let Ok(Answer::Commands { commands, .. }) = answer else { panic!("{answer:?}") };
     let stops =
