--- a/crates/basaltrail-core/src/controller/job_lookups.rs
+++ b/crates/basaltrail-core/src/controller/job_lookups.rs
@@ -75,12 +75,12 @@
     /// Has the records read of jobs that the leader does not know.
     pub(super) fn look_up_unknown_jobs(&mut self) {
         let Some(leader) = self.leader.as_mut() else { return };
-        if leader.failover.unknown.is_empty() || self.requests.lookups.len() > MAX_LOOKUPS {
+        if leader.failover.unknown_jobs.is_empty() || self.requests.lookups.len() > MAX_LOOKUPS {
             return;
         }
         // Each is read once a second at the most, by taking it off the list here; the next
         // heartbeats of workers add it again while it stays unknown.
-        while let Some(job) = leader.failover.unknown.pop_first() {
+        while let Some(job) = leader.failover.unknown_jobs.pop_first() {
             self.requests.look_up(job, Vec::new());
             if self.requests.lookups.len() > MAX_LOOKUPS {
                 break;
@@ -173,7 +173,7 @@
         if requests.is_empty() {
             if let Some(leader) = self.leader.as_mut() {
                 // Read again while it is not known; see `look_up_unknown_jobs`.
-                leader.failover.unknown.insert(job);
+                leader.failover.unknown_jobs.insert(job);
             }
         }
         self.answer_not_confirmed(requests);
--- a/crates/basaltrail-core/src/election.rs
+++ b/crates/basaltrail-core/src/election.rs
@@ -2,7 +2,8 @@
 //!
 //! A controller holds a valid lease from the moment at which its last successful keep-alive was
 //! *sent*, for the lease's time to live less clock drift; the service ends a lease late but never
-//! early, so no two controllers hold a valid one at once. Nothing that peers say counts here.
+//! early, so no two controllers hold a valid one at once (PROTOCOL, `POST /grants`). Nothing that
+//! peers say counts here.
 //!
 //! The election is a state machine without I/O: [`Election::requests`] returns what to ask the
 //! state service now, [`Election::reply`] takes the answers.
--- a/crates/basaltrail-core/src/jobs/crash_loop_tests.rs
+++ b/crates/basaltrail-core/src/jobs/crash_loop_tests.rs
@@ -8,45 +8,52 @@
 /// failure of its own, the array would back off for a minute.
 #[test]
 fn failures_on_one_machine_are_no_crash_loop() {
-    let mut h = JobHealth::default();
-    assert!(h.record_failure(&machine(1), 1_000, 10_000));
+    let mut health = JobHealth::default();
+    assert!(health.record_failure(&machine(1), 1_000, 10_000));
     for _ in 0..20 {
-        assert!(!h.record_failure(&machine(1), 1_000, 10_000));
+        assert!(!health.record_failure(&machine(1), 1_000, 10_000));
     }
-    assert!(!h.is_crash_looping() && h.back_off_until() == 0 && h.max_new_tasks(7) == u32::MAX);
-    assert!(h.avoids(&machine(1), 2_000) && !h.avoids(&machine(2), 2_000));
-    assert!(!h.avoids(&machine(1), 40_000), "it may be tried there again");
-    assert_eq!(h.record_success(&machine(2)).len(), 1);
+    assert!(
+        !health.is_crash_looping()
+            && health.back_off_until() == 0
+            && health.max_new_tasks(7) == u32::MAX
+    );
+    assert!(health.avoids(&machine(1), 2_000) && !health.avoids(&machine(2), 2_000));
+    assert!(!health.avoids(&machine(1), 40_000), "it may be tried there again");
+    assert_eq!(health.record_success(&machine(2)).len(), 1);
 }
 
 /// A job with a mistake tries one task at a time, with a growing back-off, until one ends well.
 #[test]
 fn a_job_in_a_crash_loop_tries_one_task_at_a_time() {
-    let mut h = JobHealth::default();
+    let mut health = JobHealth::default();
     for i in 0..30 {
-        h.record_failure(&machine(i), 1_000, 10_000);
+        health.record_failure(&machine(i), 1_000, 10_000);
     }
-    assert_eq!((h.is_crash_looping(), h.max_new_tasks(0), h.max_new_tasks(1)), (true, 1, 0));
-    assert_eq!(h.back_off_until(), 1_500, "what failed together is one try");
-    let mut now = h.back_off_until();
+    assert_eq!(
+        (health.is_crash_looping(), health.max_new_tasks(0), health.max_new_tasks(1)),
+        (true, 1, 0)
+    );
+    assert_eq!(health.back_off_until(), 1_500, "what failed together is one try");
+    let mut now = health.back_off_until();
     for i in 0..100 {
-        h.record_failure(&machine(100 + i), now, 10_000);
-        assert!(h.back_off_until() > now && h.back_off_until() <= now + 64_000);
-        now = h.back_off_until();
+        health.record_failure(&machine(100 + i), now, 10_000);
+        assert!(health.back_off_until() > now && health.back_off_until() <= now + 64_000);
+        now = health.back_off_until();
     }
-    h.record_success(&machine(500));
-    assert!(!h.is_crash_looping() && h.back_off_until() == 0);
+    health.record_success(&machine(500));
+    assert!(!health.is_crash_looping() && health.back_off_until() == 0);
 }
 
 /// A job that has ended well before takes more failures; a new leader takes over what the
 /// previous one found.
 #[test]
 fn success_raises_the_threshold_and_a_recovered_crash_loop_counts() {
-    let mut h = JobHealth::default();
-    h.record_success(&machine(0));
-    h.record_failure(&machine(1), 0, 10_000);
-    h.record_failure(&machine(2), 0, 10_000);
-    assert!(!h.is_crash_looping());
+    let mut health = JobHealth::default();
+    health.record_success(&machine(0));
+    health.record_failure(&machine(1), 0, 10_000);
+    health.record_failure(&machine(2), 0, 10_000);
+    assert!(!health.is_crash_looping());
     let mut recovered = JobHealth::default();
     recovered.recover(true, false);
     assert!(recovered.is_crash_looping() && recovered.max_new_tasks(0) == 1);
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -117,7 +117,7 @@
     pub(in crate::leader) fn scale_in(&mut self, ctx: &Context, calls: &mut Calls) {
         let leader = LeaderState {
             token: self.token,
-            elected_at: self.since,
+            elected_at: self.elected_at,
             reachable_since: self.liveness.reachable_since,
         };
         self.autoscaler.scale_in(ctx, &mut self.cluster, leader, calls);
--- a/crates/basaltrail-core/src/leader/cluster.rs
+++ b/crates/basaltrail-core/src/leader/cluster.rs
@@ -31,14 +31,18 @@
     }
 
     /// Withdraws what was assigned to a machine and never sent; true if there was any.
-    pub(in crate::leader) fn withdraw_unsent(&mut self, machine: &MachineId) -> bool {
-        let Some(m) = self.machines.get_mut(machine) else { return false };
-        let unsent: Vec<(TaskId, Attempt)> =
-            m.slots.iter().filter(|(_, slot)| slot.is_unsent()).map(|(key, _)| *key).collect();
+    pub(in crate::leader) fn withdraw_unsent(&mut self, id: &MachineId) -> bool {
+        let Some(machine) = self.machines.get_mut(id) else { return false };
+        let unsent: Vec<(TaskId, Attempt)> = machine
+            .slots
+            .iter()
+            .filter(|(_, slot)| slot.is_unsent())
+            .map(|(key, _)| *key)
+            .collect();
         for (task, attempt) in &unsent {
-            m.slots.remove(&(*task, *attempt));
+            machine.slots.remove(&(*task, *attempt));
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                job.end_placement(task.index, machine, *attempt);
+                job.end_placement(task.index, id, *attempt);
             }
         }
         !unsent.is_empty()
@@ -49,10 +53,11 @@
     ///
     /// Tasks that can save leave the machine, and so do those that cannot be done by then: what
     /// they did is lost, and elsewhere they begin sooner.
-    pub(in crate::leader) fn drain(&mut self, now: Ms, machine: &MachineId) -> bool {
-        let Some(m) = self.machines.get_mut(machine) else { return false };
-        let left_s = m.reclaim_at.map_or(0.0, |at| at.saturating_sub(now) as f64 / 1000.0);
-        for ((task, _), slot) in m.slots.iter_mut().filter(|(_, slot)| slot.stop_grace_s.is_none())
+    pub(in crate::leader) fn drain(&mut self, now: Ms, id: &MachineId) -> bool {
+        let Some(machine) = self.machines.get_mut(id) else { return false };
+        let left_s = machine.reclaim_at.map_or(0.0, |at| at.saturating_sub(now) as f64 / 1000.0);
+        for ((task, _), slot) in
+            machine.slots.iter_mut().filter(|(_, slot)| slot.stop_grace_s.is_none())
         {
             let Some(demand) = slot.demand else { continue };
             let job = self.jobs.get(&task.job);
@@ -69,14 +74,14 @@
                 None => (MIN_RUN_OF_ESTIMATE * estimate_s - ran_s > left_s).then_some(0.0),
             };
         }
-        self.withdraw_unsent(machine)
+        self.withdraw_unsent(id)
     }
 
     /// Records the images of the tasks on a machine as used.
-    pub(in crate::leader) fn record_images(&mut self, types: &[MachineType], machine: &MachineId) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
-        let cache_gb = machine_type(types, &m.machine_type).map_or(0.0, |t| t.cache_gb);
-        let present: BTreeSet<JobId> = m
+    pub(in crate::leader) fn record_images(&mut self, types: &[MachineType], id: &MachineId) {
+        let Some(machine) = self.machines.get_mut(id) else { return };
+        let cache_gb = machine_type(types, &machine.machine_type).map_or(0.0, |t| t.cache_gb);
+        let present: BTreeSet<JobId> = machine
             .slots
             .iter()
             .filter(|(_, slot)| slot.holds_resources())
@@ -84,16 +89,16 @@
             .collect();
         for job in present {
             if let Some(job) = self.jobs.get(&job) {
-                m.record_image(&job.spec.image, job.spec.image_gb, cache_gb);
+                machine.record_image(&job.spec.image, job.spec.image_gb, cache_gb);
             }
         }
     }
 
     /// The job has ended: stops its tasks wherever they are, and sends none that was not sent.
     pub(in crate::leader) fn stop_job(&mut self, job: JobId) {
-        for m in self.machines.values_mut() {
-            m.slots.retain(|(task, _), slot| task.job != job || !slot.is_unsent());
-            for (_, slot) in m.slots.iter_mut().filter(|((task, _), _)| task.job == job) {
+        for machine in self.machines.values_mut() {
+            machine.slots.retain(|(task, _), slot| task.job != job || !slot.is_unsent());
+            for (_, slot) in machine.slots.iter_mut().filter(|((task, _), _)| task.job == job) {
                 slot.stop_at_once();
             }
         }
@@ -105,10 +110,11 @@
         job: JobId,
     ) -> Vec<(MachineId, TaskChange)> {
         let mut changes = Vec::new();
-        for m in self.machines.values() {
-            let of_job = m.slots.iter().filter(|((task, _), _)| task.job == job);
+        for machine in self.machines.values() {
+            let of_job = machine.slots.iter().filter(|((task, _), _)| task.job == job);
             for ((task, attempt), slot) in of_job.filter(|(_, slot)| slot.demand.is_none()) {
-                changes.push((m.id.clone(), TaskChange::reported(*task, *attempt, slot.phase)));
+                changes
+                    .push((machine.id.clone(), TaskChange::reported(*task, *attempt, slot.phase)));
             }
         }
         changes
@@ -122,7 +128,7 @@
             return Vec::new();
         }
         let mut present: BTreeSet<JobId> = BTreeSet::new();
-        for (task, _) in self.machines.values().flat_map(|m| m.slots.keys()) {
+        for (task, _) in self.machines.values().flat_map(|machine| machine.slots.keys()) {
             if finished.binary_search(&task.job).is_ok() {
                 present.insert(task.job);
             }
@@ -134,8 +140,8 @@
     /// How far each active job is.
     pub(in crate::leader) fn progress(&self) -> Vec<Progress> {
         let mut running: HashMap<JobId, u32> = HashMap::new();
-        for m in self.machines.values() {
-            for ((task, _), _) in m.slots.iter().filter(|(_, slot)| slot.is_running()) {
+        for machine in self.machines.values() {
+            for ((task, _), _) in machine.slots.iter().filter(|(_, slot)| slot.is_running()) {
                 *running.entry(task.job).or_default() += 1;
             }
         }
@@ -158,14 +164,14 @@
             waiting_cpus: 0.0,
         });
         let mut summary = RoundSummary { teams: teams.collect(), ..RoundSummary::default() };
-        for m in self.machines.values() {
-            *match (m.is_up(), m.spot) {
+        for machine in self.machines.values() {
+            *match (machine.is_up(), machine.spot) {
                 (true, false) => &mut summary.on_demand,
                 (true, true) => &mut summary.spot,
                 (false, _) => &mut summary.down,
             } += 1;
         }
-        for slot in self.machines.values().flat_map(|m| m.slots.values()) {
+        for slot in self.machines.values().flat_map(|machine| machine.slots.values()) {
             let cpus = slot.demand.map_or(0.0, |demand| demand.resources.cpus);
             *match slot.phase {
                 TaskPhase::Assigned | TaskPhase::Sent => &mut summary.assigned_cpus,
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -1,5 +1,6 @@
 //! Answers to workers' heartbeats, step by step. Whether one may renew a lease is decided in
-//! [`crate::lease_renewal`]; here is what the leader does with the heartbeat, and its own commands.
+//! [`crate::lease_renewal`]; here is what the leader does with the heartbeat, and its own commands
+//! (PROTOCOL, `POST /checkin`).
 
 use crate::answer::Answer;
 use crate::events::MachineEvent;
@@ -91,10 +92,10 @@
     ) -> Result<(), RenewalRefusal> {
         let id = &heartbeat.machine;
         let machine = self.cluster.machines.get_mut(id).filter(|m| m.is_newer(heartbeat));
-        let Some(m) = machine else { return Err(RenewalRefusal::StaleHeartbeat) };
-        let first = m.last_heartbeat.is_none();
-        let usable = m.reconciled && !m.lease_expired && m.receives_answers;
-        let changes = m.apply_heartbeat(ctx.now, heartbeat, ctx.cfg.lease_ms);
+        let Some(machine) = machine else { return Err(RenewalRefusal::StaleHeartbeat) };
+        let first = machine.last_heartbeat.is_none();
+        let usable = machine.reconciled && !machine.lease_expired && machine.receives_answers;
+        let changes = machine.apply_heartbeat(ctx.now, heartbeat, ctx.cfg.lease_ms);
         if first {
             self.record_machine_up(ctx, calls, id);
         }
@@ -104,9 +105,9 @@
         self.cluster.record_images(ctx.types, id);
         // A machine that was not reconciled, or was silent, has become one to place on, and
         // its room may be what a waiting job lacks.
-        let m = &self.cluster.machines[id];
-        let has_room = type_index(ctx.types, &m.machine_type)
-            .is_some_and(|i| m.used().cpus < ctx.types[i].cpus);
+        let machine = &self.cluster.machines[id];
+        let has_room = type_index(ctx.types, &machine.machine_type)
+            .is_some_and(|index| machine.used().cpus < ctx.types[index].cpus);
         self.scheduler.changed |= !usable || (has_room && self.scheduler.short_of_capacity);
         Ok(())
     }
@@ -114,26 +115,26 @@
     /// The first heartbeat of a machine that this leader takes.
     fn record_machine_up(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         self.scheduler.changed = true;
-        let Some(m) = self.cluster.machines.get(id) else { return };
+        let Some(machine) = self.cluster.machines.get(id) else { return };
         calls.log(MachineEvent::Up {
-            machine: m.id.clone(),
-            zone: m.zone.clone(),
-            spot: m.spot,
-            age_ms: ctx.now - m.known_since,
+            machine: machine.id.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            age_ms: ctx.now - machine.known_since,
         });
-        let machine_type = machine_type(ctx.types, &m.machine_type);
-        if let (Some(at), Some(machine_type)) = (m.requested_at, machine_type) {
+        let machine_type = machine_type(ctx.types, &machine.machine_type);
+        if let (Some(at), Some(machine_type)) = (machine.requested_at, machine_type) {
             let took_ms = ctx.now - at;
             let times = &mut self.autoscaler.provisioning_times;
-            times.note_arrival(machine_type, &m.zone, ctx.now, took_ms);
+            times.note_arrival(machine_type, &machine.zone, ctx.now, took_ms);
         }
     }
 
     /// A machine that the cloud is about to reclaim is drained.
     fn follow_reclaim_notice(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
-        let Some(m) = self.cluster.machines.get_mut(id) else { return };
-        if m.has_reclaim_notice(ctx.now) && m.decommission == Decommission::No {
-            m.decommission = Decommission::Draining;
+        let Some(machine) = self.cluster.machines.get_mut(id) else { return };
+        if machine.has_reclaim_notice(ctx.now) && machine.decommission == Decommission::No {
+            machine.decommission = Decommission::Draining;
             calls.log(MachineEvent::ReclaimNotice { machine: id.clone() });
             self.scheduler.changed |= self.cluster.drain(ctx.now, id);
         }
@@ -142,11 +143,11 @@
 
 impl Cluster {
     /// What the machine is to do, in at most `limit` commands. Starts in them count as sent.
-    fn commands(&mut self, ctx: &Context, machine: &MachineId, limit: usize) -> Vec<TaskCommand> {
+    fn commands(&mut self, ctx: &Context, id: &MachineId, limit: usize) -> Vec<TaskCommand> {
         let mut commands = Vec::new();
-        let Some(m) = self.machines.get_mut(machine) else { return commands };
+        let Some(machine) = self.machines.get_mut(id) else { return commands };
         let repeat_ms = ctx.cfg.heartbeat_interval_ms * STOP_REPEAT_INTERVALS;
-        for (&(task, attempt), slot) in m.slots.iter_mut() {
+        for (&(task, attempt), slot) in machine.slots.iter_mut() {
             if commands.len() >= limit {
                 break;
             }
--- a/crates/basaltrail-core/src/leader/failover/mod.rs
+++ b/crates/basaltrail-core/src/leader/failover/mod.rs
@@ -1,9 +1,10 @@
 //! What a new leader recovers from its predecessor, and how heartbeats are reconciled with it.
 //!
 //! A new leader reads the machine registry, completions and the fairness ledger, in this order,
-//! and schedules nothing before all are read ([`recovery`]). Until then heartbeats are answered
-//! without commands ([`loading_answers`]), and each machine's tasks are reconciled with its first
-//! heartbeat that carries the new leader's token ([`heartbeats`], [`reconciliation`]).
+//! and schedules nothing before all are read ([`recovery`]). Until then the only commands in
+//! answers to heartbeats stop tasks of ended jobs ([`loading_answers`]). The tasks on each machine
+//! are reconciled with its first heartbeat that carries the new leader's token ([`heartbeats`],
+//! [`reconciliation`]).
 
 pub mod heartbeats;
 pub mod loading_answers;
@@ -25,9 +26,9 @@
 const UNKNOWN_JOBS_PER_MB: f64 = 40.0;
 /// Jobs whose record has to be read, however little memory there is.
 const MIN_UNKNOWN_JOBS: f64 = 64.0;
-/// Records on one page of a list.
+/// Records on one page of a list; a response holds 1,000 at the most (PROTOCOL, `GET /kv`).
 const PAGE_RECORDS: u32 = 500;
-/// Jobs in a crash loop that a successor is told of: it bounds the size of the ledger record.
+/// Jobs in a crash loop that are recorded for the next leader: it bounds the ledger record.
 pub(in crate::leader) const MAX_RECORDED_CRASH_LOOPS: usize = 64;
 
 /// What is being read of the previous leader's records, in this order.
@@ -64,8 +65,8 @@
     completions: BTreeMap<JobId, Vec<CompletionSegment>>,
     /// Jobs that the previous leader found in a crash loop.
     crash_loops: BTreeSet<JobId>,
-    /// Jobs that a worker or a record told of and the job cache does not hold.
-    pub unknown: BTreeSet<JobId>,
+    /// Jobs that a worker or a record names and the job cache does not hold.
+    pub unknown_jobs: BTreeSet<JobId>,
 }
 
 impl Failover {
@@ -104,11 +105,11 @@
         self.not_before = not_before;
     }
 
-    /// Has the record of a job read that a worker or a record told of.
+    /// Has the record of a job read that a worker or a record names.
     pub(in crate::leader) fn read_job(&mut self, settings: &Settings, job: JobId) {
         let limit = (settings.memory_mb * UNKNOWN_JOBS_PER_MB).max(MIN_UNKNOWN_JOBS) as usize;
-        if self.unknown.len() < limit {
-            self.unknown.insert(job);
+        if self.unknown_jobs.len() < limit {
+            self.unknown_jobs.insert(job);
         }
     }
 
@@ -125,7 +126,7 @@
     /// Completions whose job is not known belong to one that has ended, most likely: its record
     /// has to be read.
     fn read_jobs_of_completions(&mut self) {
-        self.unknown.extend(self.completions.keys());
+        self.unknown_jobs.extend(self.completions.keys());
     }
 
     /// Takes the jobs that the previous leader found in a crash loop.
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -93,8 +93,8 @@
     ) -> Reconciled {
         let mut reconciled = Reconciled { usage_may_have_grown: true, ..Reconciled::default() };
         let demand = self.task_demand(task.job);
-        let machine_slots = self.machines.get_mut(machine).map(|m| &mut m.slots);
-        let Some(slot) = machine_slots.and_then(|slots| slots.get_mut(&(task, attempt))) else {
+        let found = self.machines.get_mut(machine);
+        let Some(slot) = found.and_then(|found| found.slots.get_mut(&(task, attempt))) else {
             return reconciled;
         };
         slot.demand = demand;
@@ -118,13 +118,13 @@
     }
 
     /// An attempt has exited: records its outcome in its job and in the machine's health.
-    fn task_exited(&mut self, ctx: &Context, machine: &MachineId, exit: TaskExit) -> Reconciled {
+    fn task_exited(&mut self, ctx: &Context, machine_id: &MachineId, exit: TaskExit) -> Reconciled {
         let TaskExit { task, attempt, reason, ran_ms } = exit;
         let mut reconciled = Reconciled { scheduling_due: true, ..Reconciled::default() };
-        let another_replica_runs = another_replica_runs(ctx, self, task);
+        let runs_elsewhere = another_replica_runs(ctx, self, task);
         let demand = self.task_demand(task.job);
-        let Some(m) = self.machines.get_mut(machine) else { return reconciled };
-        if let Some(slot) = m.slots.get_mut(&(task, attempt)) {
+        let Some(machine) = self.machines.get_mut(machine_id) else { return reconciled };
+        if let Some(slot) = machine.slots.get_mut(&(task, attempt)) {
             slot.demand = demand;
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -137,14 +137,14 @@
         if reason == ExitReason::Done && !service {
             reconciled.job_with_completion = job.mark_done(task.index).then_some(task.job);
             reconciled.complete_job = job.is_complete().then_some(task.job);
-            failed_before = job.health.record_success(machine);
-            m.health.record_success();
+            failed_before = job.health.record_success(machine_id);
+            machine.health.record_success();
         }
-        if service && (ran_long || another_replica_runs) {
+        if service && (ran_long || runs_elsewhere) {
             // What has run for long, here or elsewhere, is not the service's fault.
-            failed_before = job.health.record_success(machine);
+            failed_before = job.health.record_success(machine_id);
         }
-        let was_placed_here = job.end_placement(task.index, machine, attempt);
+        let was_placed_here = job.end_placement(task.index, machine_id, attempt);
         if !was_placed_here || job.ended.is_some() {
             return reconciled;
         }
@@ -152,14 +152,14 @@
             // A replica that is done at once fails, too: it would start without end.
             ExitReason::Done if !service || ran_long => {}
             ExitReason::Error | ExitReason::Done => {
-                reconciled.event = record_failure(ctx, job, m, exit);
+                reconciled.event = record_failure(ctx, job, machine, exit);
                 return reconciled;
             }
-            ExitReason::NoRoom => m.no_room_until = ctx.now + NO_ROOM_BACK_OFF_MS,
+            ExitReason::NoRoom => machine.no_room_until = ctx.now + NO_ROOM_BACK_OFF_MS,
             ExitReason::Unknown => job.health.back_off(ctx.now + UNKNOWN_EXIT_BACK_OFF_MS),
             ExitReason::Stopped | ExitReason::Busy => {}
         }
-        self.blame_machines(ctx.now, machine, task.job, failed_before);
+        self.blame_machines(ctx.now, machine_id, task.job, failed_before);
         reconciled
     }
 
@@ -172,8 +172,8 @@
         failed_on: BTreeSet<MachineId>,
     ) {
         for other in failed_on.iter().filter(|other| *other != ended_well_on) {
-            if let Some(m) = self.machines.get_mut(other) {
-                m.health.record_failure(job, now);
+            if let Some(machine) = self.machines.get_mut(other) {
+                machine.health.record_failure(job, now);
             }
         }
     }
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -66,7 +66,7 @@
             return;
         };
         for record in self.registry.records(segment) {
-            let mut machine = recovered_machine(ctx, record, segment, self.since);
+            let mut machine = recovered_machine(ctx, record, segment, self.elected_at);
             self.failover.loading_answers.apply_to(&mut machine);
             self.cluster.machines.insert(record.id.clone(), machine);
         }
@@ -110,13 +110,13 @@
 
     /// Takes what the job cache now says of a job.
     pub fn sync_job(&mut self, ctx: &Context, job: JobId) {
-        self.failover.unknown.remove(&job);
+        self.failover.unknown_jobs.remove(&job);
         if let Some(active) = ctx.job_cache.active.get(&job) {
             self.sync_active_job(ctx, job, active);
         } else if let Some(outcome) = ctx.job_cache.outcome(job) {
             self.sync_ended_job(job, outcome);
         } else if self.cluster.jobs.get(&job).is_some_and(|job| job.ended.is_none()) {
-            self.failover.unknown.insert(job);
+            self.failover.unknown_jobs.insert(job);
         }
     }
 
--- a/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
@@ -1,32 +1,18 @@
 use super::*;
-use crate::jobs::JobCache;
-use crate::model::{FencingToken, JobSpec, Revision};
-use crate::settings::sample::{a_job, settings};
-use crate::settings::{Settings, Team};
-use crate::store::records::{encode, JobRecord, LEDGER_KEY};
+use crate::leader::scheduler::test_cluster::TestCluster;
+use crate::model::{JobSpec, Revision};
+use crate::settings::sample::a_job;
+use crate::store::records::{encode, LEDGER_KEY};
 
 /// The next leader would learn of a crash loop anew, with all tasks of the job at once. And a
 /// team that is named no more leaves jobs and amounts behind: they are kept, not run.
 #[test]
 fn a_new_leader_recovers_crash_loops_and_ignores_a_removed_team() {
-    let inf = f64::INFINITY;
-    let team = Team { name: "t".into(), cpus: 8.0, cpus_max: inf, gpus: 0.0, gpus_max: inf };
-    let cfg = Settings { teams: vec![team], ..settings() };
-    let mut job_cache = JobCache::new(10);
-    job_cache.put_active(JobId(1), Revision(1), JobRecord::new(0, a_job(9, true)));
     let gone = JobSpec { team: "gone".into(), ..a_job(9, true) };
-    job_cache.put_active(JobId(2), Revision(2), JobRecord::new(0, gone));
-    let ctx = Context {
-        cfg: &cfg,
-        types: &[],
-        job_cache: &job_cache,
-        now: 500,
-        wall: 0,
-        holds_valid_lease: true,
-        job_cache_is_fresh: true,
-    };
+    let test = TestCluster::new(8.0, &[a_job(9, true), gone]);
+    let ctx = test.context(500);
     let room_after_failover = |value: &str| {
-        let mut leader = Leader::new(&ctx, FencingToken(2), Revision(1));
+        let mut leader = test.leader(500);
         leader.failover.loading = Loading::Ledger;
         let item = KeyValue {
             key: LEDGER_KEY.into(),
--- a/crates/basaltrail-core/src/leader/liveness.rs
+++ b/crates/basaltrail-core/src/leader/liveness.rs
@@ -34,7 +34,7 @@
     }
 
     /// Records a tick. After a pause of more than a heartbeat interval, or without a valid
-    /// leader lease, nobody was answered for a while: who was silent then tells nothing.
+    /// leader lease, nobody was answered for a while: silence from before proves nothing.
     pub(in crate::leader) fn record_tick(
         &mut self,
         now: Ms,
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -62,7 +62,7 @@
     /// The mod revision of its record under the leader key.
     pub mod_revision: Revision,
     /// When it was elected.
-    pub since: Ms,
+    pub elected_at: Ms,
     /// Machines and jobs.
     pub cluster: Cluster,
     /// What is recovered from the previous leader.
@@ -83,7 +83,7 @@
     round_ends: Ms,
     /// Admission quotas of controllers.
     pub quota_allocator: quota_allocation::QuotaAllocator,
-    /// When peers are told of progress next.
+    /// When progress is sent to peers next.
     pub next_progress: Ms,
 }
 
@@ -93,7 +93,7 @@
         let mut leader = Leader {
             token,
             mod_revision,
-            since: ctx.now,
+            elected_at: ctx.now,
             cluster: Cluster::default(),
             failover: Failover::default(),
             registry: MachineRegistry::default(),
@@ -112,7 +112,7 @@
         leader
     }
 
-    /// Has the record of a job read that a worker told of.
+    /// Has the record of a job read that a worker reported.
     pub fn read_job(&mut self, ctx: &Context, job: JobId) {
         self.failover.read_job(ctx.cfg, job);
     }
@@ -197,12 +197,12 @@
 
     /// The lease of a machine has certainly expired: the tasks on it are over.
     fn expire_machine_lease(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
-        let Some(m) = self.cluster.machines.get_mut(id) else { return };
-        let tasks = m.slots.len();
-        let was_up = m.last_heartbeat.is_some();
-        let changes = m.expire_lease();
+        let Some(machine) = self.cluster.machines.get_mut(id) else { return };
+        let tasks = machine.slots.len();
+        let was_up = machine.last_heartbeat.is_some();
+        let changes = machine.expire_lease();
         if was_up || tasks > 0 {
-            let (machine, zone) = (id.clone(), m.zone.clone());
+            let (machine, zone) = (id.clone(), machine.zone.clone());
             calls.log(MachineEvent::LeaseExpired { machine, zone, tasks });
         }
         self.scheduler.changed = true;
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -51,7 +51,7 @@
             registry: &mut self.registry,
             ledger: &self.ledger,
             primary_zone: self.autoscaler.primary_zone.as_deref(),
-            unknown_jobs: &self.failover.unknown,
+            unknown_jobs: &self.failover.unknown_jobs,
             token: self.token,
             leader_revision: self.mod_revision,
         };
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::io::{Effect, StoreReply, StoreRequest};
-use crate::jobs::JobCache;
+use crate::leader::scheduler::test_cluster::TestCluster;
 use crate::model::{FencingToken, Revision};
 use crate::settings::sample::settings;
 use crate::settings::Settings;
@@ -95,24 +95,18 @@
     encode(&range.map(record).collect::<Vec<_>>())
 }
 
-fn limits() -> Settings {
-    Settings { value_bytes: 512, transaction_ops: 2, ..settings() }
+/// Few records fit into a segment, and few segments into a transaction.
+fn cluster_with_small_values() -> TestCluster {
+    let settings = Settings { value_bytes: 512, transaction_ops: 2, ..settings() };
+    TestCluster { settings, ..TestCluster::new(0.0, &[]) }
 }
 
 /// A segment that an earlier version left larger than a value may be now is split. A
 /// leader that ends after any piece leaves every machine where the next one finds it.
 #[test]
 fn an_oversized_segment_is_split_without_losing_a_machine() {
-    let (cfg, job_cache) = (limits(), JobCache::new(10));
-    let ctx = Context {
-        cfg: &cfg,
-        types: &[],
-        job_cache: &job_cache,
-        now: 500,
-        wall: 0,
-        holds_valid_lease: true,
-        job_cache_is_fresh: true,
-    };
+    let test = cluster_with_small_values();
+    let ctx = test.context(500);
     let busy = |i: usize| !i.is_multiple_of(3);
     for ends_after in 0..12 {
         let mut stored = StoredRegistry::default();
@@ -144,7 +138,7 @@
         }
         assert!(leader.registry.waits.is_empty() && leader.registry.dirty.is_empty());
         assert_eq!(stored.records().len(), 43, "listed once each in the end");
-        assert!(stored.segments.values().all(|v| v.len() <= cfg.value_bytes));
+        assert!(stored.segments.values().all(|v| v.len() <= ctx.cfg.value_bytes));
         assert!(
             touched.iter().all(|i| leader.cluster.machines[&id(*i)].registered_in_use),
             "no work for some"
@@ -156,16 +150,8 @@
 /// in two segments, of which one may say that nothing runs there.
 #[test]
 fn a_machine_in_two_segments_is_free_only_if_both_say_so() {
-    let (cfg, job_cache) = (limits(), JobCache::new(10));
-    let ctx = Context {
-        cfg: &cfg,
-        types: &[],
-        job_cache: &job_cache,
-        now: 500,
-        wall: 0,
-        holds_valid_lease: true,
-        job_cache_is_fresh: true,
-    };
+    let test = cluster_with_small_values();
+    let ctx = test.context(500);
     let mut stored = StoredRegistry::default();
     stored.segments.insert(machine_registry_key(0), segment(0..4, |i| i < 2));
     stored.segments.insert(machine_registry_key(1), segment(0..4, |i| i.is_multiple_of(2)));
--- a/crates/basaltrail-core/src/leader/persistence/transaction.rs
+++ b/crates/basaltrail-core/src/leader/persistence/transaction.rs
@@ -6,8 +6,8 @@
 use crate::store::rate_limiter::{CallPriority, TokenBucket};
 use crate::store::records::{active_job_key, encode, outcome_key};
 
-/// Bytes of one transaction: the state service takes 64 KiB, and its framing beside what is
-/// counted here is not ours.
+/// Bytes of one transaction: the state service takes 64 KiB in total (PROTOCOL, `POST /txn`), and
+/// the rest is for framing that is not counted here.
 const MAX_BYTES: usize = 56 * 1024;
 /// Bytes that a key with its mod revision, or a change, takes at the most beside the value.
 const FRAME_BYTES: usize = 128;
--- a/crates/basaltrail-core/src/leader/scheduler/mod.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/mod.rs
@@ -117,7 +117,7 @@
             ctx,
             cluster: &mut self.cluster,
             ledger: &mut self.ledger,
-            unknown_jobs: &self.failover.unknown,
+            unknown_jobs: &self.failover.unknown_jobs,
             token: self.token,
             elected_revision: self.mod_revision,
             rng,
--- a/crates/basaltrail-core/src/machines/machine.rs
+++ b/crates/basaltrail-core/src/machines/machine.rs
@@ -18,7 +18,7 @@
     Releasing,
 }
 
-/// How long an agent waits for an answer (PROTOCOL, Workers); only then does it ask
+/// How long an agent waits for an answer (PROTOCOL, Workers -> controller nodes); only then does it ask
 /// another controller, so one that comes back sooner received our answer.
 const ANSWER_TIMEOUT_MS: Ms = 4000;
 /// Answers to a machine that does not show our token, before its lease is left to expire.
@@ -223,8 +223,8 @@
             .collect()
     }
 
-    /// The lease has certainly expired: whatever ran is killed and forgotten, and
-    /// heartbeats of that agent epoch can only be late copies.
+    /// The lease has certainly expired: whatever ran is killed and forgotten, and heartbeats of
+    /// that agent epoch can only be late copies (PROTOCOL, `POST /checkin`, Leases).
     pub fn expire_lease(&mut self) -> Vec<TaskChange> {
         self.lease_expired = true;
         self.reconciled = true;
@@ -262,7 +262,8 @@
     ///
     /// The bodies of answers to direct commands may be made while a start is still on its way
     /// and prove nothing. The heartbeat carries our token, so it was made after the agent
-    /// received an answer of this leader: nothing of earlier leaders was on its way by then.
+    /// received an answer of this leader: nothing of earlier leaders was on its way by then
+    /// (PROTOCOL, `POST /checkin`, Tokens).
     pub fn apply_heartbeat(
         &mut self,
         now: Ms,
