--- a/crates/basaltrail-admission/src/planner.rs
+++ b/crates/basaltrail-admission/src/planner.rs
@@ -374,7 +374,8 @@
     left: &[WorkAmount],
 ) -> bool {
     classes.iter().enumerate().any(|(class, load)| {
-        let Some(entry) = cached.quota.classes.iter().position(|e| e.class == load.class) else {
+        let Some(entry) = cached.quota.classes.iter().position(|entry| entry.class == load.class)
+        else {
             return true;
         };
         let has = cached.unspent(entry);
--- a/crates/basaltrail-admission/tests/limiter.rs
+++ b/crates/basaltrail-admission/tests/limiter.rs
@@ -1,4 +1,4 @@
-//! What a controller admits, and what it refuses.
+//! What a controller admits out of its quotas, and what it rejects.
 
 use basaltrail_admission::*;
 
@@ -23,20 +23,20 @@
     cache
 }
 
-fn reason(refused: Result<Reservation, QuotaRejection>) -> RejectionReason {
-    refused.expect_err("admitted").reason
+fn reason(admitted: Result<Reservation, QuotaRejection>) -> RejectionReason {
+    admitted.expect_err("admitted").reason
 }
 
 #[test]
-fn a_class_is_admitted_up_to_its_room_and_others_share_theirs() {
+fn a_class_is_admitted_up_to_its_entry_and_others_share_one() {
     let cache = cache(quota(1, 2, 1_000.0), 5);
     let mut limiter = QuotaLimiter::new("n", 1, QuotaMode::Enforced);
     for _ in 0..2 {
         let reservation = limiter.admit(&cache, demand("c")).unwrap();
         assert_eq!(reservation.precondition(), Some(("t", Revision(5))));
     }
-    let refused = limiter.admit(&cache, demand("c")).unwrap_err();
-    assert_eq!((refused.reason, refused.retry_after_s), (RejectionReason::BacklogFull, 7));
+    let rejection = limiter.admit(&cache, demand("c")).unwrap_err();
+    assert_eq!((rejection.reason, rejection.retry_after_s), (RejectionReason::BacklogFull, 7));
     assert!(limiter.admit(&cache, demand("x")).is_ok());
     assert!(limiter.admit(&cache, demand("y")).is_ok());
     assert_eq!(reason(limiter.admit(&cache, demand("z"))), RejectionReason::BacklogFull);
@@ -46,7 +46,7 @@
 
 /// The last job may be larger than what is left: it could never be admitted otherwise.
 #[test]
-fn one_job_may_be_larger_than_the_room() {
+fn one_job_may_be_larger_than_what_is_left() {
     let cache = cache(quota(1, 9, 15.0), 5);
     let mut limiter = QuotaLimiter::new("n", 1, QuotaMode::Enforced);
     assert!(limiter.admit(&cache, demand("c")).is_ok());
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_later_process_has_none_of_an_earlier_ones() {
+fn a_later_process_may_use_nothing_of_an_earlier_ones_quota() {
     let cache = cache(quota(1, 9, 1_000.0), 5);
     let mut limiter = QuotaLimiter::new("n", 2, QuotaMode::Enforced);
     assert_eq!(reason(limiter.admit(&cache, demand("c"))), RejectionReason::NoQuota);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn what_was_not_carried_out_is_given_back() {
+fn a_reservation_that_was_not_used_is_given_back() {
     let cache = cache(quota(1, 1, 1_000.0), 5);
     let mut limiter = QuotaLimiter::new("n", 1, QuotaMode::Enforced);
     let reservation = limiter.admit(&cache, demand("c")).unwrap();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_allotment_that_moved_on_admits_nothing_until_the_next_is_known() {
+fn a_replaced_quota_admits_nothing_until_the_next_is_known() {
     let mut cache = cache(quota(1, 9, 1_000.0), 5);
     let mut limiter = QuotaLimiter::new("n", 1, QuotaMode::Enforced);
     let reservation = limiter.admit(&cache, demand("c")).unwrap();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn without_allotments_everything_is_admitted_and_nothing_is_conditional() {
+fn without_quotas_everything_is_admitted_and_nothing_is_conditional() {
     let mut limiter = QuotaLimiter::new("n", 1, QuotaMode::Unlimited);
     let reservation = limiter.admit(&QuotaCache::default(), demand("c")).unwrap();
     assert_eq!(reservation.precondition(), None);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn records_are_kept_under_short_names_and_odd_ones_are_not_sound() {
+fn records_are_stored_under_short_names_and_odd_ones_are_not_valid() {
     let text = r#"{"t":"t","n":"n","i":1,"h":100.0,"r":[{"c":"c","j":2,"w":5.0,"s":7}]}"#;
     let read: AdmissionQuota = serde_json::from_str(text).unwrap();
     assert_eq!(serde_json::to_string(&read).unwrap(), text);
--- a/crates/basaltrail-admission/tests/model.rs
+++ b/crates/basaltrail-admission/tests/model.rs
@@ -1,4 +1,4 @@
-//! Controllers, a leader and a state service as a model: views that lag, writes that are carried out
+//! Controllers, a leader and a store as a model: caches that lag, writes that are carried out
 //! late or twice, answers that are lost, processes that stand still, end and come back, leaders
 //! that change. At no revision have more jobs of a team been accepted and not ended than its
 //! bound allows.
@@ -364,7 +364,7 @@
 /// The same model with acceptances that do not name their quota's mod revision.
 #[test]
 #[should_panic(expected = "jobs accepted")]
-fn without_the_stamp_more_is_accepted() {
+fn without_the_revision_more_is_accepted() {
     for seed in 0..40 {
         play(seed, false);
     }
--- a/crates/basaltrail-admission/tests/planner.rs
+++ b/crates/basaltrail-admission/tests/planner.rs
@@ -1,4 +1,4 @@
-//! What a leader hands out.
+//! The quotas that a leader hands out.
 
 use basaltrail_admission::*;
 
@@ -36,7 +36,7 @@
         .fold(WorkAmount::default(), |sum, entry| sum.plus(entry.amount()))
 }
 
-/// The cache takes the writes as written at these stamps.
+/// The cache takes the writes, carried out at this revision and those that follow.
 fn arrive(cache: &mut QuotaCache, writes: &[QuotaWrite], mod_revision: u64) {
     for (n, write) in writes.iter().enumerate() {
         let quota = write.quota.clone();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_is_on_its_way_counts_until_the_view_has_it() {
+fn a_write_in_flight_counts_until_the_cache_has_it() {
     let mut cache = controllers(3);
     let mut planner = QuotaPlanner::default();
     let team = load("t", &[("c", 0)]);
@@ -71,7 +71,7 @@
 
 /// A write without an answer is written again: until then it may come late.
 #[test]
-fn a_write_without_an_answer_is_settled_by_the_next() {
+fn a_write_of_unknown_result_is_settled_by_the_next() {
     let cache = controllers(2);
     let mut planner = QuotaPlanner::default();
     let team = [load("t", &[("c", 0)])];
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn shares_follow_what_nodes_accept_and_none_goes_without() {
+fn shares_follow_what_controllers_accept_and_none_goes_without() {
     let mut cache = controllers(3);
     let mut planner = QuotaPlanner::default();
     let team = [load("t", &[("c", 0)])];
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_new_process_gets_an_allotment_of_its_own() {
+fn a_new_process_gets_a_quota_of_its_own() {
     let mut cache = controllers(2);
     let mut planner = QuotaPlanner::default();
     let team = [load("t", &[("c", 0)])];
@@ -125,9 +125,9 @@
     assert_eq!((second[0].quota.incarnation, second[0].replaces), (2, Revision(11)));
 }
 
-/// One controller's record holds much that it has not used; it and another's are replaced at once.
+/// One controller's quota holds much that is not used; it and another's are replaced at once.
 #[test]
-fn what_is_left_of_a_record_counts_while_it_is_replaced() {
+fn what_is_left_of_a_quota_counts_while_it_is_replaced() {
     let mut cache = controllers(2);
     let held = |controller: &str, jobs| {
         let class = |name: &str, jobs| QuotaEntry {
@@ -155,7 +155,7 @@
 
 /// Controllers join one after the other, and the cache shows none of the records that were written.
 #[test]
-fn what_was_written_counts_for_the_others_until_the_view_has_it() {
+fn what_was_written_counts_for_the_others_until_the_cache_has_it() {
     let mut cache = QuotaCache::default();
     let mut planner = QuotaPlanner::default();
     let team = [load("t", &[])];
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_node_that_asks_again_gets_another_record() {
+fn a_controller_that_requests_a_replacement_gets_one() {
     let mut cache = controllers(2);
     let mut planner = QuotaPlanner::default();
     let team = [load("t", &[("c", 0)])];
--- a/crates/basaltrail-core/src/controller/heartbeats.rs
+++ b/crates/basaltrail-core/src/controller/heartbeats.rs
@@ -17,7 +17,8 @@
             Ok(answer) => answer,
             Err(refusal) => {
                 self.heartbeat_counters.count_refusal(refusal);
-                let leader = self.election.leader_hint().filter(|l| *l != self.cfg.controller);
+                let leader =
+                    self.election.leader_hint().filter(|leader| *leader != self.cfg.controller);
                 refusal.answer(leader.map(str::to_string))
             }
         };
--- a/crates/basaltrail-core/src/leader/autoscaler/demand.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/demand.rs
@@ -6,6 +6,7 @@
 use crate::leader::Context;
 use crate::machines::{Machine, MachineKind};
 use crate::model::{fits, JobSpec, MachineType};
+use crate::resources::Resources;
 
 /// What the work at hand asks of one machine type. Services are counted apart, see
 /// `machines_for_services`.
@@ -65,7 +66,7 @@
         // A job in a crash loop needs a machine for its next attempt all the same: it may have
         // met faulty ones, and no other job would ask for its kind. More than its team's limit
         // allows would become idle, be terminated and provisioned anew.
-        let limit = ctx.cfg.teams[job.team].room((0.0, 0.0), &job.spec);
+        let limit = ctx.cfg.teams[job.team].tasks_within_limit(Resources::default(), &job.spec);
         let tasks = job.desired_placements().min(limit);
         let needed = tasks.div_ceil(wanted_type.holds(&job.spec)) as usize;
         let suitable = |machine: &&&Machine| {
--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -54,8 +54,8 @@
     used: &[Resources],
 ) -> u32 {
     let Some(job) = cluster.jobs.get(&id) else { return 0 };
-    let used = used[job.team];
-    ctx.cfg.teams[job.team].room((used.cpus, used.gpus), &job.spec).min(job.pending())
+    let team = &ctx.cfg.teams[job.team];
+    team.tasks_within_limit(used[job.team], &job.spec).min(job.pending())
 }
 
 /// Where the tasks of a job may be; nothing is counted unless the job restricts its zones.
--- a/crates/basaltrail-core/src/model.rs
+++ b/crates/basaltrail-core/src/model.rs
@@ -193,8 +193,10 @@
     /// Whether its tasks may be placed on machines of this type, zone and kind (PROTOCOL:
     /// `formats`, `room`, `remainders`). Resources and the spread over zones are not considered.
     pub fn permits(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
-        let type_allowed =
-            self.types.as_ref().is_none_or(|types| types.iter().any(|t| t == machine_type));
+        let type_allowed = self
+            .types
+            .as_ref()
+            .is_none_or(|types| types.iter().any(|allowed| allowed == machine_type));
         let zone_allowed = self.zone.as_deref().is_none_or(|allowed| allowed == zone);
         let kind_allowed = self.spot || !spot;
         type_allowed && zone_allowed && kind_allowed
@@ -332,17 +334,10 @@
 }
 
 impl MachineType {
-    /// How many tasks of this job an empty machine of this type holds.
-    pub fn holds(&self, job: &JobSpec) -> u32 {
-        fits(self.cpus, job.cpus)
-            .min(fits(self.memory_gb, job.memory_gb))
-            .min(fits(self.gpus, job.gpus))
-    }
-
     /// Whether the job allows this type, in one of its zones at least.
     pub fn allowed(&self, job: &JobSpec) -> bool {
-        job.types.as_ref().is_none_or(|t| t.contains(&self.name))
-            && job.zone.as_ref().is_none_or(|z| self.zones.contains(z))
+        job.types.as_ref().is_none_or(|types| types.contains(&self.name))
+            && job.zone.as_ref().is_none_or(|zone| self.zones.contains(zone))
     }
 }
 
--- a/crates/basaltrail-core/src/resources.rs
+++ b/crates/basaltrail-core/src/resources.rs
@@ -38,6 +38,13 @@
     }
 }
 
+impl MachineType {
+    /// How many tasks of a job an empty machine of this type holds.
+    pub fn holds(&self, job: &JobSpec) -> u32 {
+        Resources::of_machine_type(self).fits(&Resources::of_task(job))
+    }
+}
+
 impl Add for Resources {
     type Output = Resources;
 
--- a/crates/basaltrail-core/src/settings.rs
+++ b/crates/basaltrail-core/src/settings.rs
@@ -2,6 +2,7 @@
 //! deployments differ widely in them; the program reads them from its files.
 
 use crate::model::{fits, JobSpec, Ms};
+use crate::resources::Resources;
 use basaltrail_admission::BacklogBounds;
 
 /// A team, with its guarantee and its limit.
@@ -25,15 +26,15 @@
         self.cpus <= 0.0
     }
 
-    /// How many more tasks of a job the limit allows beside what may be in use.
-    pub fn room(&self, used: (f64, f64), job: &JobSpec) -> u32 {
+    /// How many more tasks of a job the limit allows beside what the team may be using.
+    pub fn tasks_within_limit(&self, used: Resources, job: &JobSpec) -> u32 {
         // What an unknown type of machine may hold is infinite as well: nothing of it
         // counts against a team without a limit.
-        let of = |max: f64, used: f64, need: f64| match max.is_infinite() {
+        let within = |limit: f64, used: f64, need: f64| match limit.is_infinite() {
             true => u32::MAX,
-            false => fits(max - used, need),
+            false => fits(limit - used, need),
         };
-        of(self.cpus_max, used.0, job.cpus).min(of(self.gpus_max, used.1, job.gpus))
+        within(self.cpus_max, used.cpus, job.cpus).min(within(self.gpus_max, used.gpus, job.gpus))
     }
 }
 
@@ -237,7 +238,7 @@
 
     /// A team's part of all weights.
     pub fn weight_share(&self, team: usize) -> f64 {
-        let sum: f64 = (0..self.teams.len()).map(|t| self.weight(t)).sum();
+        let sum: f64 = (0..self.teams.len()).map(|team| self.weight(team)).sum();
         self.weight(team) / sum.max(1e-9)
     }
 
@@ -249,7 +250,7 @@
 
     /// The index of a team.
     pub fn team(&self, name: &str) -> Option<usize> {
-        self.teams.iter().position(|t| t.name == name)
+        self.teams.iter().position(|team| team.name == name)
     }
 
     /// The times, in seconds from submission, by which the objectives want a job complete.
--- a/crates/basaltrail-core/src/settings_tests.rs
+++ b/crates/basaltrail-core/src/settings_tests.rs
@@ -2,12 +2,13 @@
 
 /// What nobody knows the use of counts in full: an infinite use of no limit is no amount.
 #[test]
-fn a_team_without_a_limit_has_room_for_all() {
+fn a_team_without_a_limit_may_start_any_number_of_tasks() {
     let inf = f64::INFINITY;
     let team = |max| Team { name: "t".into(), cpus: 0.0, cpus_max: max, gpus: 0.0, gpus_max: inf };
+    let used = |cpus, gpus| Resources { cpus, gpus, memory_gb: 0.0 };
     let job = sample::a_job(9, true);
-    assert_eq!(team(inf).room((inf, inf), &job), u32::MAX);
-    assert_eq!(team(inf).room((1e9, 0.0), &job), u32::MAX);
-    assert_eq!(team(16.0).room((8.0, 0.0), &job), 2);
-    assert_eq!(team(16.0).room((inf, 0.0), &job), 0);
+    assert_eq!(team(inf).tasks_within_limit(used(inf, inf), &job), u32::MAX);
+    assert_eq!(team(inf).tasks_within_limit(used(1e9, 0.0), &job), u32::MAX);
+    assert_eq!(team(16.0).tasks_within_limit(used(8.0, 0.0), &job), 2);
+    assert_eq!(team(16.0).tasks_within_limit(used(inf, 0.0), &job), 0);
 }
