--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -1,183 +1,201 @@
-//! What workers' reports change in the account of every task.
+//! Reconciliation of jobs with what machines report of their tasks.
 
-use crate::leader::scheduler::assignment::task_need;
+use crate::events::JobEvent;
+use crate::jobs::JobState;
+use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::services::another_replica_runs;
-use crate::leader::*;
+use crate::leader::{Context, Leader};
+use crate::machines::{Machine, TaskChange, TaskExit};
+use crate::model::{Attempt, ExitReason, JobId, MachineId, Ms, TaskId};
+use crate::store::calls::Calls;
+use std::collections::BTreeSet;
+
+/// Milliseconds for which nothing is placed on a machine whose agent had no room for a task.
+const NO_ROOM_BACK_OFF_MS: Ms = 2000;
+/// Milliseconds for which a job backs off after an attempt of which the agent knows nothing.
+const UNKNOWN_EXIT_BACK_OFF_MS: Ms = 2000;
+
+/// What reconciling one change asks of the other parts of the leader.
+#[derive(Debug, Default, PartialEq)]
+pub struct Reconciled {
+    /// Capacity came free, or work waits: a scheduling cycle is due.
+    pub scheduling_due: bool,
+    /// More may be in use than the last scheduling cycle counted.
+    pub usage_may_have_grown: bool,
+    /// A job whose record has to be read.
+    pub unknown_job: Option<JobId>,
+    /// A job with a completion that is to be written.
+    pub job_with_completion: Option<JobId>,
+    /// A job whose tasks are all done.
+    pub complete_job: Option<JobId>,
+    /// What is logged.
+    pub event: Option<JobEvent>,
+}
 
 impl Leader {
-    pub(in crate::leader) fn need(&self, job: JobId) -> Option<Need> {
-        self.cluster.jobs.get(&job).map(task_need)
+    /// Reconciles the jobs with several changes on a machine.
+    pub(in crate::leader) fn reconcile_all(
+        &mut self,
+        ctx: &Context,
+        calls: &mut Calls,
+        machine: &MachineId,
+        changes: Vec<TaskChange>,
+    ) {
+        for change in changes {
+            if let Some(event) = self.reconcile(ctx, machine, change) {
+                calls.log(event);
+            }
+        }
     }
 
-    pub(in crate::leader) fn change(
+    /// Reconciles a job with one change on a machine; returns what is to be logged.
+    pub(in crate::leader) fn reconcile(
         &mut self,
         ctx: &Context,
         machine: &MachineId,
         change: TaskChange,
     ) -> Option<JobEvent> {
-        let now = ctx.now;
-        match change {
-            TaskChange::Gone { task, attempt } => {
-                if let Some(j) = self.cluster.jobs.get_mut(&task.job) {
-                    if j.end_placement(task.index, machine, attempt) {
-                        self.scheduler.changed = true;
-                    }
-                }
-                None
-            }
-            TaskChange::Here { task, attempt } => {
-                self.scheduler.last_cycle = None;
-                let need = self.need(task.job);
-                let m = self.cluster.machines.get_mut(machine)?;
-                let e = m.entries.get_mut(&(task, attempt))?;
-                e.need = need;
-                let Some(j) = self.cluster.jobs.get_mut(&task.job) else {
-                    match ctx.job_cache.outcome(task.job) {
-                        Some(_) => e.stop = Some(0.0),
-                        None => self.read_job(ctx, task.job),
-                    }
-                    return None;
-                };
-                j.started = true;
-                let place = (machine.clone(), attempt);
-                let elsewhere = j.placed.get(&task.index).is_some_and(|p| *p != place);
-                if j.ended.is_some() || j.done.get(task.index) || elsewhere {
-                    // Not wanted here. An attempt elsewhere is left alone.
-                    e.stop = Some(0.0);
-                    e.stop_sent = None;
-                } else {
-                    j.placed.insert(task.index, place);
-                }
-                None
-            }
-            TaskChange::Exited { task, attempt, why, ran_ms } => {
-                self.scheduler.changed = true;
-                let stands = another_replica_runs(ctx, &self.cluster, task);
-                let need = self.need(task.job);
-                let m = self.cluster.machines.get_mut(machine)?;
-                if let Some(e) = m.entries.get_mut(&(task, attempt)) {
-                    e.need = need;
-                }
-                let Some(j) = self.cluster.jobs.get_mut(&task.job) else {
-                    self.read_job(ctx, task.job);
-                    return None;
-                };
-                let mut failed_before = BTreeSet::new();
-                let service = j.spec.is_service();
-                let lasted = ran_ms.is_some_and(|ran| ran >= ctx.cfg.lease_ms);
-                if why == ExitReason::Done && !service {
-                    if j.mark_done(task.index) {
-                        self.writer.unwritten.insert(task.job);
-                    }
-                    if j.is_complete() {
-                        self.writer.complete.insert(task.job);
-                    }
-                    failed_before = j.health.ended_well(machine);
-                    m.health.ended_well();
-                }
-                if service && (lasted || stands) {
-                    // What has run for long, here or elsewhere, is not the service's fault.
-                    failed_before = j.health.ended_well(machine);
-                }
-                let ours = j.end_placement(task.index, machine, attempt);
-                if !ours || j.ended.is_some() {
-                    return None;
-                }
-                match why {
-                    // A replica that is done at once fails, too: it would start without end.
-                    ExitReason::Done if !service || lasted => {}
-                    ExitReason::Error | ExitReason::Done => {
-                        let first = j.health.failed(machine, now, ctx.cfg.lease_ms);
-                        if j.health.proven() {
-                            m.health.count_failure(task.job, now);
-                        }
-                        // A line for each task of an array would be thousands.
-                        return first.then(|| JobEvent::TaskFailed {
-                            task,
-                            machine: machine.clone(),
-                            crash_looping: j.health.suspect(),
-                            ran_ms: ran_ms.unwrap_or(0),
-                        });
-                    }
-                    ExitReason::NoRoom => m.no_room_until = now + 2000,
-                    ExitReason::Unknown => j.health.pause(now + 2000),
-                    _ => {}
-                }
-                // It was not the job.
-                for other in failed_before.iter().filter(|o| *o != machine) {
-                    if let Some(m) = self.cluster.machines.get_mut(other) {
-                        m.health.count_failure(task.job, now);
-                    }
-                }
-                None
+        let reconciled = match change {
+            TaskChange::Gone { task, attempt } => self.cluster.task_gone(machine, task, attempt),
+            TaskChange::Present { task, attempt } => {
+                self.cluster.task_present(ctx, machine, task, attempt)
             }
+            TaskChange::Exited(exit) => self.cluster.task_exited(ctx, machine, exit),
+        };
+        self.scheduler.changed |= reconciled.scheduling_due;
+        if reconciled.usage_may_have_grown {
+            self.scheduler.last_cycle = None;
         }
+        if let Some(job) = reconciled.unknown_job {
+            self.failover.read_job(ctx.cfg, job);
+        }
+        self.writer.unwritten_jobs.extend(reconciled.job_with_completion);
+        self.writer.complete_jobs.extend(reconciled.complete_job);
+        reconciled.event
     }
+}
 
-    pub(in crate::leader) fn apply(
+impl Cluster {
+    /// An attempt is certainly not on the machine: its task waits again.
+    fn task_gone(&mut self, machine: &MachineId, task: TaskId, attempt: Attempt) -> Reconciled {
+        let job = self.jobs.get_mut(&task.job);
+        let freed = job.is_some_and(|job| job.end_placement(task.index, machine, attempt));
+        Reconciled { scheduling_due: freed, ..Reconciled::default() }
+    }
+
+    /// An attempt is on the machine. It is stopped if it is not wanted there.
+    fn task_present(
         &mut self,
         ctx: &Context,
-        calls: &mut Calls,
         machine: &MachineId,
-        changes: Vec<TaskChange>,
-    ) {
-        for c in changes {
-            if let Some(event) = self.change(ctx, machine, c) {
-                calls.log(event);
+        task: TaskId,
+        attempt: Attempt,
+    ) -> Reconciled {
+        let mut reconciled = Reconciled { usage_may_have_grown: true, ..Reconciled::default() };
+        let demand = self.task_demand(task.job);
+        let found = self.machines.get_mut(machine);
+        let Some(slot) = found.and_then(|found| found.slots.get_mut(&(task, attempt))) else {
+            return reconciled;
+        };
+        slot.demand = demand;
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            match ctx.job_cache.outcome(task.job) {
+                Some(_) => slot.stop_grace_s = Some(0.0),
+                None => reconciled.unknown_job = Some(task.job),
             }
+            return reconciled;
+        };
+        job.started = true;
+        let place = (machine.clone(), attempt);
+        let elsewhere = job.placed.get(&task.index).is_some_and(|placed| *placed != place);
+        if job.ended.is_some() || job.done.get(task.index) || elsewhere {
+            // Not wanted here. An attempt elsewhere is left alone.
+            slot.stop_at_once();
+        } else {
+            job.placed.insert(task.index, place);
         }
+        reconciled
     }
 
-    pub(in crate::leader) fn note_images(&mut self, ctx: &Context, machine: &MachineId) {
-        let Some(m) = self.cluster.machines.get_mut(machine) else { return };
-        let cache = ctx.types.iter().find(|t| t.name == m.machine_type).map_or(0.0, |t| t.cache_gb);
-        let running: BTreeSet<JobId> =
-            m.entries.iter().filter(|(_, e)| e.holds()).map(|((t, _), _)| t.job).collect();
-        for job in running {
-            if let Some(j) = self.cluster.jobs.get(&job) {
-                m.used_image(&j.spec.image, j.spec.image_gb, cache);
+    /// An attempt has exited: records its outcome in its job and in the machine's health.
+    fn task_exited(&mut self, ctx: &Context, machine_id: &MachineId, exit: TaskExit) -> Reconciled {
+        let TaskExit { task, attempt, reason, ran_ms } = exit;
+        let mut reconciled = Reconciled { scheduling_due: true, ..Reconciled::default() };
+        let runs_elsewhere = another_replica_runs(ctx, self, task);
+        let demand = self.task_demand(task.job);
+        let Some(machine) = self.machines.get_mut(machine_id) else { return reconciled };
+        if let Some(slot) = machine.slots.get_mut(&(task, attempt)) {
+            slot.demand = demand;
+        }
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            reconciled.unknown_job = Some(task.job);
+            return reconciled;
+        };
+        let service = job.spec.is_service();
+        let ran_long = ran_ms.is_some_and(|ran| ran >= ctx.cfg.lease_ms);
+        let mut failed_before = BTreeSet::new();
+        if reason == ExitReason::Done && !service {
+            reconciled.job_with_completion = job.mark_done(task.index).then_some(task.job);
+            reconciled.complete_job = job.is_complete().then_some(task.job);
+            failed_before = job.health.record_success(machine_id);
+            machine.health.record_success();
+        }
+        if service && (ran_long || runs_elsewhere) {
+            // What has run for long, here or elsewhere, is not the service's fault.
+            failed_before = job.health.record_success(machine_id);
+        }
+        let was_placed_here = job.end_placement(task.index, machine_id, attempt);
+        if !was_placed_here || job.ended.is_some() {
+            return reconciled;
+        }
+        match reason {
+            // A replica that is done at once fails, too: it would start without end.
+            ExitReason::Done if !service || ran_long => {}
+            ExitReason::Error | ExitReason::Done => {
+                reconciled.event = record_failure(ctx, job, machine, exit);
+                return reconciled;
             }
+            ExitReason::NoRoom => machine.no_room_until = ctx.now + NO_ROOM_BACK_OFF_MS,
+            ExitReason::Unknown => job.health.back_off(ctx.now + UNKNOWN_EXIT_BACK_OFF_MS),
+            ExitReason::Stopped | ExitReason::Busy => {}
         }
+        self.blame_machines(ctx.now, machine_id, task.job, failed_before);
+        reconciled
     }
 
-    /// Tasks that can save leave a machine that is about to go, and so do those that
-    /// cannot be done by then: what they did is lost, and elsewhere they begin sooner.
-    pub(in crate::leader) fn drain(&mut self, now: Ms, machine: &MachineId) {
-        let Some(m) = self.cluster.machines.get_mut(machine) else { return };
-        let left_s = m.gone_at.map_or(0.0, |t| t.saturating_sub(now) as f64 / 1000.0);
-        for ((task, _), e) in m.entries.iter_mut().filter(|(_, e)| e.stop.is_none()) {
-            let Some(need) = e.need else { continue };
-            let ran_s = e.running_since.map_or(0.0, |t| (now - t) as f64 / 1000.0);
-            let run_s = self.cluster.jobs.get(&task.job).map_or(0.0, |j| j.spec.estimate_s);
-            if self.cluster.jobs.get(&task.job).is_some_and(|j| j.spec.is_service()) {
-                // It runs until it is lost: moved now, it is away for a moment.
-                e.stop = Some(0.0);
-                continue;
+    /// A job ended well on one machine: that it failed on others before was not its fault.
+    fn blame_machines(
+        &mut self,
+        now: Ms,
+        ended_well_on: &MachineId,
+        job: JobId,
+        failed_on: BTreeSet<MachineId>,
+    ) {
+        for other in failed_on.iter().filter(|other| *other != ended_well_on) {
+            if let Some(machine) = self.machines.get_mut(other) {
+                machine.health.record_failure(job, now);
             }
-            e.stop = match need.save_s {
-                Some(save) => Some(save + 1.0),
-                // Estimates are often too high: in doubt it may go on.
-                None => (SURELY_RUNS * run_s - ran_s > left_s).then_some(0.0),
-            };
         }
-        self.withdraw(machine);
     }
+}
 
-    /// Takes back what was assigned and never sent.
-    pub(in crate::leader) fn withdraw(&mut self, machine: &MachineId) {
-        let Some(m) = self.cluster.machines.get_mut(machine) else { return };
-        let unsent: Vec<(TaskId, Attempt)> = m
-            .entries
-            .iter()
-            .filter(|(_, e)| matches!(e.place, TaskPhase::Assigned { .. }))
-            .map(|(k, _)| *k)
-            .collect();
-        for (task, attempt) in unsent {
-            m.entries.remove(&(task, attempt));
-            if let Some(j) = self.cluster.jobs.get_mut(&task.job) {
-                j.end_placement(task.index, machine, attempt);
-            }
-            self.scheduler.changed = true;
-        }
+/// Records a failure in the job, and in the machine's health if the job ends well elsewhere.
+/// Only the first failure of a job on a machine is logged: a line for each task of an array
+/// would be thousands.
+fn record_failure(
+    ctx: &Context,
+    job: &mut JobState,
+    machine: &mut Machine,
+    exit: TaskExit,
+) -> Option<JobEvent> {
+    let first = job.health.record_failure(&machine.id, ctx.now, ctx.cfg.lease_ms);
+    if job.health.has_succeeded() {
+        machine.health.record_failure(job.id, ctx.now);
     }
+    first.then(|| JobEvent::TaskFailed {
+        task: exit.task,
+        machine: machine.id.clone(),
+        crash_looping: job.health.is_crash_looping(),
+        ran_ms: exit.ran_ms.unwrap_or(0),
+    })
 }
