--- a/crates/basaltrail-protocol/src/administration.rs
+++ b/crates/basaltrail-protocol/src/administration.rs
@@ -1,5 +1,9 @@
-//! What the administration listener tells: limits, use, backlog and allotments of the teams.
-//! The schema is published as `docs/schemas/limits.json`.
+//! The answer of the administration listener: limits, use, backlog and admission quotas of the
+//! teams.
+//!
+//! The published schema, `docs/schemas/limits.json`, is generated from these types with their
+//! names, field names and doc comments, so all of them are part of a fixed format. A `Room` is
+//! an amount of work, an allotment the admission quota of a controller, a node a controller.
 
 use basaltrail_core::inspection::{ClassReport, LimitsReport, TeamReport};
 use schemars::JsonSchema;
@@ -59,37 +63,44 @@
     pub teams: Vec<Team>,
 }
 
-fn room((jobs, work): (u32, f64)) -> Room {
-    Room { jobs, work }
+impl From<(u32, f64)> for Room {
+    fn from((jobs, work): (u32, f64)) -> Self {
+        Room { jobs, work }
+    }
 }
 
-fn class(report: &ClassReport) -> Class {
-    Class {
-        class: (!report.class.is_empty()).then(|| report.class.clone()),
-        jobs: report.jobs,
-        allotted: report.allotted.map(room),
-        left: report.left.map(room),
+impl From<&ClassReport> for Class {
+    fn from(report: &ClassReport) -> Self {
+        Class {
+            class: (!report.class.is_empty()).then(|| report.class.clone()),
+            jobs: report.jobs,
+            allotted: report.allotted.map(Room::from),
+            left: report.left.map(Room::from),
+        }
     }
 }
 
-fn team(report: &TeamReport) -> Team {
-    Team {
-        team: report.team.clone(),
-        guaranteed: report.guaranteed,
-        limit: report.limit,
-        used: report.used,
-        refused: report.refused,
-        classes: report.classes.iter().map(class).collect(),
+impl From<&TeamReport> for Team {
+    fn from(report: &TeamReport) -> Self {
+        Team {
+            team: report.team.clone(),
+            guaranteed: report.guaranteed,
+            limit: report.limit,
+            used: report.used,
+            refused: report.refused,
+            classes: report.classes.iter().map(Class::from).collect(),
+        }
     }
 }
 
-/// A report as it is told.
-pub fn limits(report: &LimitsReport) -> Limits {
-    Limits {
-        node: report.controller.clone(),
-        leader: report.leader.clone(),
-        revision: report.revision.0,
-        allotted: report.allotted,
-        teams: report.teams.iter().map(team).collect(),
+impl From<&LimitsReport> for Limits {
+    fn from(report: &LimitsReport) -> Self {
+        Limits {
+            node: report.controller.clone(),
+            leader: report.leader.clone(),
+            revision: report.revision.0,
+            allotted: report.allotted,
+            teams: report.teams.iter().map(Team::from).collect(),
+        }
     }
 }
--- a/crates/basaltrail-protocol/src/cloud.rs
+++ b/crates/basaltrail-protocol/src/cloud.rs
@@ -1,163 +1,205 @@
-//! The cloud's interface.
+//! Requests to the cloud, and its replies (PROTOCOL, Controller nodes -> cloud).
 
-use crate::{names, Malformed};
+use crate::{names, HttpRequest, Malformed};
 use basaltrail_core::io::{CloudReply, CloudRequest};
-use basaltrail_core::model::*;
+use basaltrail_core::model::{ListedMachine, ListedState, MachineId, MachineType};
 use serde::{Deserialize, Serialize};
 
+/// Machines in one page of the list.
+const PAGE_LENGTH: u32 = 500;
+/// The error of a rental for which the cloud has no machine.
+const NO_CAPACITY: &str = "no capacity";
+
 #[derive(Deserialize)]
 struct TypesBody {
-    formats: Vec<TypeBody>,
+    #[serde(rename = "formats")]
+    types: Vec<TypeBody>,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 struct TypeBody {
     name: String,
-    vcpus: f64,
+    #[serde(rename = "vcpus")]
+    cpus: f64,
     #[serde(default)]
     gpus: f64,
-    ram_gb: f64,
-    #[serde(default)]
-    local_gb: f64,
-    #[serde(default)]
+    #[serde(rename = "ramGb")]
+    memory_gb: f64,
+    #[serde(rename = "localGb", default)]
+    cache_gb: f64,
+    #[serde(rename = "fetchGbPerS", default)]
     fetch_gb_per_s: f64,
     price: f64,
-    #[serde(default)]
-    market_price: Option<f64>,
-    #[serde(default)]
+    #[serde(rename = "marketPrice", default)]
+    spot_price: Option<f64>,
+    #[serde(rename = "bootS", default)]
     boot_s: f64,
-    rooms: Vec<String>,
+    #[serde(rename = "rooms")]
+    zones: Vec<String>,
+}
+
+impl From<TypeBody> for MachineType {
+    fn from(body: TypeBody) -> Self {
+        MachineType {
+            name: body.name,
+            cpus: body.cpus,
+            gpus: body.gpus,
+            memory_gb: body.memory_gb,
+            cache_gb: body.cache_gb,
+            fetch_gb_per_s: body.fetch_gb_per_s,
+            price: body.price,
+            spot_price: body.spot_price.unwrap_or(body.price),
+            boot_s: body.boot_s,
+            zones: body.zones,
+        }
+    }
 }
 
 #[derive(Serialize)]
-struct RentBody<'a> {
+struct ProvisionBody<'a> {
     requisition: &'a str,
-    format: &'a str,
-    room: &'a str,
-    remainders: bool,
-    number: u32,
+    #[serde(rename = "format")]
+    machine_type: &'a str,
+    #[serde(rename = "room")]
+    zone: &'a str,
+    #[serde(rename = "remainders")]
+    spot: bool,
+    #[serde(rename = "number")]
+    count: u32,
 }
 
 #[derive(Serialize)]
-struct ReleaseBody<'a> {
-    stacks: &'a [MachineId],
+struct TerminateBody<'a> {
+    #[serde(rename = "stacks")]
+    machines: &'a [MachineId],
 }
 
 #[derive(Deserialize)]
-struct RentedBody {
-    stacks: Vec<String>,
+struct ProvisionedBody {
+    #[serde(rename = "stacks")]
+    machines: Vec<String>,
 }
 
 #[derive(Deserialize)]
 struct ListBody {
-    stacks: Vec<ListedBody>,
+    #[serde(rename = "stacks")]
+    machines: Vec<ListedBody>,
     #[serde(default)]
     truncated: bool,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
 struct ListedBody {
-    name_id: String,
+    #[serde(rename = "nameId")]
+    machine: String,
     #[serde(default)]
     endpoint: Option<String>,
-    format: String,
-    room: String,
-    #[serde(default)]
-    remainders: bool,
-    condition: String,
-    #[serde(default)]
+    #[serde(rename = "format")]
+    machine_type: String,
+    #[serde(rename = "room")]
+    zone: String,
+    #[serde(rename = "remainders", default)]
+    spot: bool,
+    #[serde(rename = "condition")]
+    state: String,
+    #[serde(rename = "ageS", default)]
     age_s: f64,
 }
 
+impl ListedBody {
+    fn into_machine(self) -> Result<ListedMachine, Malformed> {
+        let machine = names::parse_machine(&self.machine)
+            .ok_or(Malformed::MachineName { field: "nameId" })?;
+        let state = match self.state.as_str() {
+            "starting" => ListedState::Booting,
+            "failed" => ListedState::Failed,
+            _ => ListedState::Running,
+        };
+        Ok(ListedMachine {
+            machine,
+            endpoint: self.endpoint.unwrap_or_default(),
+            machine_type: self.machine_type,
+            zone: self.zone,
+            spot: self.spot,
+            state,
+            age_s: if self.age_s.is_finite() { self.age_s } else { 0.0 },
+        })
+    }
+}
+
 #[derive(Deserialize)]
-struct RefusalBody {
+struct ErrorBody {
     #[serde(default)]
     error: String,
 }
 
-/// Method, path and body of a call.
-pub fn request(op: &CloudRequest) -> (&'static str, String, String) {
-    match op {
-        CloudRequest::Types => ("GET", "/machine_types".into(), String::new()),
+/// The HTTP request that carries a request to the cloud.
+pub fn http_request(request: &CloudRequest) -> HttpRequest {
+    match request {
+        CloudRequest::Types => HttpRequest::get("/machine_types".into()),
         CloudRequest::Provision { requisition, machine_type, zone, spot, count } => {
-            let body = RentBody {
-                requisition,
-                format: machine_type,
-                room: zone,
-                remainders: *spot,
-                number: *count,
-            };
-            ("POST", "/rentals".into(), serde_json::to_string(&body).unwrap_or_default())
+            let (spot, count) = (*spot, *count);
+            let body = ProvisionBody { requisition, machine_type, zone, spot, count };
+            HttpRequest::post("/rentals", serde_json::to_string(&body).unwrap_or_default())
         }
-        CloudRequest::Terminate(stacks) => {
-            let body = serde_json::to_string(&ReleaseBody { stacks }).unwrap_or_default();
-            ("POST", "/rentals/release".into(), body)
+        CloudRequest::Terminate(machines) => {
+            let body = serde_json::to_string(&TerminateBody { machines }).unwrap_or_default();
+            HttpRequest::post("/rentals/release", body)
         }
         CloudRequest::List { after } => {
-            let after = after.as_ref().map(|a| format!("&after={a}")).unwrap_or_default();
-            ("GET", format!("/rentals?most=500{after}"), String::new())
+            let after = after.as_ref().map(|after| format!("&after={after}")).unwrap_or_default();
+            HttpRequest::get(format!("/rentals?most={PAGE_LENGTH}{after}"))
         }
     }
 }
 
-/// Reads the answer to a call; `Failed` is anything that tells nothing.
-pub fn reply(op: &CloudRequest, status: u16, body: &[u8]) -> Result<CloudReply, Malformed> {
+/// Parses the reply to a request. Any status but 200 is [`CloudReply::Failed`], except that of a
+/// rental without capacity.
+///
+/// # Errors
+///
+/// If the body of a reply with status 200 is malformed.
+pub fn parse_reply(
+    request: &CloudRequest,
+    status: u16,
+    body: &[u8],
+) -> Result<CloudReply, Malformed> {
     if status != 200 {
-        let refusal: Option<RefusalBody> = serde_json::from_slice(body).ok();
-        let none = status == 503 && refusal.is_some_and(|r| r.error == "no capacity");
-        let rent = matches!(op, CloudRequest::Provision { .. });
-        return Ok(if none && rent { CloudReply::NoCapacity } else { CloudReply::Failed });
+        return Ok(refusal(request, status, body));
     }
-    Ok(match op {
+    match request {
         CloudRequest::Types => {
             let body: TypesBody = serde_json::from_slice(body)?;
-            let sane = |x: f64| x.is_finite() && x >= 0.0;
-            let types = body.formats.into_iter().map(|t| MachineType {
-                spot_price: t.market_price.unwrap_or(t.price),
-                name: t.name,
-                cpus: t.vcpus,
-                gpus: t.gpus,
-                memory_gb: t.ram_gb,
-                cache_gb: t.local_gb,
-                fetch_gb_per_s: t.fetch_gb_per_s,
-                price: t.price,
-                boot_s: t.boot_s,
-                zones: t.rooms,
-            });
-            let ok = |t: &MachineType| {
-                sane(t.cpus) && sane(t.memory_gb) && sane(t.price) && sane(t.boot_s)
-            };
-            CloudReply::Types(types.filter(ok).collect())
+            let types = body.types.into_iter().map(MachineType::from);
+            Ok(CloudReply::Types(types.filter(is_usable).collect()))
         }
         CloudRequest::Provision { .. } => {
-            let body: RentedBody = serde_json::from_slice(body)?;
-            CloudReply::Provisioned(body.stacks.iter().filter_map(|s| names::machine(s)).collect())
+            let body: ProvisionedBody = serde_json::from_slice(body)?;
+            let machines = body.machines.iter().filter_map(|name| names::parse_machine(name));
+            Ok(CloudReply::Provisioned(machines.collect()))
         }
-        CloudRequest::Terminate(_) => CloudReply::Terminated,
+        CloudRequest::Terminate(_) => Ok(CloudReply::Terminated),
         CloudRequest::List { .. } => {
             let body: ListBody = serde_json::from_slice(body)?;
-            let mut machines = Vec::with_capacity(body.stacks.len());
-            for l in body.stacks {
-                let machine =
-                    names::machine(&l.name_id).ok_or(Malformed::Field("nameId is not a name"))?;
-                let state = match l.condition.as_str() {
-                    "starting" => ListedState::Booting,
-                    "failed" => ListedState::Failed,
-                    _ => ListedState::Running,
-                };
-                machines.push(ListedMachine {
-                    machine,
-                    endpoint: l.endpoint.unwrap_or_default(),
-                    machine_type: l.format,
-                    zone: l.room,
-                    spot: l.remainders,
-                    state,
-                    age_s: if l.age_s.is_finite() { l.age_s } else { 0.0 },
-                });
-            }
-            CloudReply::Listed { machines, more: body.truncated }
+            let machines: Result<Vec<ListedMachine>, Malformed> =
+                body.machines.into_iter().map(ListedBody::into_machine).collect();
+            Ok(CloudReply::Listed { machines: machines?, more: body.truncated })
         }
-    })
+    }
+}
+
+fn refusal(request: &CloudRequest, status: u16, body: &[u8]) -> CloudReply {
+    let error: Option<ErrorBody> = serde_json::from_slice(body).ok();
+    let is_no_capacity = status == 503 && error.is_some_and(|body| body.error == NO_CAPACITY);
+    match request {
+        CloudRequest::Provision { .. } if is_no_capacity => CloudReply::NoCapacity,
+        _ => CloudReply::Failed,
+    }
+}
+
+/// A type with an amount that is none is left out: no decision could be made about it.
+fn is_usable(machine_type: &MachineType) -> bool {
+    let amounts =
+        [machine_type.cpus, machine_type.memory_gb, machine_type.price, machine_type.boot_s];
+    amounts.iter().all(|amount| amount.is_finite() && *amount >= 0.0)
 }
--- /dev/null
+++ b/crates/basaltrail-protocol/src/heartbeats_tests.rs
@@ -0,0 +1,65 @@
+use super::*;
+
+#[test]
+fn a_heartbeat_is_parsed_and_commands_are_written() {
+    let r = parse_heartbeat(
+        br#"{"stack":"m-000231","endpoint":"10.1.0.232:9000","format":"g8","room":"a",
+        "remainders":true,"tenure":1,"folio":88,"warrant":41,"recallS":null,"leaves":[
+        {"leaf":"job-000412/3","printing":2,"condition":"running"},
+        {"leaf":"job-000398/0","printing":1,"condition":"ended","colophon":"done"}]}"#,
+    )
+    .unwrap();
+    assert_eq!((r.agent_epoch, r.sequence, r.token), (AgentEpoch(1), 88, FencingToken(41)));
+    assert_eq!(r.tasks[1].state, TaskState::Exited(ExitReason::Done));
+    let t = r.tasks[0].task;
+    let body = commands_body(
+        FencingToken(41),
+        &[
+            TaskCommand::Start { task: t, attempt: Attempt(2) },
+            TaskCommand::Stop { task: t, attempt: Attempt(2), grace_s: 10.0 },
+        ],
+    );
+    assert_eq!(
+        body,
+        r#"{"warrant":41,"orders":[{"order":"start","leaf":"job-000412/3","printing":2},{"order":"kill","leaf":"job-000412/3","printing":2,"graceS":10.0}]}"#
+    );
+}
+
+/// A list with one malformed task must not pass for a list without that task.
+#[test]
+fn a_heartbeat_with_a_malformed_task_is_refused() {
+    let body = |leaf: &str, condition: &str| {
+        format!(
+            r#"{{"stack":"m-000001","format":"g","room":"a","tenure":1,"folio":1,"leaves":[
+            {{"leaf":"{leaf}","printing":1,"condition":"{condition}"}}]}}"#
+        )
+    };
+    assert!(parse_heartbeat(body("job-000001/0", "running").as_bytes()).is_ok());
+    assert!(parse_heartbeat(body("job-1/0", "running").as_bytes()).is_err());
+    assert!(parse_heartbeat(body("job-000001/0", "dreaming").as_bytes()).is_err());
+    assert!(parse_heartbeat(
+        br#"{"stack":"m-000001","format":"g","room":"a","tenure":1,"folio":1}"#
+    )
+    .is_err());
+}
+
+/// The messages go to workers, with the text of earlier versions.
+#[test]
+fn a_refusal_says_what_is_wrong() {
+    let report = |machine: &str, zone: &str, task: &str, condition: &str| {
+        format!(
+            r#"{{"stack":"{machine}","format":"g","room":"{zone}","tenure":1,"folio":1,"leaves":[
+            {{"leaf":"{task}","printing":1,"condition":"{condition}"}}]}}"#
+        )
+    };
+    let long = "z".repeat(101);
+    for (body, message) in [
+        ("[]".to_string(), "not a JSON object of the expected form: invalid length 0, expected struct ReportBody with 10 elements at line 1 column 2"),
+        (report("x-1", "a", "job-000001/0", "running"), "stack is not a name"),
+        (report("m-1", &long, "job-000001/0", "running"), "a name is too long"),
+        (report("m-1", "a", "job-1/0", "running"), "leaf is not a task"),
+        (report("m-1", "a", "job-000001/0", "idle"), "condition is not known"),
+    ] {
+        assert_eq!(parse_heartbeat(body.as_bytes()).unwrap_err().to_string(), message);
+    }
+}
--- a/crates/basaltrail-protocol/src/names_tests.rs
+++ b/crates/basaltrail-protocol/src/names_tests.rs
@@ -2,8 +2,8 @@
 
 #[test]
 fn every_name_has_one_spelling() {
-    assert_eq!(job("job-000412"), Some(JobId(412)));
-    assert_eq!(job("job-1000412"), Some(JobId(1_000_412)));
+    assert_eq!(parse_job("job-000412"), Some(JobId(412)));
+    assert_eq!(parse_job("job-1000412"), Some(JobId(1_000_412)));
     for bad in [
         "job-412",
         "job-0000412",
@@ -14,12 +14,12 @@
         "job-",
         "job-99999999999999999999999",
     ] {
-        assert_eq!(job(bad), None, "{bad}");
+        assert_eq!(parse_job(bad), None, "{bad}");
     }
     for n in [0, 7, 999_999, 1_000_000, u64::MAX] {
-        assert_eq!(job(&job_name(JobId(n))), Some(JobId(n)));
+        assert_eq!(parse_job(&job_name(JobId(n))), Some(JobId(n)));
     }
-    assert_eq!(task("job-000412/3").map(|t| t.index), Some(3));
-    assert_eq!(task("job-000412/+3"), None);
-    assert_eq!(task("job-000412"), None);
+    assert_eq!(parse_task("job-000412/3").map(|t| t.index), Some(3));
+    assert_eq!(parse_task("job-000412/+3"), None);
+    assert_eq!(parse_task("job-000412"), None);
 }
--- a/crates/basaltrail-protocol/tests/bad_input.rs
+++ b/crates/basaltrail-protocol/tests/bad_input.rs
@@ -1,6 +1,6 @@
-//! Submissions that lack a field, or have one that makes no sense: each field on its own.
+//! Submissions with a missing or invalid field: each field on its own.
 
-use basaltrail_protocol::jobs::submission;
+use basaltrail_protocol::submissions::parse_submission;
 use serde_json::{json, Map, Value};
 
 fn good() -> Map<String, Value> {
@@ -13,22 +13,22 @@
 }
 
 fn accepted(job: &Map<String, Value>) -> bool {
-    submission(serde_json::to_string(job).unwrap().as_bytes()).is_ok()
+    parse_submission(serde_json::to_string(job).unwrap().as_bytes()).is_ok()
 }
 
-/// These may be null, and so left out.
-const NULLABLE: [&str; 3] = ["formats", "room", "dueS"];
+/// These may be null or absent.
+const OPTIONAL: [&str; 3] = ["formats", "room", "dueS"];
 
 #[test]
-fn a_field_that_is_absent_or_null_is_invalid_unless_it_may_be() {
+fn an_absent_or_null_field_is_invalid_unless_it_is_optional() {
     assert!(accepted(&good()));
     for field in good().keys() {
-        let may = NULLABLE.contains(&field.as_str());
+        let is_optional = OPTIONAL.contains(&field.as_str());
         let mut job = good();
         job.insert(field.clone(), Value::Null);
-        assert_eq!(accepted(&job), may, "{field} null");
+        assert_eq!(accepted(&job), is_optional, "{field} null");
         job.remove(field);
-        assert_eq!(accepted(&job), may, "{field} absent");
+        assert_eq!(accepted(&job), is_optional, "{field} absent");
     }
 }
 
@@ -87,19 +87,19 @@
     }
 }
 
-/// A service is an array but for its kind: it has no run time and no date.
+/// A service differs from an array by its kind: it has no run time and no deadline.
 #[test]
-fn a_service_is_read() {
+fn a_service_is_parsed_and_its_deadline_ignored() {
     let mut job = good();
     job.insert("binding".into(), json!("daemon"));
     job.insert("reckonS".into(), json!(0));
     job.insert("dueS".into(), Value::Null);
-    let read =
-        |job: &Map<String, Value>| submission(serde_json::to_string(job).unwrap().as_bytes());
-    assert!(read(&job).unwrap().1.is_service());
+    let parse =
+        |job: &Map<String, Value>| parse_submission(serde_json::to_string(job).unwrap().as_bytes());
+    assert!(parse(&job).unwrap().1.is_service());
     job.insert("dueS".into(), json!(900.0));
-    assert_eq!(read(&job).unwrap().1.deadline_s, None);
-    assert!(!read(&good()).unwrap().1.is_service());
+    assert_eq!(parse(&job).unwrap().1.deadline_s, None);
+    assert!(!parse(&good()).unwrap().1.is_service());
     for (field, value) in [
         ("leaves", json!(0)),
         ("leaves", json!(100_001)),
@@ -113,8 +113,8 @@
     ] {
         let mut bad = job.clone();
         bad.insert(field.into(), value.clone());
-        assert!(read(&bad).is_err(), "{field}: {value}");
+        assert!(parse(&bad).is_err(), "{field}: {value}");
         bad.remove(field);
-        assert_eq!(read(&bad).is_err(), field != "dueS", "{field} absent");
+        assert_eq!(parse(&bad).is_err(), field != "dueS", "{field} absent");
     }
 }
--- a/crates/basaltrail-protocol/tests/fuzz.rs
+++ b/crates/basaltrail-protocol/tests/fuzz.rs
@@ -1,11 +1,12 @@
-//! Seeded noise against every parser: none panics, and what is taken keeps its bounds.
+//! Seeded random corruptions of valid bodies against every parser: none panics, and what is
+//! accepted keeps its bounds.
 
 use basaltrail_core::*;
-use basaltrail_protocol::{cloud, frames, jobs, state, workers};
+use basaltrail_protocol::{cloud, frames, heartbeats, store, submissions};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const SEEDS: [&str; 9] = [
+const BODIES: [&str; 9] = [
     r#"{"nameId":"job-000412","shelf":"t","desk":"v","binding":"array","precedence":"urgent","leaves":16,"vcpus":8.0,"gpus":1.0,"ramGb":64.0,"edition":"i","sizeGb":6.2,"formats":["g8"],"room":null,"samePlace":true,"apart":false,"remainders":true,"reckonS":240.0,"bookmarkS":30.0,"pressS":4.0,"dueS":900.0}"#,
     r#"{"stack":"m-000231","endpoint":"10.1.0.232:9000","format":"g8","room":"a","remainders":true,"tenure":1,"folio":88,"warrant":41,"recallS":null,"leaves":[{"leaf":"job-000412/3","printing":2,"condition":"running"},{"leaf":"job-000398/0","printing":1,"condition":"ended","colophon":"done"}]}"#,
     r#"{"formats":[{"name":"g8","vcpus":96,"gpus":8,"ramGb":768,"localGb":200,"fetchGbPerS":1.0,"price":12.0,"marketPrice":4.5,"bootS":45,"rooms":["a","b"]}]}"#,
@@ -16,7 +17,7 @@
     r#"{"impression":433,"news":[{"put":"c/9","v":{},"stamp":433},{"remove":"c/d","stamp":432}]}"#,
     r#"{"failed":["a/b"],"impression":431}"#,
 ];
-const BITS: [&str; 14] = [
+const FRAGMENTS: [&str; 14] = [
     "null",
     "-1",
     "1e999",
@@ -33,7 +34,7 @@
     "0.5",
 ];
 
-fn garble(rng: &mut SmallRng, text: &str) -> Vec<u8> {
+fn corrupt(rng: &mut SmallRng, text: &str) -> Vec<u8> {
     let mut b = text.as_bytes().to_vec();
     for _ in 0..rng.random_range(1..4) {
         let at = rng.random_range(0..b.len());
@@ -41,7 +42,7 @@
         match rng.random_range(0..4) {
             0 => b[at] = rng.random(),
             1 => drop(b.drain(at..to)),
-            2 => drop(b.splice(at..to, BITS[rng.random_range(0..BITS.len())].bytes())),
+            2 => drop(b.splice(at..to, FRAGMENTS[rng.random_range(0..FRAGMENTS.len())].bytes())),
             _ => b.truncate(at.max(1)),
         }
         if b.is_empty() {
@@ -54,7 +55,7 @@
 #[test]
 fn no_parser_panics_and_bounds_hold() {
     let mut rng = SmallRng::seed_from_u64(5);
-    let cloud_ops = [
+    let cloud_requests = [
         CloudRequest::Types,
         CloudRequest::Provision {
             requisition: "r".into(),
@@ -66,7 +67,7 @@
         CloudRequest::Terminate(Vec::new()),
         CloudRequest::List { after: None },
     ];
-    let state_ops = [
+    let store_requests = [
         StoreRequest::Get("a".into()),
         StoreRequest::List { prefix: "a".into(), after: None, limit: 1 },
         StoreRequest::Transaction {
@@ -78,14 +79,14 @@
         StoreRequest::KeepAlive { lease_id: LeaseId(1) },
         StoreRequest::Watch { prefix: "a".into(), after: Revision(0), wait_ms: 0 },
     ];
-    let (mut taken, mut refused) = (0, 0);
+    let (mut accepted, mut refused) = (0, 0);
     for _ in 0..20_000 {
-        let seed = SEEDS[rng.random_range(0..SEEDS.len())];
-        let body = garble(&mut rng, seed);
-        match jobs::submission(&body) {
+        let valid = BODIES[rng.random_range(0..BODIES.len())];
+        let body = corrupt(&mut rng, valid);
+        match submissions::parse_submission(&body) {
             Ok((_, s)) => {
-                taken += 1;
-                assert!((1..=jobs::TASKS_MOST).contains(&s.tasks));
+                accepted += 1;
+                assert!((1..=submissions::MAX_TASKS).contains(&s.tasks));
                 assert!(
                     s.cpus > 0.0
                         && s.cpus.is_finite()
@@ -95,25 +96,25 @@
             }
             Err(_) => refused += 1,
         }
-        let _ = workers::heartbeat(&body);
+        let _ = heartbeats::parse_heartbeat(&body);
         let status = [200, 404, 409, 410, 429, 503, 700][rng.random_range(0..7)];
-        for op in &cloud_ops {
-            let reply = cloud::reply(op, status, &body);
+        for request in &cloud_requests {
+            let reply = cloud::parse_reply(request, status, &body);
             if status != 200 {
                 assert!(matches!(reply, Ok(CloudReply::Failed | CloudReply::NoCapacity)));
             }
         }
-        for op in &state_ops {
-            let reply = state::reply(op, status, &body);
-            // A refusal must never be taken for a change that was made.
+        for request in &store_requests {
+            let reply = store::parse_reply(request, status, &body);
+            // A refusal must never be read as a change that was made.
             if status != 200 {
                 assert!(!matches!(reply, Ok(StoreReply::Committed { .. } | StoreReply::Ok)));
             }
         }
-        if let Some(n) = body.get(..frames::HEADER_BYTES).and_then(frames::body_bytes) {
-            assert!(n <= frames::RECORDS_MOST * 16);
+        if let Some(n) = body.get(..frames::HEADER_BYTES).and_then(frames::body_length) {
+            assert!(n <= frames::MAX_RECORDS * 16);
         }
-        let _ = frames::read(&body);
+        let _ = frames::decode_body(&body);
     }
-    assert!(taken > 20 && refused > 1_000, "{taken} taken, {refused} refused");
+    assert!(accepted > 20 && refused > 1_000, "{accepted} accepted, {refused} refused");
 }
--- a/crates/basaltrail-protocol/tests/schema.rs
+++ b/crates/basaltrail-protocol/tests/schema.rs
@@ -1,21 +1,21 @@
-//! The published schema of `inspect limits --json`, and answers judged by it.
+//! The published schema of `inspect limits --json`, and answers validated by it.
 
 use basaltrail_core::inspection::{ClassReport, LimitsReport, TeamReport};
 use basaltrail_core::Revision;
-use basaltrail_protocol::administration::{limits, Limits};
+use basaltrail_protocol::administration::Limits;
 
 const PUBLISHED: &str = include_str!("../../../docs/schemas/limits.json");
 
-/// The schema is made from the types; to publish another one, write what this test prints.
+/// The schema is generated from the types; a new version is published by writing what this test prints.
 #[test]
 fn the_published_schema_is_that_of_the_types() {
-    let made = serde_json::to_value(schemars::schema_for!(Limits)).unwrap();
+    let generated = serde_json::to_value(schemars::schema_for!(Limits)).unwrap();
     let published: serde_json::Value = serde_json::from_str(PUBLISHED).unwrap_or_default();
-    assert_eq!(published, made, "{}", serde_json::to_string_pretty(&made).unwrap());
+    assert_eq!(published, generated, "{}", serde_json::to_string_pretty(&generated).unwrap());
 }
 
 #[test]
-fn answers_keep_to_the_schema_and_others_do_not() {
+fn answers_match_the_schema_and_altered_ones_do_not() {
     let schema: serde_json::Value = serde_json::from_str(PUBLISHED).unwrap();
     let validator = jsonschema::validator_for(&schema).unwrap();
     let room = Some((3, 60.0));
@@ -40,15 +40,15 @@
         allotted: true,
         teams: vec![team(Some(48.0), Some(8.0)), team(None, None)],
     };
-    let told = serde_json::to_value(limits(&report)).unwrap();
-    assert!(validator.is_valid(&told), "{told}");
+    let answer = serde_json::to_value(Limits::from(&report)).unwrap();
+    assert!(validator.is_valid(&answer), "{answer}");
     for (pointer, bad) in [
         ("/teams", "none".into()),
         ("/teams/0/limit", "48".into()),
         ("/node", serde_json::Value::Null),
     ] {
-        let mut odd = told.clone();
-        *odd.pointer_mut(pointer).unwrap() = bad;
-        assert!(!validator.is_valid(&odd), "{pointer}");
+        let mut invalid = answer.clone();
+        *invalid.pointer_mut(pointer).unwrap() = bad;
+        assert!(!validator.is_valid(&invalid), "{pointer}");
     }
 }
--- a/crates/basaltrail-testbed/src/controllers.rs
+++ b/crates/basaltrail-testbed/src/controllers.rs
@@ -4,6 +4,7 @@
 use crate::config::{PolicySource, TestbedConfig};
 use crate::controller_settings::{self, ControllerAddresses};
 use crate::deployment::Deployment;
+use basaltrail_core::events::RENEWAL_VIOLATION;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::fs::OpenOptions;
@@ -13,8 +14,8 @@
 use tokio::process::{Child, Command};
 use tokio::sync::Mutex;
 
-/// Parts of log lines by which a controller shows that it violated a rule itself, or panicked.
-const FAULT_MARKERS: [&str; 2] = ["event=renewal_violation", "panicked at"];
+/// Part of the line that a panic writes.
+const PANIC: &str = "panicked at";
 
 /// Why something could not be done to a controller.
 #[derive(Debug, thiserror::Error)]
@@ -169,7 +170,8 @@
             let log = std::fs::read(&controller.log);
             let log = log.map_err(ControllerError::file(&controller.log))?;
             let log = String::from_utf8_lossy(&log);
-            let is_fault = |line: &&str| FAULT_MARKERS.iter().any(|marker| line.contains(marker));
+            let renewal_violation = format!("event={RENEWAL_VIOLATION}");
+            let is_fault = |line: &&str| line.contains(&renewal_violation) || line.contains(PANIC);
             faults.extend(log.lines().filter(is_fault).map(|line| (index, line.to_string())));
         }
         Ok(faults)
--- a/crates/basaltrail-testbed/src/worker/agent.rs
+++ b/crates/basaltrail-testbed/src/worker/agent.rs
@@ -231,7 +231,7 @@
     }
 
     fn execute(&mut self, received: &ReceivedAnswer, command: &Command) {
-        let Some(task) = names::task(&command.task) else { return };
+        let Some(task) = names::parse_task(&command.task) else { return };
         let key = TaskKey { job: task.job.0, task: task.index, attempt: command.attempt };
         let now = received.received_ms;
         let event = EventKind::CommandReceived {
--- a/crates/basaltrail/src/inspect.rs
+++ b/crates/basaltrail/src/inspect.rs
@@ -1,15 +1,20 @@
-//! `inspect`: what a running controller tells of itself.
+//! `inspect`: reads a running controller over its administration listener.
 
-use crate::clients::Http;
+use crate::clients::HttpClient;
 use basaltrail_protocol::administration::{Class, Limits, Room, Team};
 use clap::Subcommand;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-const PATIENCE_MS: u64 = 5_000;
-/// Memory of this command, for the bound of an answer.
+const TIMEOUT_MS: u64 = 5_000;
+/// Memory for which the length of an answer is bounded, in MB.
 const MEMORY_MB: f64 = 64.0;
+const LIMITS_PATH: &str = "/limits";
+/// Columns of the table.
+const COLUMNS: [&str; 8] =
+    ["team", "class", "guaranteed", "limit", "used", "jobs", "left here", "refused here"];
 
+/// What is read.
 #[derive(Subcommand)]
 pub enum Inspect {
     /// Teams and classes: guarantee, limit, use, backlog, allotment, refusals
@@ -23,73 +28,83 @@
     },
 }
 
-/// Prints what was asked for; status 1, with one line, if the controller does not tell.
-pub fn run(what: &Inspect) -> ExitCode {
-    let Inspect::Limits { at, json } = what;
-    match read(*at) {
-        Ok((text, _)) if *json => println!("{text}"),
-        Ok((_, limits)) => print!("{}", table(&limits)),
-        Err(why) => {
-            eprintln!("basaltrail: {at}: {why}");
+/// Why a controller could not be read.
+#[derive(Debug, thiserror::Error)]
+enum InspectError {
+    #[error("{0}")]
+    Runtime(#[from] std::io::Error),
+    #[error("no answer; is it the administration listener of a node that runs?")]
+    NoAnswer,
+    #[error("{0}")]
+    Malformed(#[from] serde_json::Error),
+}
+
+/// Prints the answer. Status 1, with one line, if the controller gives none.
+pub fn run(command: &Inspect) -> ExitCode {
+    let Inspect::Limits { at, json } = command;
+    match read_limits(*at) {
+        Ok((body, _)) if *json => println!("{body}"),
+        Ok((_, limits)) => print!("{}", limits_table(&limits)),
+        Err(error) => {
+            eprintln!("basaltrail: {at}: {error}");
             return ExitCode::FAILURE;
         }
     }
     ExitCode::SUCCESS
 }
 
-fn read(at: SocketAddr) -> Result<(String, Limits), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| error.to_string())?;
-    let body = runtime
-        .block_on(async { Http::new(MEMORY_MB).read(at, "/limits", PATIENCE_MS).await })
-        .ok_or("no answer; is it the administration listener of a node that runs?")?;
-    let limits = serde_json::from_slice(&body).map_err(|error| error.to_string())?;
+/// The body of the answer, and the same parsed.
+fn read_limits(at: SocketAddr) -> Result<(String, Limits), InspectError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let read = async { HttpClient::new(MEMORY_MB).read(at, LIMITS_PATH, TIMEOUT_MS).await };
+    let body = runtime.block_on(read).ok_or(InspectError::NoAnswer)?;
+    let limits = serde_json::from_slice(&body)?;
     Ok((String::from_utf8_lossy(&body).into_owned(), limits))
 }
 
-fn amount(value: Option<f64>) -> String {
-    value.map_or("-".into(), |value| format!("{value}"))
+fn limits_table(limits: &Limits) -> String {
+    let leader = limits.leader.as_deref().unwrap_or("none");
+    let binding = if limits.allotted { "bind" } else { "do not bind" };
+    let mut table = format!("{}, leader {leader}, allotments {binding}\n", limits.node);
+    let mut rows = vec![COLUMNS.map(String::from)];
+    rows.extend(limits.teams.iter().flat_map(team_rows));
+    let width = |column: usize| rows.iter().map(|row| row[column].len()).max().unwrap_or(0);
+    let widths: Vec<usize> = (0..COLUMNS.len()).map(width).collect();
+    for row in &rows {
+        let cells = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}"));
+        let line = cells.collect::<Vec<_>>().join("  ");
+        table.push_str(line.trim_end());
+        table.push('\n');
+    }
+    table
 }
 
-fn room(room: Option<Room>) -> String {
-    room.map_or("-".into(), |room| format!("{} jobs, {:.0} CPU s", room.jobs, room.work))
+/// One row for each class; one for the team if it has none.
+fn team_rows(team: &Team) -> Vec<[String; COLUMNS.len()]> {
+    if team.classes.is_empty() {
+        return vec![row(team, None)];
+    }
+    team.classes.iter().map(|class| row(team, Some(class))).collect()
 }
 
-fn row(team: &Team, class: Option<&Class>) -> [String; 8] {
-    let name = class.map_or("-".into(), |class| class.class.clone().unwrap_or("(others)".into()));
+fn row(team: &Team, class: Option<&Class>) -> [String; COLUMNS.len()] {
+    let class_name = |class: &Class| class.class.clone().unwrap_or("(others)".into());
     [
         team.team.clone(),
-        name,
+        class.map_or("-".into(), class_name),
         amount(Some(team.guaranteed)),
         amount(team.limit),
         amount(team.used),
         class.map_or("0".into(), |class| class.jobs.to_string()),
-        room(class.and_then(|class| class.left)),
+        remaining_quota(class.and_then(|class| class.left)),
         team.refused.to_string(),
     ]
 }
 
-fn table(limits: &Limits) -> String {
-    let head =
-        ["team", "class", "guaranteed", "limit", "used", "jobs", "left here", "refused here"];
-    let mut rows = vec![head.map(String::from)];
-    for team in &limits.teams {
-        match team.classes.is_empty() {
-            true => rows.push(row(team, None)),
-            false => rows.extend(team.classes.iter().map(|class| row(team, Some(class)))),
-        }
-    }
-    let widths: Vec<usize> = (0..head.len())
-        .map(|column| rows.iter().map(|row| row[column].len()).max().unwrap_or(0))
-        .collect();
-    let leader = limits.leader.as_deref().unwrap_or("none");
-    let allotted = if limits.allotted { "bind" } else { "do not bind" };
-    let mut text = format!("{}, leader {leader}, allotments {allotted}\n", limits.node);
-    for row in rows {
-        let cells: Vec<String> =
-            row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
-        text.push_str(cells.join("  ").trim_end());
-        text.push('\n');
-    }
-    text
+fn amount(value: Option<f64>) -> String {
+    value.map_or("-".into(), |value| value.to_string())
+}
+
+fn remaining_quota(left: Option<Room>) -> String {
+    left.map_or("-".into(), |left| format!("{} jobs, {:.0} CPU s", left.jobs, left.work))
 }
--- a/crates/basaltrail/src/main.rs
+++ b/crates/basaltrail/src/main.rs
@@ -1,6 +1,12 @@
 //! basaltrail: one controller of a cluster, and the commands of its operators.
+//!
+//! `main` parses the command line, `settings` and `policy` the files. `driver` runs the core
+//! between `server`, `clients` and `peers`; `logging` writes its events.
+#![warn(missing_docs)]
 
 mod clients;
+mod config_error;
+mod core_handle;
 mod driver;
 mod inspect;
 mod logging;
@@ -10,9 +16,14 @@
 mod settings;
 
 use clap::{Args, Parser, Subcommand};
+use config_error::ConfigError;
+use settings::ProcessSettings;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// Exit status: the command line or a file is invalid.
+const STATUS_INVALID: u8 = 2;
+
 /// One controller of a basaltrail cluster.
 #[derive(Parser)]
 #[command(version, about, args_conflicts_with_subcommands = true)]
@@ -45,25 +56,15 @@
     Inspect(inspect::Inspect),
 }
 
-fn load(files: &Files) -> Result<settings::Process, settings::Error> {
-    let mut settings = settings::load(&files.config)?;
-    if let Some(path) = &files.policy {
-        let operators = policy::load(path, &settings.core)?;
-        settings.core.policy = operators.policy;
-        settings.administration = operators.administration;
-    }
-    Ok(settings)
-}
-
 fn main() -> ExitCode {
     let Arguments { command, files, check } = Arguments::parse();
     let (files, check) = match (command, files) {
-        (Some(Command::Inspect(what)), _) => return inspect::run(&what),
+        (Some(Command::Inspect(command)), _) => return inspect::run(&command),
         (Some(Command::Check(files)), _) => (files, true),
         (None, Some(files)) => (files, check),
         (None, None) => {
             eprintln!("basaltrail: no --config FILE; see --help");
-            return ExitCode::from(2);
+            return ExitCode::from(STATUS_INVALID);
         }
     };
     logging::init();
@@ -71,23 +72,34 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("basaltrail: {error}");
-            return ExitCode::from(2);
+            return ExitCode::from(STATUS_INVALID);
         }
     };
     if check {
         println!("settings are valid");
         return ExitCode::SUCCESS;
     }
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let ended = match runtime {
-        Ok(runtime) => runtime.block_on(driver::run(settings)),
-        Err(e) => Err(e),
-    };
-    match ended {
+    match run(settings) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("basaltrail: {e}");
+        Err(error) => {
+            eprintln!("basaltrail: {error}");
             ExitCode::FAILURE
         }
     }
 }
+
+/// Reads the settings, and the policy if there is one.
+fn load(files: &Files) -> Result<ProcessSettings, ConfigError> {
+    let mut settings = settings::load(&files.config)?;
+    if let Some(path) = &files.policy {
+        let operator = policy::load(path, &settings.core)?;
+        settings.core.policy = operator.policy;
+        settings.administration = operator.administration;
+    }
+    Ok(settings)
+}
+
+fn run(settings: ProcessSettings) -> std::io::Result<()> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    runtime.block_on(driver::run(settings))
+}
--- a/crates/basaltrail/src/peers.rs
+++ b/crates/basaltrail/src/peers.rs
@@ -1,4 +1,4 @@
-//! Frames between the controllers. Only the newest one matters, so none are queued.
+//! Frames between controllers. Only the newest one matters, so none are queued.
 
 use basaltrail_core::Progress;
 use basaltrail_protocol::frames;
@@ -9,61 +9,84 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch, Semaphore};
 
-/// A connection that carries nothing for so long is given up.
-const SILENCE: Duration = Duration::from_secs(30);
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long a connection may carry nothing before it is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a frame may take to be sent, and how long the next one waits after a failure.
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long the listener waits after it could not accept a connection.
+const ACCEPT_RETRY: Duration = Duration::from_millis(100);
 
-/// Takes frames from other controllers.
-pub async fn listen(listener: TcpListener, most: usize, to: mpsc::Sender<Vec<Progress>>) {
-    let room = Arc::new(Semaphore::new(most));
+/// Receives frames from other controllers until the process ends. Connections beyond the bound
+/// are closed at once.
+pub async fn listen(
+    listener: TcpListener,
+    max_connections: usize,
+    received: mpsc::Sender<Vec<Progress>>,
+) {
+    let connections = Arc::new(Semaphore::new(max_connections));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(100)).await;
+            tokio::time::sleep(ACCEPT_RETRY).await;
             continue;
         };
-        // Beyond the bound a connection is closed at once.
-        let Ok(permit) = room.clone().try_acquire_owned() else { continue };
-        let to = to.clone();
+        let Ok(permit) = connections.clone().try_acquire_owned() else { continue };
+        let received = received.clone();
         tokio::spawn(async move {
-            let _ = read(stream, to).await;
+            let _ = receive_frames(stream, received).await;
             drop(permit);
         });
     }
 }
 
-async fn read(mut stream: TcpStream, to: mpsc::Sender<Vec<Progress>>) -> Option<()> {
+/// Receives frames until the connection ends, carries nothing for too long, or carries something
+/// else.
+async fn receive_frames(
+    mut stream: TcpStream,
+    received: mpsc::Sender<Vec<Progress>>,
+) -> Option<()> {
     let mut header = [0u8; frames::HEADER_BYTES];
     let mut body = Vec::new();
     loop {
-        tokio::time::timeout(SILENCE, stream.read_exact(&mut header)).await.ok()?.ok()?;
-        let Some(len) = frames::body_bytes(&header) else {
-            tracing::info!("event=peer_frame_refused");
+        read_exact(&mut stream, &mut header).await?;
+        let Some(length) = frames::body_length(&header) else {
+            tracing::info!(event = %"peer_frame_refused");
             return None;
         };
-        body.resize(len, 0);
-        tokio::time::timeout(SILENCE, stream.read_exact(&mut body)).await.ok()?.ok()?;
-        // Hints may be dropped when there is more to do.
-        let _ = to.try_send(frames::read(&body)?);
+        body.resize(length, 0);
+        read_exact(&mut stream, &mut body).await?;
+        // The progress is for display only, so it may be dropped while the core is behind.
+        let _ = received.try_send(frames::decode_body(&body)?);
     }
 }
 
-/// Sends the newest frame to one other controller, whenever there is a new one.
-pub async fn send(to: SocketAddr, mut newest: watch::Receiver<Vec<u8>>) {
-    let mut stream: Option<TcpStream> = None;
-    while newest.changed().await.is_ok() {
-        let frame = newest.borrow_and_update().clone();
-        let sent = tokio::time::timeout(PATIENCE, async {
-            if stream.is_none() {
-                stream = Some(TcpStream::connect(to).await?);
-            }
-            match stream.as_mut() {
-                Some(s) => s.write_all(&frame).await,
-                None => Ok(()),
-            }
-        });
+async fn read_exact(stream: &mut TcpStream, buffer: &mut [u8]) -> Option<()> {
+    tokio::time::timeout(IDLE_TIMEOUT, stream.read_exact(buffer)).await.ok()?.ok()?;
+    Some(())
+}
+
+/// Sends every new frame to one other controller, until no more are made.
+pub async fn send(to: SocketAddr, mut newest_frame: watch::Receiver<Vec<u8>>) {
+    let mut connection: Option<TcpStream> = None;
+    while newest_frame.changed().await.is_ok() {
+        let frame = newest_frame.borrow_and_update().clone();
+        let sent = tokio::time::timeout(SEND_TIMEOUT, send_frame(&mut connection, to, &frame));
         if !matches!(sent.await, Ok(Ok(()))) {
-            stream = None;
-            tokio::time::sleep(PATIENCE).await;
+            connection = None;
+            tokio::time::sleep(SEND_TIMEOUT).await;
         }
     }
 }
+
+async fn send_frame(
+    connection: &mut Option<TcpStream>,
+    to: SocketAddr,
+    frame: &[u8],
+) -> std::io::Result<()> {
+    let mut stream = match connection.take() {
+        Some(stream) => stream,
+        None => TcpStream::connect(to).await?,
+    };
+    stream.write_all(frame).await?;
+    *connection = Some(stream);
+    Ok(())
+}
--- a/crates/basaltrail/src/policy.rs
+++ b/crates/basaltrail/src/policy.rs
@@ -6,145 +6,210 @@
 //!   (weights (cataloguers 2) (buyers 1)))
 //! ```
 
-use crate::settings::Error;
+use crate::config_error::{ConfigError, PolicyProblem};
 use basaltrail_core::{AdmissionPolicy, Policy, Settings};
 use lexpr::datum::Ref;
+use std::collections::HashSet;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::Path;
 
+/// Name of the outermost list.
+const POLICY: &str = "policy";
+const LEADER_LEASE: RangeInclusive<f64> = 0.1..=0.9;
+const ROUND_S: RangeInclusive<f64> = 0.5..=3600.0;
+const LEASE_TERM_S: RangeInclusive<f64> = 0.5..=86_400.0;
+const HEADROOM: RangeInclusive<f64> = 0.0..=10.0;
+const IDLE_S: RangeInclusive<f64> = 0.0..=86_400.0;
+const GUARANTEE_LEASES: RangeInclusive<f64> = 0.5..=1e4;
+const SAMPLE: RangeInclusive<f64> = 1.0..=1e6;
+const BACKLOG_S: RangeInclusive<f64> = 1.0..=1e6;
+const CLASS_LEAST: RangeInclusive<f64> = 0.0..=0.5;
+
 /// What the operators set.
 #[derive(Debug, Default, PartialEq)]
-pub struct Operators {
+pub struct OperatorSettings {
+    /// The policy of the core.
     pub policy: Policy,
-    /// Where the administration listener listens, if there is to be one.
+    /// Address of the administration listener, if there is one.
     pub administration: Option<SocketAddr>,
 }
 
-pub fn load(path: &Path, settings: &Settings) -> Result<Operators, Error> {
+/// Reads a policy file.
+///
+/// # Errors
+///
+/// If the file cannot be read or is invalid; the first problem is named with its line.
+pub fn load(path: &Path, settings: &Settings) -> Result<OperatorSettings, ConfigError> {
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(path)
-        .map_err(|e| Error::File { file: file.clone(), why: e.to_string() })?;
+    let text =
+        std::fs::read_to_string(path).map_err(|error| ConfigError::new(&file, None, error))?;
     parse(&file, &text, settings)
 }
 
-pub fn parse(file: &str, text: &str, settings: &Settings) -> Result<Operators, Error> {
-    let fail = |at: &Ref, why: String| Error::Line {
-        file: file.into(),
-        line: at.span().start().line(),
-        why,
-    };
-    let datum = lexpr::datum::from_str(text).map_err(|e| Error::Line {
-        file: file.into(),
-        line: e.location().map_or(1, |l| l.line()),
-        why: e.to_string(),
+/// Parses the text of a policy file. Teams with weights must be in the settings.
+///
+/// # Errors
+///
+/// If the text is invalid; the first problem is named with its line.
+pub fn parse(file: &str, text: &str, settings: &Settings) -> Result<OperatorSettings, ConfigError> {
+    let datum = lexpr::datum::from_str(text).map_err(|error| {
+        let line = error.location().map_or(1, |location| location.line());
+        ConfigError::new(file, Some(line), PolicyProblem::Syntax(error.to_string()))
     })?;
     let top = datum.as_ref();
-    let entries = named(top).filter(|(name, _)| name == "policy");
-    let Some((_, entries)) = entries else {
-        return Err(fail(&top, "expected (policy (KEY VALUE) ...)".into()));
+    let parser = Parser { file, settings };
+    let Some(policy) = Entry::of(top).filter(|entry| entry.key == POLICY) else {
+        return Err(parser.error(&top, PolicyProblem::NotAPolicy));
     };
-    let mut policy = Policy::default();
-    let mut administration = None;
-    let mut seen: Vec<String> = Vec::new();
-    for entry in entries {
-        let Some((key, args)) = named(entry) else {
-            return Err(fail(&entry, "expected (KEY VALUE)".into()));
-        };
-        if seen.contains(&key) {
-            return Err(fail(&entry, format!("{key} is set twice")));
+    let mut operator = OperatorSettings::default();
+    parser.for_each_entry(&policy.values, PolicyProblem::NotAnEntry, |entry| {
+        parser.apply(entry, &mut operator)
+    })?;
+    Ok(operator)
+}
+
+/// A list that starts with a key.
+struct Entry<'a> {
+    datum: Ref<'a>,
+    key: String,
+    /// What follows the key.
+    values: Vec<Ref<'a>>,
+}
+
+impl<'a> Entry<'a> {
+    fn of(datum: Ref<'a>) -> Option<Self> {
+        let mut items = datum.list_iter()?;
+        let key = items.next()?.value().as_name()?.to_string();
+        Some(Entry { datum, key, values: items.collect() })
+    }
+
+    fn only_value(&self) -> Option<&Ref<'a>> {
+        match self.values.as_slice() {
+            [value] => Some(value),
+            _ => None,
         }
-        let number = |low: f64, high: f64| match args.as_slice() {
-            [one] => {
-                one.value().as_f64().filter(|x| (low..=high).contains(x)).ok_or_else(|| {
-                    fail(one, format!("{key} must be a number from {low} to {high}"))
-                })
+    }
+}
+
+struct Parser<'a> {
+    file: &'a str,
+    settings: &'a Settings,
+}
+
+impl Parser<'_> {
+    fn error(&self, at: &Ref<'_>, problem: PolicyProblem) -> ConfigError {
+        ConfigError::new(self.file, Some(at.span().start().line()), problem)
+    }
+
+    /// Applies a function to each entry of a list, in order. No key may be set twice.
+    fn for_each_entry(
+        &self,
+        list: &[Ref],
+        not_an_entry: PolicyProblem,
+        mut apply: impl FnMut(&Entry) -> Result<(), ConfigError>,
+    ) -> Result<(), ConfigError> {
+        let mut seen = HashSet::new();
+        for datum in list {
+            let entry = Entry::of(*datum).ok_or_else(|| self.error(datum, not_an_entry.clone()))?;
+            let key = entry.key.clone();
+            if !seen.insert(key.clone()) {
+                return Err(self.error(datum, PolicyProblem::DuplicateKey { key }));
             }
-            _ => Err(fail(&entry, format!("{key} takes one number"))),
-        };
-        match key.as_str() {
-            "leader-lease" => policy.leader_lease = number(0.1, 0.9)?,
-            "round-s" => policy.round_s = number(0.5, 3600.0)?,
-            "lease-term-s" => policy.lease_term_s = number(0.5, 86_400.0)?,
-            "headroom" => policy.headroom = number(0.0, 10.0)?,
-            "idle-s" => policy.idle_s = number(0.0, 86_400.0)?,
-            "administration" => {
-                let address = match args.as_slice() {
-                    [one] => one.value().as_str().and_then(|text| text.parse().ok()),
-                    _ => None,
-                };
-                let why = || "administration takes an address, such as \"127.0.0.1:7190\"".into();
-                administration = Some(address.ok_or_else(|| fail(&entry, why()))?);
+            apply(&entry)?;
+        }
+        Ok(())
+    }
+
+    /// Sets one key of the policy.
+    fn apply(&self, entry: &Entry, operator: &mut OperatorSettings) -> Result<(), ConfigError> {
+        let policy = &mut operator.policy;
+        match entry.key.as_str() {
+            "leader-lease" => policy.leader_lease = self.number(entry, LEADER_LEASE)?,
+            "round-s" => policy.round_s = self.number(entry, ROUND_S)?,
+            "lease-term-s" => policy.lease_term_s = self.number(entry, LEASE_TERM_S)?,
+            "headroom" => policy.headroom = self.number(entry, HEADROOM)?,
+            "idle-s" => policy.idle_s = self.number(entry, IDLE_S)?,
+            "administration" => operator.administration = Some(self.address(entry)?),
+            "admission" => policy.admission = Some(self.admission(entry)?),
+            "guarantee-leases" => {
+                policy.guarantee_leases = Some(self.number(entry, GUARANTEE_LEASES)?);
             }
-            "admission" => policy.admission = Some(admission(file, &entry, &args)?),
-            "guarantee-leases" => policy.guarantee_leases = Some(number(0.5, 1e4)?),
-            "sample" => policy.sample = number(1.0, 1e6)? as usize,
-            "weights" => {
-                for team in &args {
-                    let weight = named(*team).and_then(|(name, w)| match w.as_slice() {
-                        [one] => Some((name, one.value().as_f64()?)),
-                        _ => None,
-                    });
-                    let Some((name, w)) = weight.filter(|(_, w)| *w > 0.0 && w.is_finite()) else {
-                        return Err(fail(
-                            team,
-                            "expected (TEAM WEIGHT) with a weight above 0".into(),
-                        ));
-                    };
-                    if settings.team(&name).is_none() {
-                        return Err(fail(team, format!("no team {name:?} in the settings")));
-                    }
-                    policy.weights.push((name, w));
-                }
+            "sample" => policy.sample = self.number(entry, SAMPLE)? as usize,
+            "weights" => policy.weights = self.weights(entry)?,
+            _ => {
+                let key = entry.key.clone();
+                return Err(self.error(&entry.datum, PolicyProblem::UnknownKey { key }));
             }
-            _ => return Err(fail(&entry, format!("unknown key {key:?}"))),
         }
-        seen.push(key);
+        Ok(())
     }
-    Ok(Operators { policy, administration })
-}
 
-/// `(admission (backlog-s 300) (class-least 0.1))`, both optional.
-fn admission(file: &str, entry: &Ref, args: &[Ref]) -> Result<AdmissionPolicy, Error> {
-    let fail = |at: &Ref, why: &str| Error::Line {
-        file: file.into(),
-        line: at.span().start().line(),
-        why: why.into(),
-    };
-    let mut policy = AdmissionPolicy::default();
-    let mut seen: Vec<String> = Vec::new();
-    for arg in args {
-        let (name, values) =
-            named(*arg).ok_or_else(|| fail(arg, "admission takes (KEY VALUE) ..."))?;
-        let value = match values.as_slice() {
-            [one] => one.value().as_f64().filter(|value| value.is_finite()),
-            _ => None,
+    /// The one value of an entry, a number within a range.
+    fn number(&self, entry: &Entry, range: RangeInclusive<f64>) -> Result<f64, ConfigError> {
+        let key = || entry.key.clone();
+        let Some(value) = entry.only_value() else {
+            return Err(self.error(&entry.datum, PolicyProblem::NotOneNumber { key: key() }));
+        };
+        let number = value.value().as_f64().filter(|number| range.contains(number));
+        let (low, high) = range.into_inner();
+        number.ok_or_else(|| self.error(value, PolicyProblem::OutOfRange { key: key(), low, high }))
+    }
+
+    fn address(&self, entry: &Entry) -> Result<SocketAddr, ConfigError> {
+        let text = entry.only_value().and_then(|value| value.value().as_str());
+        let address = text.and_then(|text| text.parse().ok());
+        address.ok_or_else(|| self.error(&entry.datum, PolicyProblem::NotAnAddress))
+    }
+
+    /// `(weights (TEAM WEIGHT) ...)`.
+    fn weights(&self, entry: &Entry) -> Result<Vec<(String, f64)>, ConfigError> {
+        entry.values.iter().map(|value| self.weight(value)).collect()
+    }
+
+    fn weight(&self, datum: &Ref) -> Result<(String, f64), ConfigError> {
+        let weight = Entry::of(*datum).and_then(|entry| {
+            let weight = entry.only_value()?.value().as_f64()?;
+            Some((entry.key, weight))
+        });
+        let is_weight = |weight: f64| weight > 0.0 && weight.is_finite();
+        let Some((team, weight)) = weight.filter(|(_, weight)| is_weight(*weight)) else {
+            return Err(self.error(datum, PolicyProblem::NotAWeight));
         };
-        if seen.contains(&name) {
-            return Err(fail(arg, &format!("{name} is set twice")));
+        if self.settings.team(&team).is_none() {
+            return Err(self.error(datum, PolicyProblem::UnknownTeam { team }));
         }
-        match (name.as_str(), value) {
-            ("backlog-s", Some(value)) if (1.0..=1e6).contains(&value) => policy.backlog_s = value,
-            ("backlog-s", _) => {
-                return Err(fail(arg, "backlog-s must be a number from 1 to 1000000"));
-            }
-            ("class-least", Some(value)) if (0.0..=0.5).contains(&value) => {
-                policy.class_least = value;
-            }
-            ("class-least", _) => {
-                return Err(fail(arg, "class-least must be a number from 0 to 0.5"));
+        Ok((team, weight))
+    }
+
+    /// `(admission (backlog-s 300) (class-least 0.1))`; both keys are optional.
+    fn admission(&self, entry: &Entry) -> Result<AdmissionPolicy, ConfigError> {
+        let mut policy = AdmissionPolicy::default();
+        self.for_each_entry(&entry.values, PolicyProblem::NotAnAdmissionEntry, |field| {
+            match field.key.as_str() {
+                "backlog-s" => policy.backlog_s = self.admission_number(field, BACKLOG_S)?,
+                "class-least" => policy.class_least = self.admission_number(field, CLASS_LEAST)?,
+                _ => {
+                    let problem = PolicyProblem::UnknownAdmissionKey { key: field.key.clone() };
+                    return Err(self.error(&entry.datum, problem));
+                }
             }
-            _ => return Err(fail(entry, &format!("admission has no {name:?}"))),
-        }
-        seen.push(name);
+            Ok(())
+        })?;
+        Ok(policy)
     }
-    Ok(policy)
-}
 
-/// A list that begins with a name, and what follows the name.
-fn named(datum: Ref<'_>) -> Option<(String, Vec<Ref<'_>>)> {
-    let mut items = datum.list_iter()?;
-    let name = items.next()?.value().as_name()?.to_string();
-    Some((name, items.collect()))
+    fn admission_number(
+        &self,
+        field: &Entry,
+        range: RangeInclusive<f64>,
+    ) -> Result<f64, ConfigError> {
+        let number = field.only_value().and_then(|value| value.value().as_f64());
+        let (key, low, high) = (field.key.clone(), *range.start(), *range.end());
+        number
+            .filter(|number| range.contains(number))
+            .ok_or_else(|| self.error(&field.datum, PolicyProblem::OutOfRange { key, low, high }))
+    }
 }
 
 #[cfg(test)]
--- a/crates/basaltrail/src/policy_tests.rs
+++ b/crates/basaltrail/src/policy_tests.rs
@@ -1,33 +1,41 @@
+//! Policies that are valid, and what errors name.
+
 use super::*;
 
-fn read(text: &str) -> Result<Policy, String> {
-    let s = crate::settings::tests::GOOD;
-    let settings = crate::settings::parse("s.toml", s).unwrap();
-    parse("p.sexp", text, &settings.core).map(|o| o.policy).map_err(|e| e.to_string())
+fn parse_policy(text: &str) -> Result<Policy, String> {
+    let settings = crate::settings::parse("s.toml", crate::settings::tests::VALID).unwrap();
+    let operator = parse("p.sexp", text, &settings.core);
+    operator.map(|operator| operator.policy).map_err(|error| error.to_string())
 }
 
 #[test]
-fn a_policy_is_read() {
-    let p = read("; ours\n(policy (leader-lease 0.4)\n (sample 8) (weights (buyers 3)))").unwrap();
-    assert_eq!((p.leader_lease, p.sample), (0.4, 8));
-    assert_eq!(p.weights, [("buyers".to_string(), 3.0)]);
-    assert_eq!(read("(policy)").unwrap(), Policy::default());
-    let admission = read("(policy (admission (backlog-s 60)) (guarantee-leases 2))").unwrap();
+fn a_policy_is_parsed_and_the_rest_has_defaults() {
+    let policy =
+        parse_policy("; ours\n(policy (leader-lease 0.4)\n (sample 8) (weights (buyers 3)))")
+            .unwrap();
+    assert_eq!((policy.leader_lease, policy.sample), (0.4, 8));
+    assert_eq!(policy.weights, [("buyers".to_string(), 3.0)]);
+    assert_eq!(parse_policy("(policy)").unwrap(), Policy::default());
+    let admission =
+        parse_policy("(policy (admission (backlog-s 60)) (guarantee-leases 2))").unwrap();
     let bounded = AdmissionPolicy { backlog_s: 60.0, ..AdmissionPolicy::default() };
     assert_eq!((admission.admission, admission.guarantee_leases), (Some(bounded), Some(2.0)));
-    assert_eq!(read("(policy (admission))").unwrap().admission, Some(AdmissionPolicy::default()));
+    assert_eq!(
+        parse_policy("(policy (admission))").unwrap().admission,
+        Some(AdmissionPolicy::default())
+    );
 }
 
-/// The file under `deploy/` that turns allotments on.
+/// The file under `deploy/` that makes admission quotas bind.
 #[test]
-fn the_deployed_policy_is_read() {
-    let policy = read(include_str!("../../../deploy/admission.policy")).unwrap();
+fn the_deployed_policy_is_valid() {
+    let policy = parse_policy(include_str!("../../../deploy/admission.policy")).unwrap();
     assert_eq!(policy.admission, Some(AdmissionPolicy::default()));
 }
 
 #[test]
-fn a_bad_policy_names_file_and_line() {
-    for (text, line, word) in [
+fn an_invalid_policy_names_file_and_line() {
+    for (text, line, message) in [
         ("(policy\n (sample 8)\n (smaple 9))", 3, "unknown key"),
         ("(policy\n (leader-lease 2))", 2, "0.1 to 0.9"),
         ("(policy\n\n (round-s soon))", 3, "number"),
@@ -42,7 +50,8 @@
         ("(rules)", 1, "expected (policy"),
         ("(policy\n (sample 8)", 2, ""),
     ] {
-        let e = read(text).unwrap_err();
-        assert!(e.starts_with(&format!("p.sexp:{line}:")) && e.contains(word), "{text}: {e}");
+        let error = parse_policy(text).unwrap_err();
+        let names_line = error.starts_with(&format!("p.sexp:{line}:"));
+        assert!(names_line && error.contains(message), "{text}: {error}");
     }
 }
--- /dev/null
+++ b/crates/basaltrail/src/settings/tests.rs
@@ -0,0 +1,108 @@
+//! Settings files that are valid, and what errors name.
+
+use super::*;
+
+/// A valid settings file.
+pub(crate) const VALID: &str = include_str!("../../tests/settings.toml");
+
+#[test]
+fn settings_are_parsed_and_unknown_keys_ignored() {
+    let settings = parse("s.toml", &format!("later = 1\n{VALID}")).unwrap();
+    assert_eq!(settings.core.teams.len(), 2);
+    assert_eq!(settings.core.lease_ms, 10_000);
+    assert_eq!(settings.peers.len(), 2);
+    let begun = Objective::Begun { class: "nightly-catalogue".into(), within_s: 40.0 };
+    let objectives = &settings.core.objectives;
+    assert!(objectives.contains(&begun), "{objectives:?}");
+}
+
+/// A team without a guarantee and without a limit has 0 for them, or no keys at all.
+#[test]
+fn an_amount_of_zero_is_no_guarantee_and_no_limit() {
+    let team = "[[params.teams]]\nname = \"guest\"\n";
+    for amounts in ["", "cpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"] {
+        let text = VALID.replacen(
+            "[[params.objectives]]",
+            &format!("{team}{amounts}\n[[params.objectives]]"),
+            1,
+        );
+        let core = parse("s.toml", &text).unwrap().core;
+        let without_guarantee = &core.teams[2];
+        assert_eq!((without_guarantee.cpus, without_guarantee.cpus_max), (0.0, f64::INFINITY));
+        assert!(core.weight(2).is_finite() && core.weight(2) > 0.0);
+        assert_eq!(core.teams[0].cpus_max, 664.0);
+    }
+}
+
+/// The state service may have its next limits at any time: the smaller one of each holds from the
+/// start, whichever are given.
+#[test]
+fn the_smaller_of_the_present_and_the_next_limits_holds() {
+    let with = |next: &str| {
+        let next = format!("[params.state.next]\n{next}\n[params.cloud]");
+        parse("s.toml", &VALID.replacen("[params.cloud]", &next, 1))
+    };
+    let limits = |settings: ProcessSettings| {
+        let core = settings.core;
+        (core.store_rps, core.write_rps, core.value_bytes, core.transaction_ops)
+    };
+    let now = (120.0, 40.0, 16 * 1024, 24);
+    assert_eq!(limits(parse("s.toml", VALID).unwrap()), now);
+    assert_eq!(limits(with("").unwrap()), now);
+    assert_eq!(limits(with("txn_ops = 4").unwrap()), (120.0, 40.0, 16 * 1024, 4));
+    let lower = with("rps = 60\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4").unwrap();
+    assert_eq!(limits(lower), (60.0, 15.0, 2048, 4));
+    assert_eq!(limits(with("rps = 500.0\nvalue_kb = 64.0").unwrap()), now);
+    let line = VALID[..VALID.find("[params.cloud]").unwrap()].matches('\n').count() + 2;
+    for (bad, why) in [
+        ("value_kb = 0.0", "params.state.next.value_kb must be above 0"),
+        ("value_kb = -2.0", "params.state.next.value_kb must be above 0"),
+        ("value_kb = inf", "params.state.next.value_kb must be above 0"),
+        ("value_kb = 1.0", "params.state.next.value_kb must be 1.25 or more"),
+        ("txn_ops = 1", "params.state.next.txn_ops must be 2 or more"),
+        ("write_rps = 0", "params.state.next.write_rps must be above 0"),
+        ("rps = nan", "params.state.next.rps must be above 0"),
+    ] {
+        assert_eq!(with(bad).unwrap_err().to_string(), format!("s.toml:{line}: {why}"));
+    }
+    for bad in ["rps = \"x\"", "txn_ops = -1", "txn_ops = 2.5"] {
+        assert!(with(bad).unwrap_err().to_string().starts_with("s.toml:"), "{bad}");
+    }
+}
+
+#[test]
+fn invalid_settings_name_the_key_at_fault() {
+    let error = |from: &str, to: &str| {
+        let text = VALID.replacen(from, to, 1);
+        assert_ne!(text, VALID, "{from}");
+        parse("s.toml", &text).unwrap_err().to_string()
+    };
+    assert!(error("size = 3", "size = \"x\"").starts_with("s.toml:"));
+    assert!(error("127.0.0.1:7100", "nowhere").contains("listen"));
+    assert!(error("lease_s = 10.0", "lease_s = 0.0").contains("workers.lease_s"));
+    assert!(error("txn_ops = 24", "txn_ops = 0").contains("txn_ops"));
+    assert!(error("max_connections = 600", "max_connections = 0").contains("max_connections"));
+    assert!(error("\nrps = 120.0", "\nrps = 0.0").contains("state.rps"));
+    assert!(error("value_kb = 16.0", "value_kb = 1.0").contains("state.value_kb must be 1.25"));
+    let none: String = VALID.split("[[params.teams]]").next().unwrap().into();
+    let rest = &VALID[VALID.find("[[params.objectives]]").unwrap()..];
+    let none = parse("s.toml", &format!("{none}teams = []\n{rest}"));
+    assert!(none.unwrap_err().to_string().contains("no team"));
+    assert!(error("name = \"buyers\"", "name = \"cataloguers\"").contains("twice"));
+}
+
+#[test]
+fn a_limit_below_its_guarantee_is_refused_with_its_line() {
+    let line = VALID[..VALID.find("name = \"buyers\"").unwrap()].matches('\n').count() + 1;
+    let at = VALID.find("name = \"buyers\"").unwrap();
+    let (before, team) = VALID.split_at(at);
+    for (from, to, why) in [
+        ("cpus_max = 664.0", "cpus_max = 1.0", "has a limit below its guarantee"),
+        ("cpus_max = 664.0", "cpus_max = -1.0", "has an amount below 0"),
+        ("cpus_max = 664.0", "cpus_max = inf", "has an amount below 0"),
+    ] {
+        let text = format!("{before}{}", team.replacen(from, to, 1));
+        let error = parse("s.toml", &text).unwrap_err().to_string();
+        assert_eq!(error, format!("s.toml:{line}: team \"buyers\" {why}"));
+    }
+}
