--- a/crates/basaltrail/tests/inspect.rs
+++ b/crates/basaltrail/tests/inspect.rs
@@ -1,4 +1,4 @@
-//! `inspect limits` against a node that runs, and against none; `check`.
+//! `inspect limits` against a controller that runs, and against none; `check`.
 
 use basaltrail_testbed::config::PolicySource;
 use basaltrail_testbed::http::{free_port, Client, Request};
@@ -17,12 +17,12 @@
     command.args(arguments).output().await.unwrap()
 }
 
-async fn limits(at: SocketAddr) -> Option<Value> {
+async fn read_limits(at: SocketAddr) -> Option<Value> {
     let output = basaltrail(&["inspect", "limits", "--json", "--at", &at.to_string()]).await;
     serde_json::from_slice(&output.stdout).ok()
 }
 
-/// The submission of the README's section about limits, with a number in place of the loop's.
+/// The submission of the README's section about limits, for a job of a number.
 fn submission(number: u32) -> String {
     let (_, section) = README.split_once("## A limit, and a refusal").unwrap();
     let (_, body) = section.split_once("-d '").unwrap();
@@ -30,10 +30,10 @@
     body.replace("000'$n'", &format!("{number:06}"))
 }
 
-/// A team submits far more than may wait: it is told to come back, and a repeat of what was
-/// accepted is still answered 200.
+/// A team submits far more than its backlog may hold: it is asked to retry later, and a repeat of
+/// what was accepted is still answered 200.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_backlog_that_is_full_is_refused_and_seen() {
+async fn a_submission_beyond_the_backlog_is_refused_and_inspected() {
     let directory = std::env::temp_dir().join(format!("basaltrail-inspect-{}", std::process::id()));
     let common = ScenarioConfig {
         program: env!("CARGO_BIN_EXE_basaltrail").into(),
@@ -51,13 +51,13 @@
     let (mut first, mut refused) = (None, None);
     for number in 0..2_000 {
         let body = submission(1_000 + number);
-        let answer = client.call(submit(body)).await.unwrap();
-        match answer.status {
+        let response = client.call(submit(body)).await.unwrap();
+        match response.status {
             201 => first = first.or(Some(1_000 + number)),
-            // Until the first allotment, nothing is accepted either.
+            // Before the controller has an admission quota nothing is accepted either.
             _ if first.is_none() => tokio::time::sleep(Duration::from_millis(50)).await,
             _ => {
-                refused = Some(answer);
+                refused = Some(response);
                 break;
             }
         }
@@ -65,13 +65,13 @@
     let refused = refused.expect("nothing was refused");
     assert_eq!(refused.status, 503, "{}", refused.body);
     assert!(refused.retry_after_s.is_some_and(|s| (1..=30).contains(&s)));
-    let again = submission(first.unwrap());
-    let again = client.call(submit(again)).await.unwrap();
-    assert_eq!(again.status, 200, "{}", again.body);
+    let repeat = submission(first.unwrap());
+    let repeated = client.call(submit(repeat)).await.unwrap();
+    assert_eq!(repeated.status, 200, "{}", repeated.body);
 
-    let told = limits(administration).await.expect("no answer");
-    assert_eq!((&told["node"], &told["allotted"]), (&json!("stack-0"), &json!(true)));
-    let teams = told["teams"].as_array().unwrap();
+    let limits = read_limits(administration).await.expect("no answer");
+    assert_eq!((&limits["node"], &limits["allotted"]), (&json!("stack-0"), &json!(true)));
+    let teams = limits["teams"].as_array().unwrap();
     let buyers = teams.iter().find(|team| team["team"] == "buyers").unwrap();
     assert!(buyers["refused"].as_u64() >= Some(1) && buyers["used"].is_number(), "{buyers}");
     let class =
@@ -82,20 +82,20 @@
     assert!(table.contains("buyers") && table.lines().count() >= 4, "{table}");
     testbed.stop().await;
 
-    let away = basaltrail(&["inspect", "limits", "--at", &administration.to_string()]).await;
-    let line = String::from_utf8(away.stderr).unwrap();
-    assert_eq!((away.status.code(), line.lines().count()), (Some(1), 1), "{line}");
+    let stopped = basaltrail(&["inspect", "limits", "--at", &administration.to_string()]).await;
+    let line = String::from_utf8(stopped.stderr).unwrap();
+    assert_eq!((stopped.status.code(), line.lines().count()), (Some(1), 1), "{line}");
     let _ = std::fs::remove_dir_all(directory);
 }
 
 #[tokio::test]
 async fn settings_are_checked_by_either_form() {
-    let good = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/settings.toml");
+    let valid = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/settings.toml");
     let policy = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/admission.policy");
     for arguments in [
-        vec!["--config", good, "--check"],
-        vec!["check", "--config", good],
-        vec!["check", "--config", good, "--policy", policy],
+        vec!["--config", valid, "--check"],
+        vec!["check", "--config", valid],
+        vec!["check", "--config", valid, "--policy", policy],
     ] {
         let output = basaltrail(&arguments).await;
         assert!(output.status.success(), "{arguments:?}: {output:?}");
--- a/crates/basaltrail/tests/loopback.rs
+++ b/crates/basaltrail/tests/loopback.rs
@@ -1,75 +1,116 @@
-//! The real program on loopback, against stand-ins of the state service, the cloud and
-//! one worker: answers, bad input, a kill and a restart.
+//! The real program on loopback, against stand-ins of the state service, the cloud and one
+//! worker: answers to users, malformed bodies, a kill and a restart.
 
 use basaltrail_testbed::clock::Clock;
 use basaltrail_testbed::cloud::Cloud;
-use basaltrail_testbed::deployment::{Deployment, MACHINE_TYPE, ZONES};
+use basaltrail_testbed::deployment::{Deployment, MACHINE_TYPE, WORKER_ENDPOINT, ZONES};
 use basaltrail_testbed::http::free_port;
 use basaltrail_testbed::state_service::{Limits, StateService};
 use serde_json::{json, Value};
 use std::future::Future;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A state service without faults, with limits that one node does not reach.
+const SETTINGS: &str = include_str!("settings.toml");
+const SUBMIT: &str = "POST /api/jobs";
+/// How long one request may take.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// How often, and how many times, a condition is checked that is waited for.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const CHECKS: usize = 300;
+
+/// Starts a state service without faults, with limits that one controller does not reach.
 async fn serve_state() -> SocketAddr {
     let limits = Limits { rps: 1_000.0, write_rps: 1_000.0, txn_ops: 24, value_bytes: 16 * 1024 };
     StateService::start(Clock::start(), limits, 1).listen(0).await.unwrap()
 }
 
-/// A cloud without machines: the worker here is none of its own.
+/// Starts a cloud without machines: the worker here runs on none of its own.
 async fn serve_cloud() -> SocketAddr {
     let (cloud, _rented) = Cloud::new(Clock::start(), &Deployment::new(1, 0), 1);
     cloud.listen().await.unwrap()
 }
 
-/// Status, headers and body of one request.
-async fn call(to: SocketAddr, head: &str, body: &str) -> Option<(u16, String, Value)> {
-    let work = async {
-        let mut s = TcpStream::connect(to).await.ok()?;
-        let request = format!(
-            "{head} HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
-            body.len()
-        );
-        // The server may answer and close before it has read everything.
-        let _ = s.write_all(request.as_bytes()).await;
-        let mut answer = Vec::new();
-        let _ = s.read_to_end(&mut answer).await;
-        let answer = String::from_utf8(answer).ok()?;
-        let (head, body) = answer.split_once("\r\n\r\n")?;
-        let status = head.split(' ').nth(1)?.parse().ok()?;
-        Some((status, head.to_lowercase(), serde_json::from_str(body).unwrap_or(Value::Null)))
-    };
-    tokio::time::timeout(Duration::from_secs(10), work).await.ok()?
-}
-
-/// A worker that runs whatever it is given at once.
-async fn worker(node: SocketAddr) {
-    let (mut folio, mut warrant) = (0, 0);
-    let mut leaves: Vec<Value> = Vec::new();
+/// A response: status, head in lower case, and body.
+struct Response {
+    status: u16,
+    head: String,
+    body: Value,
+}
+
+impl Response {
+    fn condition(&self) -> &str {
+        self.body["condition"].as_str().unwrap_or_default()
+    }
+}
+
+/// Sends a request whose first line starts with a method and a path.
+async fn call(to: SocketAddr, request: &str, body: &str) -> Option<Response> {
+    tokio::time::timeout(TIMEOUT, exchange(to, request, body)).await.ok()?
+}
+
+async fn exchange(to: SocketAddr, request: &str, body: &str) -> Option<Response> {
+    let mut stream = TcpStream::connect(to).await.ok()?;
+    let request = format!(
+        "{request} HTTP/1.1\r\nhost: x\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{body}",
+        body.len()
+    );
+    // The server may answer and close before it has read everything.
+    let _ = stream.write_all(request.as_bytes()).await;
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response).await;
+    let response = String::from_utf8(response).ok()?;
+    let (head, body) = response.split_once("\r\n\r\n")?;
+    let status = head.split(' ').nth(1)?.parse().ok()?;
+    let body = serde_json::from_str(body).unwrap_or(Value::Null);
+    Some(Response { status, head: head.to_lowercase(), body })
+}
+
+/// Sends a request that must be answered.
+async fn answered(to: SocketAddr, request: &str, body: &str) -> Response {
+    call(to, request, body).await.unwrap_or_else(|| panic!("{request}: no answer"))
+}
+
+async fn status(to: SocketAddr, request: &str, body: &str) -> u16 {
+    answered(to, request, body).await.status
+}
+
+/// A worker whose tasks complete at once.
+async fn run_worker(controller: SocketAddr) {
+    let (mut sequence, mut token) = (0, 0);
+    let mut tasks: Vec<Value> = Vec::new();
     loop {
-        folio += 1;
-        let report = json!({"stack": "m-000001", "endpoint": "127.0.0.1:1", "format": MACHINE_TYPE, "room": ZONES[0],
-            "remainders": false, "tenure": 1, "folio": folio, "warrant": warrant, "recallS": null, "leaves": leaves});
-        if let Some((200, _, body)) = call(node, "POST /checkin", &report.to_string()).await {
-            warrant = warrant.max(body["warrant"].as_u64().unwrap());
-            for o in body["orders"].as_array().unwrap() {
-                let same = |l: &Value| l["leaf"] == o["leaf"] && l["printing"] == o["printing"];
-                match o["order"].as_str().unwrap() {
-                    "start" if !leaves.iter().any(same) => leaves.push(json!({"leaf": o["leaf"],
-                        "printing": o["printing"], "condition": "ended", "colophon": "done"})),
-                    "forget" => leaves.retain(|l| !same(l)),
-                    _ => {}
-                }
+        sequence += 1;
+        let heartbeat = json!({"stack": "m-000001", "endpoint": WORKER_ENDPOINT,
+            "format": MACHINE_TYPE, "room": ZONES[0], "remainders": false, "tenure": 1,
+            "folio": sequence, "warrant": token, "recallS": null, "leaves": tasks});
+        let response = call(controller, "POST /checkin", &heartbeat.to_string()).await;
+        if let Some(Response { status: 200, body, .. }) = response {
+            token = token.max(body["warrant"].as_u64().unwrap());
+            for command in body["orders"].as_array().unwrap() {
+                execute(&mut tasks, command);
             }
         }
-        tokio::time::sleep(Duration::from_millis(100)).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
+    }
+}
+
+fn execute(tasks: &mut Vec<Value>, command: &Value) {
+    let (name, attempt) = (&command["leaf"], &command["printing"]);
+    let is_same = |task: &Value| task["leaf"] == *name && task["printing"] == *attempt;
+    match command["order"].as_str().unwrap() {
+        "start" if !tasks.iter().any(is_same) => tasks.push(json!({"leaf": name,
+            "printing": attempt, "condition": "ended", "colophon": "done"})),
+        "forget" => tasks.retain(|task| !is_same(task)),
+        _ => {}
     }
 }
 
+/// A process of the program; it is killed when it is dropped.
 struct Process(Child);
 
 impl Drop for Process {
@@ -83,147 +124,186 @@
     Command::new(env!("CARGO_BIN_EXE_basaltrail"))
 }
 
-async fn until<F: Future<Output = bool>>(what: &str, mut f: impl FnMut() -> F) {
-    for _ in 0..300 {
-        if f().await {
+/// A controller and its settings file, which is removed when it is dropped.
+struct Controller {
+    address: SocketAddr,
+    settings: PathBuf,
+}
+
+impl Controller {
+    /// Writes the settings of a controller; it is not started yet.
+    fn prepare(name: &str, state_service: SocketAddr, cloud: SocketAddr) -> Self {
+        let (address, peers) = (free_port().unwrap(), free_port().unwrap());
+        let text = SETTINGS
+            .replace("127.0.0.1:7100", &address.to_string())
+            .replace("127.0.0.1:7200", &peers.to_string())
+            .replace("127.0.0.1:7300", &state_service.to_string())
+            .replace("127.0.0.1:7301", &cloud.to_string());
+        let file = format!("basaltrail-{name}-{}.toml", std::process::id());
+        let settings = std::env::temp_dir().join(file);
+        std::fs::write(&settings, text).unwrap();
+        Controller { address, settings }
+    }
+
+    fn start(&self) -> Process {
+        let mut command = program();
+        command.arg("--config").arg(&self.settings).stderr(Stdio::null());
+        Process(command.spawn().unwrap())
+    }
+
+    async fn is_ready(&self) -> bool {
+        let response = call(self.address, "GET /ready", "").await;
+        response.is_some_and(|response| response.status == 200)
+    }
+
+    /// Whether a job is reported as done.
+    async fn is_done(&self, job: &str) -> bool {
+        let response = call(self.address, &format!("GET /api/jobs/{job}"), "").await;
+        response.is_some_and(|response| response.status == 200 && response.condition() == "done")
+    }
+}
+
+impl Drop for Controller {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_file(&self.settings);
+    }
+}
+
+/// Waits until a condition holds.
+async fn wait_until<F: Future<Output = bool>>(name: &str, mut condition: impl FnMut() -> F) {
+    for _ in 0..CHECKS {
+        if condition().await {
             return;
         }
-        tokio::time::sleep(Duration::from_millis(100)).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    panic!("never {what}");
+    panic!("never {name}");
 }
 
-fn job(id: &str, team: &str) -> String {
-    json!({"nameId": id, "shelf": "c", "desk": team, "binding": "array", "precedence": "standard", "leaves": 5,
-        "vcpus": 2.0, "gpus": 0.0, "ramGb": 1.0, "edition": "i", "sizeGb": 0.1, "formats": null, "room": null,
-        "samePlace": false, "apart": false, "remainders": true, "reckonS": 1.0, "bookmarkS": 0.0, "pressS": 0.0,
+/// The submission of an array job.
+fn submission(job: &str, team: &str) -> String {
+    json!({"nameId": job, "shelf": "c", "desk": team, "binding": "array",
+        "precedence": "standard", "leaves": 5, "vcpus": 2.0, "gpus": 0.0, "ramGb": 1.0,
+        "edition": "i", "sizeGb": 0.1, "formats": null, "room": null, "samePlace": false,
+        "apart": false, "remainders": true, "reckonS": 1.0, "bookmarkS": 0.0, "pressS": 0.0,
         "dueS": null})
     .to_string()
 }
 
-#[tokio::test]
-async fn one_node_serves_users_and_a_worker_over_a_restart() {
-    let state = serve_state().await;
-    let cloud = serve_cloud().await;
-    let (node, peer) = (free_port().unwrap(), free_port().unwrap());
-    let text = include_str!("settings.toml")
-        .replace("127.0.0.1:7100", &node.to_string())
-        .replace("127.0.0.1:7200", &peer.to_string())
-        .replace("127.0.0.1:7300", &state.to_string())
-        .replace("127.0.0.1:7301", &cloud.to_string());
-    let file =
-        std::env::temp_dir().join(format!("basaltrail-loopback-{}.toml", std::process::id()));
-    std::fs::write(&file, text).unwrap();
-    let run = || {
-        let mut c = program();
-        c.arg("--config").arg(&file).stderr(Stdio::null());
-        Process(c.spawn().unwrap())
-    };
-    let first = run();
-    let ready = || async { matches!(call(node, "GET /ready", "").await, Some((200, ..))) };
-    until("ready", ready).await;
-    tokio::spawn(worker(node));
-
-    let status = |head: &'static str, body: String| async move {
-        call(node, head, &body).await.map(|a| a.0)
-    };
-    let submit = "POST /api/jobs";
-    for (body, wanted) in [
+/// The submission of a service.
+fn service_submission(job: &str, team: &str) -> String {
+    let service = submission(job, team).replace("\"array\"", "\"daemon\"");
+    let service = service.replace("\"reckonS\":1.0", "\"reckonS\":0");
+    assert!(service.contains("\"reckonS\":0,") || service.contains("\"reckonS\":0}"), "{service}");
+    service
+}
+
+/// Submissions that are refused, one that is accepted, and its repeat.
+async fn check_submissions(controller: SocketAddr) {
+    let valid = submission("job-000001", "buyers");
+    for (body, expected) in [
         ("not json".to_string(), 400),
         ("[]".into(), 400),
-        (job("job-1", "buyers"), 400),
-        (job("job-000001", "buyers").replace("2.0", "-2.0"), 400),
-        (format!("{}{}", job("job-000001", "buyers"), " ".repeat(70_000)), 400),
-        (job("job-000001", "nobody"), 422),
-        (job("job-000001", "buyers").replace("2.0", "16.0"), 422),
-        (job("job-000001", "buyers"), 201),
-        (job("job-000001", "buyers"), 200),
+        (submission("job-1", "buyers"), 400),
+        (valid.replace("2.0", "-2.0"), 400),
+        (format!("{valid}{}", " ".repeat(70_000)), 400),
+        (submission("job-000001", "nobody"), 422),
+        (valid.replace("2.0", "16.0"), 422),
+        (valid.clone(), 201),
+        (valid.clone(), 200),
     ] {
         let shown = body.chars().take(200).collect::<String>();
-        assert_eq!(status(submit, body).await, Some(wanted), "{shown}");
+        assert_eq!(status(controller, SUBMIT, &body).await, expected, "{shown}");
     }
-    assert_eq!(status("GET /api/jobs/job-000009", String::new()).await, Some(404));
-    assert_eq!(status("GET /api/jobs/nonsense", String::new()).await, Some(404));
-    assert_eq!(status("POST /checkin", "{}".into()).await, Some(400));
-    assert_eq!(status("DELETE /api/jobs", String::new()).await, Some(405));
-    assert_eq!(status(submit, job("job-000002", "buyers")).await, Some(201));
-    let (code, _, body) = call(node, "POST /api/jobs/job-000002/cancel", "").await.unwrap();
+}
+
+async fn check_other_requests(controller: SocketAddr) {
+    assert_eq!(status(controller, "GET /api/jobs/job-000009", "").await, 404);
+    assert_eq!(status(controller, "GET /api/jobs/nonsense", "").await, 404);
+    assert_eq!(status(controller, "POST /checkin", "{}").await, 400);
+    assert_eq!(status(controller, "DELETE /api/jobs", "").await, 405);
+    assert_eq!(status(controller, SUBMIT, &submission("job-000002", "buyers")).await, 201);
+    let cancelled = answered(controller, "POST /api/jobs/job-000002/cancel", "").await;
     assert!(
-        code == 200 && (body["condition"] == "aborted" || body["condition"] == "done"),
-        "{body}"
+        cancelled.status == 200 && ["aborted", "done"].contains(&cancelled.condition()),
+        "{}",
+        cancelled.body
     );
-    // A service: from its submission over a restart to its cancel, never done, though the
-    // worker here says of each replica that it is.
-    let service = job("job-000004", "buyers").replace("\"array\"", "\"daemon\"");
-    let service = service.replace("\"reckonS\":1.0", "\"reckonS\":0");
-    assert!(service.contains("\"reckonS\":0,") || service.contains("\"reckonS\":0}"), "{service}");
-    let beyond = service.replace("\"leaves\":5", "\"leaves\":400");
-    assert_eq!(status(submit, beyond).await, Some(422));
-    assert_eq!(status(submit, service.clone()).await, Some(201));
-    // A body that never comes, and a line that is no request, cost nobody anything.
-    let mut half = TcpStream::connect(node).await.unwrap();
-    half.write_all(b"POST /api/jobs HTTP/1.1\r\nhost: x\r\ncontent-length: 500\r\n\r\n{")
+}
+
+/// Opens a connection whose body never comes, and one that does not carry a request.
+async fn open_useless_connections(controller: SocketAddr) -> [TcpStream; 2] {
+    let mut unfinished = TcpStream::connect(controller).await.unwrap();
+    unfinished
+        .write_all(b"POST /api/jobs HTTP/1.1\r\nhost: x\r\ncontent-length: 500\r\n\r\n{")
         .await
         .unwrap();
-    let mut noise = TcpStream::connect(node).await.unwrap();
+    let mut noise = TcpStream::connect(controller).await.unwrap();
     noise.write_all(&[0, 255, 13, 10, 13, 10]).await.unwrap();
-    let done = || async {
-        let a = call(node, "GET /api/jobs/job-000001", "").await;
-        a.is_some_and(|(s, _, b)| s == 200 && b["condition"] == "done")
-    };
-    until("done", done).await;
+    [unfinished, noise]
+}
+
+#[tokio::test]
+async fn a_controller_serves_users_and_a_worker_over_a_restart() {
+    let controller = Controller::prepare("loopback", serve_state().await, serve_cloud().await);
+    let address = controller.address;
+    let first = controller.start();
+    wait_until("ready", || controller.is_ready()).await;
+    tokio::spawn(run_worker(address));
+
+    check_submissions(address).await;
+    check_other_requests(address).await;
+    // A service lives from its submission over a restart to its cancellation. It is never done,
+    // though the worker here reports each replica as done.
+    let service = service_submission("job-000004", "buyers");
+    let too_many_replicas = service.replace("\"leaves\":5", "\"leaves\":400");
+    assert_eq!(status(address, SUBMIT, &too_many_replicas).await, 422);
+    assert_eq!(status(address, SUBMIT, &service).await, 201);
+    let _useless = open_useless_connections(address).await;
+    wait_until("done", || controller.is_done("job-000001")).await;
 
     drop(first);
-    let _second = run();
-    until("ready again", ready).await;
-    until("done still", done).await;
-    assert_eq!(status(submit, job("job-000003", "buyers")).await, Some(201));
-    let more = || async {
-        let a = call(node, "GET /api/jobs/job-000003", "").await;
-        a.is_some_and(|(_, _, b)| b["condition"] == "done")
-    };
-    until("done after the restart", more).await;
-    let (code, _, body) = call(node, "GET /api/jobs/job-000004", "").await.unwrap();
-    assert!(code == 200 && ["queued", "running"].map(Into::into).contains(&body["condition"]));
-    let (code, _, body) = call(node, "POST /api/jobs/job-000004/cancel", "").await.unwrap();
-    assert!(code == 200 && body["condition"] == "aborted", "{body}");
-    let (code, _, body) = call(node, submit, &service).await.unwrap();
-    assert!(code == 200 && body["condition"] == "aborted", "{body}");
-    let _ = std::fs::remove_file(&file);
+    let _second = controller.start();
+    wait_until("ready again", || controller.is_ready()).await;
+    wait_until("done still", || controller.is_done("job-000001")).await;
+    assert_eq!(status(address, SUBMIT, &submission("job-000003", "buyers")).await, 201);
+    wait_until("done after the restart", || controller.is_done("job-000003")).await;
+    let running = answered(address, "GET /api/jobs/job-000004", "").await;
+    assert!(running.status == 200 && ["queued", "running"].contains(&running.condition()));
+    let cancelled = answered(address, "POST /api/jobs/job-000004/cancel", "").await;
+    let is_cancelled =
+        |response: &Response| response.status == 200 && response.condition() == "aborted";
+    assert!(is_cancelled(&cancelled), "{}", cancelled.body);
+    let repeated = answered(address, SUBMIT, &service).await;
+    assert!(is_cancelled(&repeated), "{}", repeated.body);
 }
 
 #[tokio::test]
-async fn without_services_every_request_is_answered_at_once() {
-    let (node, peer) = (free_port().unwrap(), free_port().unwrap());
-    let text = include_str!("settings.toml")
-        .replace("127.0.0.1:7100", &node.to_string())
-        .replace("127.0.0.1:7200", &peer.to_string())
-        .replace("127.0.0.1:7300", &free_port().unwrap().to_string())
-        .replace("127.0.0.1:7301", &free_port().unwrap().to_string());
-    let file = std::env::temp_dir().join(format!("basaltrail-alone-{}.toml", std::process::id()));
-    std::fs::write(&file, text).unwrap();
-    let _p = Process(program().arg("--config").arg(&file).stderr(Stdio::null()).spawn().unwrap());
-    until("listening", || async { call(node, "GET /ready", "").await.is_some() }).await;
-    assert_eq!(call(node, "GET /ready", "").await.unwrap().0, 503);
-    let (status, head, _) =
-        call(node, "POST /api/jobs", &job("job-000001", "buyers")).await.unwrap();
+async fn without_state_service_and_cloud_every_request_is_answered_at_once() {
+    let (state_service, cloud) = (free_port().unwrap(), free_port().unwrap());
+    let controller = Controller::prepare("alone", state_service, cloud);
+    let address = controller.address;
+    let _process = controller.start();
+    wait_until("listening", || async { call(address, "GET /ready", "").await.is_some() }).await;
+    assert_eq!(status(address, "GET /ready", "").await, 503);
+    let refused = answered(address, SUBMIT, &submission("job-000001", "buyers")).await;
+    let Response { status, head, .. } = refused;
     assert!(status == 503 && head.contains("retry-after: "), "{status} {head}");
-    let _ = std::fs::remove_file(&file);
 }
 
 #[test]
-fn bad_settings_give_one_line_and_status_2() {
-    let good = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/settings.toml");
-    let ok = program().args(["--config", good, "--check"]).output().unwrap();
-    assert!(ok.status.success());
+fn invalid_settings_give_one_line_and_status_2() {
+    let valid = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/settings.toml");
+    let checked = program().args(["--config", valid, "--check"]).output().unwrap();
+    assert!(checked.status.success());
     let policy = std::env::temp_dir().join(format!("basaltrail-{}.policy", std::process::id()));
     std::fs::write(&policy, "(policy\n (smaple 9))").unwrap();
-    let bad =
-        program().args(["--config", good, "--check", "--policy"]).arg(&policy).output().unwrap();
-    let told = String::from_utf8(bad.stderr).unwrap();
-    assert_eq!((bad.status.code(), told.lines().count()), (Some(2), 1), "{told}");
-    assert!(told.contains(":2: unknown key"), "{told}");
-    let none = program().args(["--config", "/nonexistent.toml"]).output().unwrap();
-    assert_eq!(none.status.code(), Some(2));
+    let invalid =
+        program().args(["--config", valid, "--check", "--policy"]).arg(&policy).output().unwrap();
+    let error = String::from_utf8(invalid.stderr).unwrap();
+    assert_eq!((invalid.status.code(), error.lines().count()), (Some(2), 1), "{error}");
+    assert!(error.contains(":2: unknown key"), "{error}");
+    let missing = program().args(["--config", "/nonexistent.toml"]).output().unwrap();
+    assert_eq!(missing.status.code(), Some(2));
     let _ = std::fs::remove_file(&policy);
 }
--- a/crates/basaltrail/tests/try_out.rs
+++ b/crates/basaltrail/tests/try_out.rs
@@ -1,4 +1,4 @@
-//! The try-out deployment, and the lines of the README that a newcomer types against it.
+//! The deployment to try out, and the requests of the README against it.
 
 use basaltrail_testbed::config::PolicySource;
 use basaltrail_testbed::http::{self, free_port, Client};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 const README: &str = include_str!("../../../README.md");
-/// Where the README's lines go.
+/// Address of the README's requests.
 const README_ADDRESS: &str = "http://127.0.0.1:7100";
 const TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -22,7 +22,7 @@
 }
 
 /// The requests of the README, in their order.
-fn requests_of_the_readme() -> Vec<Request> {
+fn readme_requests() -> Vec<Request> {
     let after_each_curl = README.split("curl -i ").skip(1);
     after_each_curl
         .map(|text| {
@@ -37,9 +37,9 @@
         .collect()
 }
 
-async fn send(at: SocketAddr, request: &Request) -> (u16, Value) {
+async fn send(to: SocketAddr, request: &Request) -> (u16, Value) {
     let request = http::Request {
-        to: at,
+        to,
         method: request.method,
         path: &request.path,
         body: request.body.clone(),
@@ -49,12 +49,12 @@
     (response.status, response.body)
 }
 
-/// Repeats a request, as a user with `curl` would, until its answer is the one awaited.
-async fn send_until(at: SocketAddr, request: &Request, wanted: impl Fn(u16, &Value) -> bool) {
+/// Repeats a request, as a user with `curl` would, until its answer is the expected one.
+async fn send_until(to: SocketAddr, request: &Request, is_expected: impl Fn(u16, &Value) -> bool) {
     let mut last = (0, Value::Null);
     for _ in 0..300 {
-        last = send(at, request).await;
-        if wanted(last.0, &last.1) {
+        last = send(to, request).await;
+        if is_expected(last.0, &last.1) {
             return;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -66,14 +66,14 @@
     let addresses: Vec<SocketAddr> =
         (0..testbed.controllers.count()).map(|index| testbed.controllers.listen(index)).collect();
     testbed.stop().await;
-    for at in addresses {
-        let open = tokio::net::TcpStream::connect(at).await;
-        assert!(open.is_err(), "{at}: a process was left behind");
+    for address in addresses {
+        let open = tokio::net::TcpStream::connect(address).await;
+        assert!(open.is_err(), "{address}: a process was left behind");
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_readme_works_as_it_is_written() {
+async fn the_requests_of_the_readme_work_as_written() {
     let directory = std::env::temp_dir().join(format!("basaltrail-try-out-{}", std::process::id()));
     let common = ScenarioConfig {
         program: env!("CARGO_BIN_EXE_basaltrail").into(),
@@ -84,15 +84,16 @@
     };
     let first_port = free_port().unwrap().port();
     let testbed = start(&TryOutConfig { common, first_port, seed: 1 }).await.unwrap();
-    let at = testbed.controllers.listen(0);
-    let requests = requests_of_the_readme();
+    let controller = testbed.controllers.listen(0);
+    let requests = readme_requests();
     let [submit, poll, cancel] = requests.as_slice() else {
         panic!("{} requests in the README", requests.len());
     };
-    send_until(at, submit, |status, _| status == 201).await;
-    send_until(at, poll, |_, body| body["condition"] == "running" && body["running"] == 2).await;
-    send_until(at, cancel, |_, body| body["condition"] == "aborted").await;
-    let (status, body) = send(at, poll).await;
+    send_until(controller, submit, |status, _| status == 201).await;
+    send_until(controller, poll, |_, body| body["condition"] == "running" && body["running"] == 2)
+        .await;
+    send_until(controller, cancel, |_, body| body["condition"] == "aborted").await;
+    let (status, body) = send(controller, poll).await;
     assert_eq!((status, &body["condition"]), (200, &"aborted".into()));
     stop_and_check_processes(&testbed).await;
     let _ = std::fs::remove_dir_all(directory);
