--- a/crates/basaltrail-protocol/tests/fuzz.rs
+++ b/crates/basaltrail-protocol/tests/fuzz.rs
@@ -52,10 +52,8 @@
     b
 }
 
-#[test]
-fn no_parser_panics_and_bounds_hold() {
-    let mut rng = SmallRng::seed_from_u64(5);
-    let cloud_requests = [
+fn cloud_requests() -> [CloudRequest; 4] {
+    [
         CloudRequest::Types,
         CloudRequest::Provision {
             requisition: "r".into(),
@@ -66,8 +64,11 @@
         },
         CloudRequest::Terminate(Vec::new()),
         CloudRequest::List { after: None },
-    ];
-    let store_requests = [
+    ]
+}
+
+fn store_requests() -> [StoreRequest; 6] {
+    [
         StoreRequest::Get("a".into()),
         StoreRequest::List { prefix: "a".into(), after: None, limit: 1 },
         StoreRequest::Transaction {
@@ -78,43 +79,61 @@
         StoreRequest::GrantLease { ttl_ms: 1 },
         StoreRequest::KeepAlive { lease_id: LeaseId(1) },
         StoreRequest::Watch { prefix: "a".into(), after: Revision(0), wait_ms: 0 },
-    ];
+    ]
+}
+
+/// Parses a submission; whether it is accepted, and then within its bounds.
+fn check_submission(body: &[u8]) -> bool {
+    let Ok((_, spec)) = submissions::parse_submission(body) else { return false };
+    assert!((1..=submissions::MAX_TASKS).contains(&spec.tasks));
+    assert!(
+        spec.cpus > 0.0
+            && spec.cpus.is_finite()
+            && spec.memory_gb >= 0.0
+            && spec.save_s.is_finite()
+    );
+    true
+}
+
+/// Parses replies; a refusal must never be read as a change that was made.
+fn check_replies(status: u16, body: &[u8]) {
+    for request in &cloud_requests() {
+        let reply = cloud::parse_reply(request, status, body);
+        if status != 200 {
+            assert!(matches!(reply, Ok(CloudReply::Failed | CloudReply::NoCapacity)));
+        }
+    }
+    for request in &store_requests() {
+        let reply = store::parse_reply(request, status, body);
+        if status != 200 {
+            assert!(!matches!(reply, Ok(StoreReply::Committed { .. } | StoreReply::Ok)));
+        }
+    }
+}
+
+fn check_frame(frame: &[u8]) {
+    let length = frame.get(..frames::HEADER_BYTES).and_then(frames::body_length);
+    if let Some(length) = length {
+        assert!(length <= frames::MAX_RECORDS * 16);
+    }
+    let _ = frames::decode_body(frame);
+}
+
+#[test]
+fn no_parser_panics_and_bounds_hold() {
+    let mut rng = SmallRng::seed_from_u64(5);
     let (mut accepted, mut refused) = (0, 0);
     for _ in 0..20_000 {
         let valid = BODIES[rng.random_range(0..BODIES.len())];
         let body = corrupt(&mut rng, valid);
-        match submissions::parse_submission(&body) {
-            Ok((_, s)) => {
-                accepted += 1;
-                assert!((1..=submissions::MAX_TASKS).contains(&s.tasks));
-                assert!(
-                    s.cpus > 0.0
-                        && s.cpus.is_finite()
-                        && s.memory_gb >= 0.0
-                        && s.save_s.is_finite()
-                );
-            }
-            Err(_) => refused += 1,
+        match check_submission(&body) {
+            true => accepted += 1,
+            false => refused += 1,
         }
         let _ = heartbeats::parse_heartbeat(&body);
         let status = [200, 404, 409, 410, 429, 503, 700][rng.random_range(0..7)];
-        for request in &cloud_requests {
-            let reply = cloud::parse_reply(request, status, &body);
-            if status != 200 {
-                assert!(matches!(reply, Ok(CloudReply::Failed | CloudReply::NoCapacity)));
-            }
-        }
-        for request in &store_requests {
-            let reply = store::parse_reply(request, status, &body);
-            // A refusal must never be read as a change that was made.
-            if status != 200 {
-                assert!(!matches!(reply, Ok(StoreReply::Committed { .. } | StoreReply::Ok)));
-            }
-        }
-        if let Some(n) = body.get(..frames::HEADER_BYTES).and_then(frames::body_length) {
-            assert!(n <= frames::MAX_RECORDS * 16);
-        }
-        let _ = frames::decode_body(&body);
+        check_replies(status, &body);
+        check_frame(&body);
     }
     assert!(accepted > 20 && refused > 1_000, "{accepted} accepted, {refused} refused");
 }
--- a/crates/basaltrail/src/main.rs
+++ b/crates/basaltrail/src/main.rs
@@ -4,6 +4,7 @@
 //! between `server`, `clients` and `peers`; `logging` writes its events.
 #![warn(missing_docs)]
 
+mod bounded_listener;
 mod clients;
 mod config_error;
 mod core_handle;
--- a/crates/basaltrail/src/peers.rs
+++ b/crates/basaltrail/src/peers.rs
@@ -1,13 +1,13 @@
 //! Frames between controllers. Only the newest one matters, so none are queued.
 
+use crate::bounded_listener::BoundedListener;
 use basaltrail_core::Progress;
 use basaltrail_protocol::frames;
 use std::net::SocketAddr;
-use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{mpsc, watch, Semaphore};
+use tokio::sync::{mpsc, watch};
 
 /// How long a connection may carry nothing before it is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -16,31 +16,25 @@
 /// How long the listener waits after it could not accept a connection.
 const ACCEPT_RETRY: Duration = Duration::from_millis(100);
 
-/// Receives frames from other controllers until the process ends. Connections beyond the bound
-/// are closed at once.
+/// Receives frames from other controllers until the process ends.
 pub async fn listen(
     listener: TcpListener,
     max_connections: usize,
     received: mpsc::Sender<Vec<Progress>>,
 ) {
-    let connections = Arc::new(Semaphore::new(max_connections));
-    loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY).await;
-            continue;
-        };
-        let Ok(permit) = connections.clone().try_acquire_owned() else { continue };
-        let received = received.clone();
-        tokio::spawn(async move {
-            let _ = receive_frames(stream, received).await;
-            drop(permit);
-        });
-    }
+    let connections = BoundedListener { listener, max_connections, accept_retry: ACCEPT_RETRY };
+    connections.serve(|stream| receive_frames(stream, received.clone())).await;
+}
+
+/// Receives frames over one connection until it ends.
+async fn receive_frames(stream: TcpStream, received: mpsc::Sender<Vec<Progress>>) {
+    // A connection that fails is opened again by the other controller.
+    let _ = try_receive_frames(stream, received).await;
 }
 
 /// Receives frames until the connection ends, carries nothing for too long, or carries something
 /// else.
-async fn receive_frames(
+async fn try_receive_frames(
     mut stream: TcpStream,
     received: mpsc::Sender<Vec<Progress>>,
 ) -> Option<()> {
--- a/crates/basaltrail/src/server/mod.rs
+++ b/crates/basaltrail/src/server/mod.rs
@@ -3,15 +3,14 @@
 mod body;
 mod routes;
 
+use crate::bounded_listener::BoundedListener;
 use crate::core_handle::CoreHandle;
 use body::MAX_BODY_BYTES;
 use hyper::server::conn::http1;
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
-use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::Semaphore;
 use warp::Filter;
 
 /// How long the head or the body of a request may take.
@@ -31,25 +30,13 @@
     serve(listener, max_connections, routes::client_routes(core)).await;
 }
 
-/// Serves routes. Connections beyond the bound are closed at once.
 async fn serve<F>(listener: TcpListener, max_connections: usize, routes: F)
 where
     F: Filter<Error = warp::Rejection> + Clone + Send + Sync + 'static,
     F::Extract: warp::Reply,
 {
-    let connections = Arc::new(Semaphore::new(max_connections));
-    loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY).await;
-            continue;
-        };
-        let Ok(permit) = connections.clone().try_acquire_owned() else { continue };
-        let routes = routes.clone();
-        tokio::spawn(async move {
-            serve_connection(stream, routes).await;
-            drop(permit);
-        });
-    }
+    let connections = BoundedListener { listener, max_connections, accept_retry: ACCEPT_RETRY };
+    connections.serve(|stream| serve_connection(stream, routes.clone())).await;
 }
 
 async fn serve_connection<F>(stream: TcpStream, routes: F)
--- a/crates/basaltrail/src/settings/tests.rs
+++ b/crates/basaltrail/src/settings/tests.rs
@@ -18,7 +18,7 @@
 
 /// A team without a guarantee and without a limit has 0 for them, or no keys at all.
 #[test]
-fn an_amount_of_zero_is_no_guarantee_and_no_limit() {
+fn an_amount_of_zero_is_none() {
     let team = "[[params.teams]]\nname = \"guest\"\n";
     for amounts in ["", "cpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"] {
         let text = VALID.replacen(
--- a/crates/basaltrail/tests/inspect.rs
+++ b/crates/basaltrail/tests/inspect.rs
@@ -1,9 +1,9 @@
 //! `inspect limits` against a controller that runs, and against none; `check`.
 
+mod common;
+
 use basaltrail_testbed::config::PolicySource;
-use basaltrail_testbed::http::{free_port, Client, Request};
-use basaltrail_testbed::scenarios::try_out::{start, TryOutConfig};
-use basaltrail_testbed::scenarios::ScenarioConfig;
+use basaltrail_testbed::http::{Client, Request};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::process::Output;
@@ -34,16 +34,8 @@
 /// what was accepted is still answered 200.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_submission_beyond_the_backlog_is_refused_and_inspected() {
-    let directory = std::env::temp_dir().join(format!("basaltrail-inspect-{}", std::process::id()));
-    let common = ScenarioConfig {
-        program: env!("CARGO_BIN_EXE_basaltrail").into(),
-        policy: PolicySource::Entries("(admission (backlog-s 30))".into()),
-        controllers: 1,
-        machines: 8,
-        directory: directory.clone(),
-    };
-    let first_port = free_port().unwrap().port();
-    let testbed = start(&TryOutConfig { common, first_port, seed: 1 }).await.unwrap();
+    let policy = PolicySource::Entries("(admission (backlog-s 30))".into());
+    let (testbed, directory) = common::start_one_controller("inspect", policy).await;
     let controller = testbed.controllers.listen(0);
     let administration = testbed.controllers.administration(0);
     let client = Client::default();
--- a/crates/basaltrail/tests/try_out.rs
+++ b/crates/basaltrail/tests/try_out.rs
@@ -1,9 +1,9 @@
 //! The deployment to try out, and the requests of the README against it.
 
+mod common;
+
 use basaltrail_testbed::config::PolicySource;
-use basaltrail_testbed::http::{self, free_port, Client};
-use basaltrail_testbed::scenarios::try_out::{start, TryOutConfig};
-use basaltrail_testbed::scenarios::ScenarioConfig;
+use basaltrail_testbed::http::{self, Client};
 use basaltrail_testbed::testbed::Testbed;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -74,16 +74,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_requests_of_the_readme_work_as_written() {
-    let directory = std::env::temp_dir().join(format!("basaltrail-try-out-{}", std::process::id()));
-    let common = ScenarioConfig {
-        program: env!("CARGO_BIN_EXE_basaltrail").into(),
-        policy: PolicySource::None,
-        controllers: 1,
-        machines: 8,
-        directory: directory.clone(),
-    };
-    let first_port = free_port().unwrap().port();
-    let testbed = start(&TryOutConfig { common, first_port, seed: 1 }).await.unwrap();
+    let (testbed, directory) = common::start_one_controller("try-out", PolicySource::None).await;
     let controller = testbed.controllers.listen(0);
     let requests = readme_requests();
     let [submit, poll, cancel] = requests.as_slice() else {
