--- a/crates/basaltrail-testbed/src/checker/mod.rs
+++ b/crates/basaltrail-testbed/src/checker/mod.rs
@@ -1,7 +1,7 @@
 //! Checks a history against PROTOCOL's rules, from what users and workers observed alone.
 //!
 //! [`find_violations`] is the entry point. The rules about one job are in `job_rules`, over the
-//! [`JobHistory`](job_history::JobHistory) of the job; the rules about the whole run are here.
+//! `JobHistory` of the job; the rules about the whole run are here.
 
 mod job_history;
 mod job_rules;
