--- a/crates/basaltrail/src/settings_tests.rs
+++ b/crates/basaltrail/src/settings/tests.rs
@@ -1,54 +1,59 @@
+//! Settings files that are valid, and what errors name.
+
 use super::*;
 
-pub const GOOD: &str = include_str!("../tests/settings.toml");
+/// A valid settings file.
+pub(crate) const VALID: &str = include_str!("../../tests/settings.toml");
 
 #[test]
-fn settings_are_read_and_unknown_fields_ignored() {
-    let p = parse("s.toml", &format!("later = 1\n{GOOD}")).unwrap();
-    assert_eq!(p.core.teams.len(), 2);
-    assert_eq!(p.core.lease_ms, 10_000);
-    assert_eq!(p.peers.len(), 2);
+fn settings_are_parsed_and_unknown_keys_ignored() {
+    let settings = parse("s.toml", &format!("later = 1\n{VALID}")).unwrap();
+    assert_eq!(settings.core.teams.len(), 2);
+    assert_eq!(settings.core.lease_ms, 10_000);
+    assert_eq!(settings.peers.len(), 2);
     let begun = Objective::Begun { class: "nightly-catalogue".into(), within_s: 40.0 };
-    assert!(p.core.objectives.contains(&begun), "{:?}", p.core.objectives);
+    let objectives = &settings.core.objectives;
+    assert!(objectives.contains(&begun), "{objectives:?}");
 }
 
-/// A guest team has no guarantee and no limit, written as 0 or not at all.
+/// A team without a guarantee and without a limit has 0 for them, or no keys at all.
 #[test]
 fn an_amount_of_zero_is_none() {
     let team = "[[params.teams]]\nname = \"guest\"\n";
     for amounts in ["", "cpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"] {
-        let text = GOOD.replacen(
+        let text = VALID.replacen(
             "[[params.objectives]]",
             &format!("{team}{amounts}\n[[params.objectives]]"),
             1,
         );
-        let p = parse("s.toml", &text).unwrap();
-        let without_guarantee = &p.core.teams[2];
+        let core = parse("s.toml", &text).unwrap().core;
+        let without_guarantee = &core.teams[2];
         assert_eq!((without_guarantee.cpus, without_guarantee.cpus_max), (0.0, f64::INFINITY));
-        assert!(p.core.weight(2).is_finite() && p.core.weight(2) > 0.0);
-        assert_eq!(p.core.teams[0].cpus_max, 664.0);
+        assert!(core.weight(2).is_finite() && core.weight(2) > 0.0);
+        assert_eq!(core.teams[0].cpus_max, 664.0);
     }
 }
 
-/// The service may have its next limits at any moment: the smaller one of each holds from
-/// the start, whichever are given.
+/// The state service may have its next limits at any time: the smaller one of each holds from the
+/// start, whichever are given.
 #[test]
 fn the_smaller_of_the_present_and_the_next_limits_holds() {
     let with = |next: &str| {
         let next = format!("[params.state.next]\n{next}\n[params.cloud]");
-        parse("s.toml", &GOOD.replacen("[params.cloud]", &next, 1))
+        parse("s.toml", &VALID.replacen("[params.cloud]", &next, 1))
     };
-    let limits = |p: Process| {
-        (p.core.store_rps, p.core.write_rps, p.core.value_bytes, p.core.transaction_ops)
+    let limits = |settings: ProcessSettings| {
+        let core = settings.core;
+        (core.store_rps, core.write_rps, core.value_bytes, core.transaction_ops)
     };
     let now = (120.0, 40.0, 16 * 1024, 24);
-    assert_eq!(limits(parse("s.toml", GOOD).unwrap()), now);
+    assert_eq!(limits(parse("s.toml", VALID).unwrap()), now);
     assert_eq!(limits(with("").unwrap()), now);
     assert_eq!(limits(with("txn_ops = 4").unwrap()), (120.0, 40.0, 16 * 1024, 4));
     let lower = with("rps = 60\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4").unwrap();
     assert_eq!(limits(lower), (60.0, 15.0, 2048, 4));
     assert_eq!(limits(with("rps = 500.0\nvalue_kb = 64.0").unwrap()), now);
-    let line = GOOD[..GOOD.find("[params.cloud]").unwrap()].matches('\n').count() + 2;
+    let line = VALID[..VALID.find("[params.cloud]").unwrap()].matches('\n').count() + 2;
     for (bad, why) in [
         ("value_kb = 0.0", "params.state.next.value_kb must be above 0"),
         ("value_kb = -2.0", "params.state.next.value_kb must be above 0"),
@@ -66,31 +71,31 @@
 }
 
 #[test]
-fn bad_settings_say_where() {
-    let told = |from: &str, to: &str| {
-        let text = GOOD.replacen(from, to, 1);
-        assert_ne!(text, GOOD, "{from}");
+fn invalid_settings_name_the_key_at_fault() {
+    let error = |from: &str, to: &str| {
+        let text = VALID.replacen(from, to, 1);
+        assert_ne!(text, VALID, "{from}");
         parse("s.toml", &text).unwrap_err().to_string()
     };
-    assert!(told("size = 3", "size = \"x\"").starts_with("s.toml:"));
-    assert!(told("127.0.0.1:7100", "nowhere").contains("listen"));
-    assert!(told("lease_s = 10.0", "lease_s = 0.0").contains("workers.lease_s"));
-    assert!(told("txn_ops = 24", "txn_ops = 0").contains("txn_ops"));
-    assert!(told("max_connections = 600", "max_connections = 0").contains("max_connections"));
-    assert!(told("\nrps = 120.0", "\nrps = 0.0").contains("state.rps"));
-    assert!(told("value_kb = 16.0", "value_kb = 1.0").contains("state.value_kb must be 1.25"));
-    let none: String = GOOD.split("[[params.teams]]").next().unwrap().into();
-    let rest = &GOOD[GOOD.find("[[params.objectives]]").unwrap()..];
+    assert!(error("size = 3", "size = \"x\"").starts_with("s.toml:"));
+    assert!(error("127.0.0.1:7100", "nowhere").contains("listen"));
+    assert!(error("lease_s = 10.0", "lease_s = 0.0").contains("workers.lease_s"));
+    assert!(error("txn_ops = 24", "txn_ops = 0").contains("txn_ops"));
+    assert!(error("max_connections = 600", "max_connections = 0").contains("max_connections"));
+    assert!(error("\nrps = 120.0", "\nrps = 0.0").contains("state.rps"));
+    assert!(error("value_kb = 16.0", "value_kb = 1.0").contains("state.value_kb must be 1.25"));
+    let none: String = VALID.split("[[params.teams]]").next().unwrap().into();
+    let rest = &VALID[VALID.find("[[params.objectives]]").unwrap()..];
     let none = parse("s.toml", &format!("{none}teams = []\n{rest}"));
     assert!(none.unwrap_err().to_string().contains("no team"));
-    assert!(told("name = \"buyers\"", "name = \"cataloguers\"").contains("twice"));
+    assert!(error("name = \"buyers\"", "name = \"cataloguers\"").contains("twice"));
 }
 
 #[test]
-fn a_limit_below_its_guarantee_is_refused_where_it_stands() {
-    let line = GOOD[..GOOD.find("name = \"buyers\"").unwrap()].matches('\n').count() + 1;
-    let at = GOOD.find("name = \"buyers\"").unwrap();
-    let (before, team) = GOOD.split_at(at);
+fn a_limit_below_its_guarantee_is_refused_with_its_line() {
+    let line = VALID[..VALID.find("name = \"buyers\"").unwrap()].matches('\n').count() + 1;
+    let at = VALID.find("name = \"buyers\"").unwrap();
+    let (before, team) = VALID.split_at(at);
     for (from, to, why) in [
         ("cpus_max = 664.0", "cpus_max = 1.0", "has a limit below its guarantee"),
         ("cpus_max = 664.0", "cpus_max = -1.0", "has an amount below 0"),
