--- a/crates/basaltrail-admission/tests/model.rs
+++ b/crates/basaltrail-admission/tests/model.rs
@@ -3,6 +3,8 @@
 //! that change. At no revision have more jobs of a team been accepted and not ended than its
 //! bound allows.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
+
 use basaltrail_admission::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/basaltrail-core/tests/scale.rs
+++ b/crates/basaltrail-core/tests/scale.rs
@@ -2,6 +2,8 @@
 //! at, allocations, calls of each service, bytes of each transaction. It begins with no
 //! machine, rents all of them, and is started anew with all of them up.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
+
 use basaltrail_core::events::HeartbeatEvent;
 use basaltrail_core::*;
 use rand::rngs::SmallRng;
--- a/crates/basaltrail-core/tests/simulation/main.rs
+++ b/crates/basaltrail-core/tests/simulation/main.rs
@@ -1,4 +1,6 @@
 //! Days of a small deployment, simulated: see [`simulated`].
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
+
 mod simulated;
 mod versions;
--- a/crates/basaltrail-core/tests/simulation/simulated/store.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store.rs
@@ -1,7 +1,10 @@
-//! The state service.
+//! The store.
 
 use super::*;
 
+/// Keys on one page of a list at the most.
+const PAGE_MOST: u32 = 20;
+
 impl Store {
     pub(super) fn remove(&mut self, key: &str, revision: Revision) {
         if self.keys.remove(key).is_some() {
@@ -51,68 +54,28 @@
         new.map(|(_, e)| e.clone()).collect()
     }
 
-    pub(super) fn carry_out(&mut self, t: u64, op: &StoreRequest) -> StoreReply {
-        self.expire(t);
-        match op {
+    /// Carries a request out; watches are answered elsewhere.
+    pub(super) fn carry_out(&mut self, now: u64, request: &StoreRequest) -> StoreReply {
+        self.expire(now);
+        match request {
             StoreRequest::Get(key) => {
                 self.item(key).map_or(StoreReply::NotFound, StoreReply::KeyValue)
             }
             StoreRequest::List { prefix, after, limit } => {
-                let from = after.as_deref().unwrap_or("");
-                let mut keys =
-                    self.keys.keys().filter(|k| k.starts_with(prefix) && k.as_str() > from);
-                let for_share_of_workers: Vec<&String> =
-                    keys.by_ref().take((*limit).min(20) as usize).collect();
-                let more = keys.next().is_some();
-                let items = for_share_of_workers.iter().filter_map(|k| self.item(k)).collect();
-                StoreReply::Page { items, more, revision: self.revision }
+                self.list(prefix, after.as_deref(), *limit)
             }
             StoreRequest::Transaction { preconditions, puts, deletes } => {
-                let (value, ops) = self.limits;
-                let large = puts.iter().any(|p| p.value.len() > value);
-                if large || puts.len() + deletes.len() > ops || preconditions.len() > ops * 4 {
-                    return StoreReply::Rejected;
-                }
-                if puts.iter().any(|p| p.lease_id.is_some_and(|l| !self.leases.contains_key(&l))) {
-                    return StoreReply::Refused;
-                }
-                let mod_revision =
-                    |k: &String| self.keys.get(k).map_or(Revision::NONE, |k| k.mod_revision);
-                let failed: Vec<String> = preconditions
-                    .iter()
-                    .filter(|p| mod_revision(&p.key) != p.mod_revision)
-                    .map(|p| p.key.clone())
-                    .collect();
-                if !failed.is_empty() {
-                    return StoreReply::Conflict { failed };
-                }
-                if !puts.is_empty() || !deletes.is_empty() {
-                    self.revision.0 += 1;
-                }
-                for p in puts {
-                    let k = StoredValue {
-                        value: p.value.clone(),
-                        mod_revision: self.revision,
-                        lease_id: p.lease_id,
-                    };
-                    self.keys.insert(p.key.clone(), k);
-                    // Watches do not tell under which lease a key stands.
-                    let item = KeyValue { lease_id: None, ..self.item(&p.key).unwrap() };
-                    self.log.push((self.revision, WatchEvent::Put(item)));
-                }
-                for key in deletes {
-                    self.remove(key, self.revision);
-                }
-                StoreReply::Committed { revision: self.revision }
+                self.transact(preconditions, puts, deletes)
             }
             StoreRequest::GrantLease { ttl_ms } => {
                 self.next_lease_id += 1;
-                self.leases.insert(LeaseId(self.next_lease_id), (*ttl_ms, t + ttl_ms));
-                StoreReply::LeaseGranted { lease_id: LeaseId(self.next_lease_id) }
+                let lease_id = LeaseId(self.next_lease_id);
+                self.leases.insert(lease_id, (*ttl_ms, now + ttl_ms));
+                StoreReply::LeaseGranted { lease_id }
             }
             StoreRequest::KeepAlive { lease_id } => match self.leases.get_mut(lease_id) {
                 Some((life, end)) => {
-                    *end = t + *life;
+                    *end = now + *life;
                     StoreReply::Ok
                 }
                 None => StoreReply::NotFound,
@@ -126,7 +89,69 @@
                     StoreReply::NotFound
                 }
             }
-            StoreRequest::Watch { .. } => unreachable!(),
+            StoreRequest::Watch { .. } => unreachable!("watches are kept open"),
+        }
+    }
+
+    fn list(&self, prefix: &str, after: Option<&str>, limit: u32) -> StoreReply {
+        let after = after.unwrap_or("");
+        let mut keys = self.keys.keys().filter(|k| k.starts_with(prefix) && k.as_str() > after);
+        let page: Vec<&String> = keys.by_ref().take(limit.min(PAGE_MOST) as usize).collect();
+        let more = keys.next().is_some();
+        let items = page.iter().filter_map(|key| self.item(key)).collect();
+        StoreReply::Page { items, more, revision: self.revision }
+    }
+
+    fn transact(
+        &mut self,
+        preconditions: &[Precondition],
+        puts: &[PutRequest],
+        deletes: &[String],
+    ) -> StoreReply {
+        let (value_bytes, changes) = self.limits;
+        let large = puts.iter().any(|put| put.value.len() > value_bytes);
+        if large || puts.len() + deletes.len() > changes || preconditions.len() > changes * 4 {
+            return StoreReply::Rejected;
         }
+        let has_ended = |lease_id: LeaseId| !self.leases.contains_key(&lease_id);
+        if puts.iter().any(|put| put.lease_id.is_some_and(has_ended)) {
+            return StoreReply::Refused;
+        }
+        let current = |key: &String| self.keys.get(key).map_or(Revision::NONE, |k| k.mod_revision);
+        let failed: Vec<String> = preconditions
+            .iter()
+            .filter(|wanted| current(&wanted.key) != wanted.mod_revision)
+            .map(|wanted| wanted.key.clone())
+            .collect();
+        if !failed.is_empty() {
+            return StoreReply::Conflict { failed };
+        }
+        if !puts.is_empty() || !deletes.is_empty() {
+            self.revision.0 += 1;
+        }
+        for put in puts {
+            self.put(put);
+        }
+        for key in deletes {
+            self.remove(key, self.revision);
+        }
+        StoreReply::Committed { revision: self.revision }
+    }
+
+    fn put(&mut self, put: &PutRequest) {
+        let stored = StoredValue {
+            value: put.value.clone(),
+            mod_revision: self.revision,
+            lease_id: put.lease_id,
+        };
+        self.keys.insert(put.key.clone(), stored);
+        let event = WatchEvent::Put(KeyValue {
+            key: put.key.clone(),
+            value: put.value.clone(),
+            mod_revision: self.revision,
+            // Watches do not tell under which lease a key stands.
+            lease_id: None,
+        });
+        self.log.push((self.revision, event));
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/troubles.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/troubles.rs
@@ -10,68 +10,74 @@
         let controller = leader.unwrap_or_else(|| self.rng.random_range(0..CONTROLLERS));
         let held = self.rng.random_bool(0.6);
         let spell = self.rng.random_range(2_000..25_000);
-        let long_tasks = t + spell;
-        match self.rng.random_range(0..26) {
+        let until = t + spell;
+        let kind = self.rng.random_range(0..26);
+        match kind {
             0 | 1 => self.crash(controller),
             2 => (0..CONTROLLERS).for_each(|i| self.crash(i)),
             3 => {
                 let spell = self.rng.random_range(1_000..16_000);
                 self.outage(spell);
             }
-            4 => self.controllers[controller].store_cut = Some((long_tasks, held)),
-            5 => self.controllers[controller].refused_until = long_tasks,
-            6 => self.zone_cut = Some((long_tasks, held)),
+            4 => self.controllers[controller].store_cut = Some((until, held)),
+            5 => self.controllers[controller].refused_until = until,
+            6 => self.zone_cut = Some((until, held)),
             // Many at once: hangs shorter and longer than a lease.
             7 => self.hang(0.4, 1_000..14_000),
-            8 => self.for_share_of_workers(0.3, |w| w.downlink_lost_until = long_tasks),
+            8 => self.for_share_of_workers(0.3, |w| w.downlink_lost_until = until),
             9 if !self.workers.is_empty() => {
                 let m = self.rng.random_range(0..self.workers.len());
                 self.die(m);
             }
             10 => self.reclaim_spot_machines(),
-            11 => self.controllers[controller].freezes_until = long_tasks,
+            11 => self.controllers[controller].freezes_until = until,
             12 => {
                 let zone = self.rng.random_range(0..2);
                 self.cut_zone(zone, spell, held);
             }
-            13 => self.controllers[controller].workers_cut = Some((long_tasks, held)),
+            13 => self.controllers[controller].workers_cut = Some((until, held)),
             14 => {
                 // Silent for a minute or more, and back.
                 let run_for = self.rng.random_range(60_000..90_000);
                 self.end(controller, run_for);
             }
-            15 => self.slow_provisioning = (self.rng.random_range(0..2), long_tasks + 30_000),
-            16 => self.poll_storm_until = long_tasks + 10_000,
+            15 => self.slow_provisioning = (self.rng.random_range(0..2), until + 30_000),
+            16 => self.poll_storm_until = until + 10_000,
             17 => {
                 // The leader stands still, and so does its successor.
-                self.controllers[controller].freezes_until = long_tasks;
+                self.controllers[controller].freezes_until = until;
                 self.next_freeze = t + self.rng.random_range(4_000..9_000);
             }
-            18 => {
-                self.late_writes = LateWrites { until: long_tasks, share: 0.4, answer_lost: held }
-            }
+            18.. => self.fault_of_messages(kind, controller, held, until),
+            _ => {}
+        }
+        self.faults_over_at = self.faults_over_at.max(until).max(self.store.down_until);
+    }
+
+    /// The faults of what is sent, by users too: the second half of the kinds.
+    fn fault_of_messages(&mut self, kind: u32, controller: usize, held: bool, until: u64) {
+        match kind {
+            18 => self.late_writes = LateWrites { until, share: 0.4, answer_lost: held },
             19 => {
-                self.late_heartbeats =
-                    LateHeartbeats { until: long_tasks, share: 0.6, for_next_leader: held }
+                self.late_heartbeats = LateHeartbeats { until, share: 0.6, for_next_leader: held }
             }
-            20 => self.for_share_of_workers(0.4, |w| w.uplink_lost_until = long_tasks),
+            20 => self.for_share_of_workers(0.4, |w| w.uplink_lost_until = until),
             21 => {
                 let hang = self.rng.random_range(0..14_000);
                 self.cancel_now(6, hang);
             }
-            22 => self.cancel_at_end = CancelAtEnd { until: long_tasks, share: 0.5 },
-            23 => self.invalid_requests_until = long_tasks,
-            24 => self.read_back_until = long_tasks,
+            22 => self.cancel_at_end = CancelAtEnd { until, share: 0.5 },
+            23 => self.invalid_requests_until = until,
+            24 => self.read_back_until = until,
             25 => {
                 // The state service refuses the leader, and a moment later everybody.
-                self.controllers[controller].refused_until = long_tasks;
+                self.controllers[controller].refused_until = until;
                 self.cancel_now(6, 0);
                 let spell = self.rng.random_range(1_000..CANCEL_MS + 10_000);
                 self.outage(spell);
             }
             _ => {}
         }
-        self.faults_over_at = self.faults_over_at.max(long_tasks).max(self.store.down_until);
     }
 
     /// Spot machines are reclaimed in a wave, some without a notice.
--- a/crates/basaltrail-core/tests/traces.rs
+++ b/crates/basaltrail-core/tests/traces.rs
@@ -1,6 +1,8 @@
 //! Kept traces: text files that tell what goes into one controller and what must
 //! come out. `tests/traces/README` says how they are written.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
+
 mod trace_player;
 
 use trace_player::Trace;
--- a/crates/basaltrail-protocol/tests/bad_input.rs
+++ b/crates/basaltrail-protocol/tests/bad_input.rs
@@ -1,5 +1,7 @@
 //! Submissions with a missing or invalid field: each field on its own.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
+
 use basaltrail_protocol::submissions::parse_submission;
 use serde_json::{json, Map, Value};
 
--- a/crates/basaltrail/tests/inspect.rs
+++ b/crates/basaltrail/tests/inspect.rs
@@ -1,5 +1,7 @@
 //! `inspect limits` against a controller that runs, and against none; `check`.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
+
 mod common;
 
 use basaltrail_testbed::config::PolicySource;
--- a/crates/basaltrail/tests/loopback.rs
+++ b/crates/basaltrail/tests/loopback.rs
@@ -1,6 +1,8 @@
 //! The real program on loopback, against stand-ins of the state service, the cloud and one
 //! worker: answers to users, malformed bodies, a kill and a restart.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
+
 use basaltrail_testbed::clock::Clock;
 use basaltrail_testbed::cloud::Cloud;
 use basaltrail_testbed::deployment::{Deployment, MACHINE_TYPE, WORKER_ENDPOINT, ZONES};
--- a/crates/basaltrail/tests/try_out.rs
+++ b/crates/basaltrail/tests/try_out.rs
@@ -1,5 +1,7 @@
 //! The deployment to try out, and the requests of the README against it.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
+
 mod common;
 
 use basaltrail_testbed::config::PolicySource;
--- a/tests/mixed-versions/tests/simulation.rs
+++ b/tests/mixed-versions/tests/simulation.rs
@@ -3,6 +3,8 @@
 //! in the meetings each process that starts runs a version drawn anew, so that each leads,
 //! follows, takes over, dies and comes back old in any order; the rolls upgrade both.
 
+#![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
+
 #[path = "../../../crates/basaltrail-core/tests/simulation/simulated/mod.rs"]
 mod simulated;
 mod versions;
