--- a/crates/basaltrail-core/src/controller/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -180,7 +180,7 @@
     /// Whether quotas bind is the leader's to say; a controller of an earlier version that leads
     /// hands out none.
     fn follow_quota_mode(&mut self) {
-        let Some(quotas_bind) = self.election.leader_allots() else { return };
+        let Some(quotas_bind) = self.election.leader_allocates_quotas() else { return };
         let mode = if quotas_bind { QuotaMode::Enforced } else { QuotaMode::Unlimited };
         if mode == self.admission.limiter.mode() {
             return;
--- a/crates/basaltrail-core/src/election.rs
+++ b/crates/basaltrail-core/src/election.rs
@@ -211,8 +211,8 @@
     }
 
     /// Whether the leader that was read last allocates admission quotas.
-    pub fn leader_allots(&self) -> Option<bool> {
-        self.holder().map(|holder| holder.record.allots)
+    pub fn leader_allocates_quotas(&self) -> Option<bool> {
+        self.holder().map(|holder| holder.record.allocates_quotas)
     }
 
     /// The last term that this controller knows of, and the revision at which it was read.
@@ -476,7 +476,7 @@
             controller: self.settings.controller.clone(),
             incarnation: self.settings.incarnation,
             token,
-            allots: self.settings.allocates_quotas,
+            allocates_quotas: self.settings.allocates_quotas,
         };
         let put = |key: &str, value, lease_id| PutRequest { key: key.into(), value, lease_id };
         let transaction = StoreRequest::Transaction {
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -151,14 +151,14 @@
         }
         self.flush(ctx, calls);
         if ctx.holds_valid_lease {
-            self.quota_allocator.send(ctx.cfg, ctx.now, (self.token, self.mod_revision), calls);
+            self.quota_allocator.send(ctx, self.token, self.mod_revision, calls);
         }
         self.call_cloud(ctx, calls);
     }
 
     /// Ends a round of the fairness ledger.
     fn end_round(&mut self, ctx: &Context, calls: &mut Calls) {
-        self.round_ends = ctx.now + (ctx.cfg.policy.round_s * 1000.0) as Ms;
+        self.round_ends = ctx.now + ctx.cfg.round_ms();
         self.ledger.end_round();
         for job in self.cluster.jobs.values_mut() {
             job.account.granted = 0.0;
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -6,7 +6,6 @@
 use crate::events::{AdmissionEvent, ClassQuota};
 use crate::io::{Precondition, PutRequest, StoreReply, StoreRequest};
 use crate::model::{FencingToken, Ms, Revision};
-use crate::settings::Settings;
 use crate::store::calls::{Calls, StorePurpose};
 use crate::store::rate_limiter::CallPriority;
 use crate::store::records::{encode, quota_key, LEADER_KEY};
@@ -64,9 +63,9 @@
     /// out only while `leader_revision` is the mod revision of the leader key.
     pub fn send(
         &mut self,
-        cfg: &Settings,
-        now: Ms,
-        (token, leader_revision): (FencingToken, Revision),
+        ctx: &Context,
+        token: FencingToken,
+        leader_revision: Revision,
         calls: &mut Calls,
     ) {
         if self.in_flight {
@@ -75,8 +74,8 @@
         let Some(first) = self.due.front() else { return };
         let team = &first.quota.team;
         let of_team = self.due.iter().take_while(|write| write.quota.team == *team).count();
-        let count = of_team.min(cfg.transaction_ops.max(1));
-        if !calls.try_acquire_write(now, count, CallPriority::Completion) {
+        let count = of_team.min(ctx.cfg.transaction_ops.max(1));
+        if !calls.try_acquire_write(ctx.now, count, CallPriority::Completion) {
             return;
         }
         let writes: Vec<QuotaWrite> = self.due.drain(..count).collect();
@@ -88,7 +87,7 @@
         let puts = writes.iter().map(put).collect();
         self.in_flight = true;
         let request = StoreRequest::Transaction { preconditions, puts, deletes: Vec::new() };
-        let timeout_ms = cfg.leader_lease_ms() / 4;
+        let timeout_ms = ctx.cfg.leader_lease_ms() / 4;
         calls.send_to_store(StorePurpose::WriteQuotas { token, writes }, request, timeout_ms);
     }
 
--- a/crates/basaltrail-core/src/store/records.rs
+++ b/crates/basaltrail-core/src/store/records.rs
@@ -58,7 +58,7 @@
     pub token: FencingToken,
     /// Whether it hands out admission quotas: controllers then accept nothing without one.
     #[serde(rename = "allots", default, skip_serializing_if = "is_false")]
-    pub allots: bool,
+    pub allocates_quotas: bool,
 }
 
 fn is_false(value: &bool) -> bool {
