--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -47,7 +47,7 @@
     /// The call that terminates machines.
     termination: TerminationCall,
     /// Recently terminated machines.
-    pub(in crate::leader) returned: TerminatedMachines,
+    pub(in crate::leader) terminated: TerminatedMachines,
     /// Since when there are more machines than the work pays for.
     surplus_since: Option<Ms>,
     /// Machines that recent work could use.
@@ -68,7 +68,7 @@
             provisioning_times: ProvisioningTimes::default(),
             inventory: Inventory::default(),
             termination: TerminationCall::default(),
-            returned: TerminatedMachines::new(settings),
+            terminated: TerminatedMachines::new(settings),
             surplus_since: None,
             peak: DemandPeak::new(now),
             next_plan_at: 0,
@@ -172,7 +172,7 @@
             }
         }
         for listed in listing.machines {
-            let terminated = &self.autoscaler.returned;
+            let terminated = &self.autoscaler.terminated;
             let unknown = inventory::reconcile(ctx, &mut self.cluster, terminated, listed);
             if let Some(machine) = unknown {
                 calls.log(MachineEvent::Discovered { machine: machine.id.clone() });
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -198,7 +198,7 @@
         // What is still wanted is requested at once.
         self.next_plan_at = ctx.now;
         ids.into_iter()
-            .filter(|id| !self.returned.contains(id))
+            .filter(|id| !self.terminated.contains(id))
             .map(|id| provisioned_machine(ctx, id, &request.kind))
             .collect()
     }
--- a/crates/basaltrail-core/src/leader/cluster.rs
+++ b/crates/basaltrail-core/src/leader/cluster.rs
@@ -13,7 +13,7 @@
 /// The part of its estimate that a task nearly always runs: estimates are often too high.
 const MIN_RUN_OF_ESTIMATE: f64 = 0.7;
 /// Seconds of grace beyond the time that a task needs to save its progress.
-const SAVE_MARGIN_S: f64 = 1.0;
+pub(in crate::leader) const SAVE_MARGIN_S: f64 = 1.0;
 
 /// Machines, with what may run on them, and jobs, with where their tasks may be.
 #[derive(Default)]
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -42,7 +42,7 @@
             let (answers, permit) = (&mut self.failover.loading_answers, permit?);
             return answers.answer(ctx.now, self.token, ctx.cfg.max_machines, heartbeat, permit);
         }
-        if self.autoscaler.returned.contains(&heartbeat.machine) {
+        if self.autoscaler.terminated.contains(&heartbeat.machine) {
             return Err(RenewalRefusal::MachineReturned);
         }
         let machine = self.cluster.machines.get_mut(&heartbeat.machine);
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
@@ -312,7 +312,7 @@
         let changes = removed.expire_lease();
         self.reconcile_all(ctx, calls, machine, changes);
         self.registry.remove(&removed);
-        self.autoscaler.returned.add(machine);
+        self.autoscaler.terminated.add(machine);
         self.scheduler.changed = true;
     }
 }
--- a/crates/basaltrail-core/src/leader/scheduler/accounting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/accounting.rs
@@ -50,9 +50,9 @@
             fleet_cpus += ctx.types[index].cpus;
         }
         for ((task, _), slot) in machine.slots.iter().filter(|(_, slot)| slot.is_running()) {
-            if let Some(need) = slot.demand {
-                running.by_team[need.team] += need.resources.cpus;
-                *running.by_job.entry(task.job).or_default() += need.resources.cpus;
+            if let Some(demand) = slot.demand {
+                running.by_team[demand.team] += demand.resources.cpus;
+                *running.by_job.entry(task.job).or_default() += demand.resources.cpus;
             }
         }
     }
--- a/crates/basaltrail-core/src/leader/scheduler/capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/capacity.rs
@@ -105,10 +105,10 @@
             used.iter_mut().for_each(|used| *used += whole);
             continue;
         }
-        for need in
+        for demand in
             machine.slots.values().filter(|slot| slot.holds_resources()).filter_map(|s| s.demand)
         {
-            used[need.team] += need.resources;
+            used[demand.team] += demand.resources;
         }
     }
     used
--- a/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
@@ -25,10 +25,10 @@
             for ((task, _), slot) in machine.slots.iter().filter(|(_, slot)| slot.holds_resources())
             {
                 let job = cluster.jobs.get(&task.job).filter(|job| job.ended.is_none());
-                let Some((job, need)) = job.zip(slot.demand) else { continue };
+                let Some((job, demand)) = job.zip(slot.demand) else { continue };
                 *usage.by_class.entry((job.team, &job.spec.class)).or_default() +=
-                    need.resources.cpus;
-                usage.by_team[job.team] += need.resources.cpus;
+                    demand.resources.cpus;
+                usage.by_team[job.team] += demand.resources.cpus;
             }
         }
         usage
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -1,7 +1,7 @@
 //! A scheduling cycle over all machines: which job gets capacity, in which order.
 
 use super::assignment::{Assigner, SchedulerInputs};
-use super::capacity::{team_usage, unreconciled_kinds, FreeCapacity};
+use super::capacity::{team_usage, FreeCapacity};
 use super::class_shares::underserved_classes;
 use super::deadline_feasibility::find_feasible;
 use super::fair_share_order::TeamHead;
@@ -9,14 +9,13 @@
 use super::reserved_capacity::{reserve_capacity, ReservedCapacity};
 use super::services::is_high_priority_service;
 use super::starvation::starved_jobs;
+use super::waiting::Waiting;
 use super::{accounting, Scheduler};
 use crate::jobs::JobState;
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
-use crate::machines::MachineKind;
-use crate::model::{JobId, MachineId, Ms, Revision, WallMs};
+use crate::model::{JobId, MachineId, Ms, WallMs};
 use crate::resources::Resources;
-use std::collections::BTreeSet;
 
 /// The least time between two cycles, as a part of the heartbeat interval: that many cycles fit
 /// into it.
@@ -99,61 +98,6 @@
     }
 }
 
-/// Jobs that may get tasks assigned now.
-struct Waiting {
-    /// By team.
-    by_team: Vec<Vec<JobId>>,
-    /// Those in a crash loop, which try one task at a time.
-    crash_looping: Vec<JobId>,
-}
-
-impl Waiting {
-    /// The jobs with waiting tasks that are in no back-off and may not run unseen.
-    fn collect(inputs: &SchedulerInputs) -> Self {
-        let SchedulerInputs { ctx, cluster, unknown_jobs, .. } = inputs;
-        let unreconciled = unreconciled_kinds(cluster);
-        let mut waiting =
-            Waiting { by_team: vec![Vec::new(); ctx.cfg.teams.len()], crash_looping: Vec::new() };
-        for job in cluster.jobs.values() {
-            let startable = job.pending() > 0
-                && job.health.back_off_until() <= ctx.now
-                && !unknown_jobs.contains(&job.id)
-                && !may_run_unseen(job, inputs.elected_revision, &unreconciled);
-            if !startable {
-                continue;
-            }
-            match job.health.is_crash_looping() {
-                true => waiting.crash_looping.push(job.id),
-                false => waiting.by_team[job.team].push(job.id),
-            }
-        }
-        waiting
-    }
-
-    fn remove(&mut self, team: usize, id: JobId) {
-        self.by_team[team].retain(|job| *job != id);
-    }
-
-    fn heads(&self) -> impl Iterator<Item = TeamHead> + '_ {
-        let first = |(team, jobs): (usize, &Vec<JobId>)| {
-            jobs.first().map(|job| TeamHead { team, job: *job })
-        };
-        self.by_team.iter().enumerate().filter_map(first)
-    }
-}
-
-/// Whether an earlier leader may have started tasks of this job on a machine that has not
-/// reported to this leader. A job accepted since the failover cannot have been started, and no
-/// leader of any version starts a task on a kind of machine that its job does not permit.
-fn may_run_unseen(
-    job: &JobState,
-    elected_revision: Revision,
-    unreconciled: &BTreeSet<MachineKind>,
-) -> bool {
-    job.mod_revision <= elected_revision
-        && unreconciled.iter().any(|kind| kind.permitted_by(&job.spec))
-}
-
 /// A cycle that runs.
 struct Cycle<'a> {
     assigner: Assigner<'a>,
--- a/crates/basaltrail-core/src/leader/scheduler/mod.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/mod.rs
@@ -20,6 +20,8 @@
 mod guarantees;
 mod preemption;
 mod starvation;
+mod victims;
+mod waiting;
 
 #[cfg(test)]
 pub(in crate::leader) mod test_cluster;
--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -2,13 +2,14 @@
 
 use super::assignment::{allowed_by_limit, zone_spread};
 use super::bin_packing::ZoneSpread;
-use super::capacity::{accepts_tasks, FreeCapacity, CPU_TOLERANCE};
+use super::capacity::{FreeCapacity, CPU_TOLERANCE};
+use super::victims::{victims_of_guarantee, victims_of_priority, Victim};
 use super::Scheduler;
 use crate::jobs::JobState;
-use crate::leader::cluster::Cluster;
+use crate::leader::cluster::{Cluster, SAVE_MARGIN_S};
 use crate::leader::Context;
-use crate::machines::{MachineKind, TaskDemand, TaskSlot};
-use crate::model::{Attempt, JobId, JobSpec, MachineId, Ms, Priority, TaskId};
+use crate::machines::{MachineKind, TaskDemand};
+use crate::model::{JobId, JobSpec};
 use crate::resources::Resources;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,17 +17,6 @@
 /// Workers' leases of slack below which a job preempts others. One with more gets capacity as
 /// tasks end; each preemption costs a save and a start.
 const URGENT_LEASES: f64 = 2.0;
-/// Workers' leases that the first tasks of a job run before they may be preempted: a job whose
-/// first task is stopped as it begins has waited in vain.
-const FIRST_TASK_LEASES: f64 = 3.5;
-/// Times its own save that a task runs before it may be preempted: stopping what has just begun
-/// costs more than it ran.
-const MIN_RUN_PER_SAVE: f64 = 4.0;
-/// Seconds of grace beyond the time that a task needs to save.
-const SAVE_MARGIN_S: f64 = 1.0;
-/// Slack is compared in steps of this many seconds, so that small differences leave the order
-/// to the age of tasks.
-const SLACK_STEP_S: i64 = 30;
 
 /// CPUs that can soon be used, by kind of machine.
 #[derive(Default)]
@@ -49,7 +39,7 @@
                 .values()
                 .filter(|slot| slot.holds_resources() && slot.stop_grace_s.is_some());
             let cpus: f64 =
-                stopping.filter_map(|slot| slot.demand).map(|need| need.resources.cpus).sum();
+                stopping.filter_map(|slot| slot.demand).map(|demand| demand.resources.cpus).sum();
             if cpus > 0.0 {
                 coming.add(machine.kind(), cpus);
             }
@@ -73,18 +63,6 @@
     }
 }
 
-/// A task that may be preempted.
-#[derive(Clone, Debug)]
-struct Victim {
-    machine: MachineId,
-    key: (TaskId, Attempt),
-    need: TaskDemand,
-}
-
-/// Which victim goes first: lower priorities, then those with the most slack or that are late
-/// anyway, and the youngest.
-type VictimRank = (Priority, i64, Ms);
-
 /// A blocked job, and what it may preempt.
 struct Preemptor {
     team: usize,
@@ -173,57 +151,6 @@
         }
         preemption.preempted
     }
-
-    /// Tasks that may be preempted by higher priorities, in the order in which they go: those
-    /// that can save, since what cannot would lose all it has done.
-    fn victims(&self, ctx: &Context, cluster: &Cluster) -> Vec<Victim> {
-        let mut ranked: Vec<(VictimRank, Victim)> = Vec::new();
-        for machine in cluster.machines.values().filter(|machine| accepts_tasks(ctx, machine)) {
-            for (key, slot) in &machine.slots {
-                let Some((need, save_s)) = slot.demand.and_then(|need| Some((need, need.save_s?)))
-                else {
-                    continue;
-                };
-                if !slot.is_running()
-                    || slot.stop_grace_s.is_some()
-                    || runs_too_shortly(ctx, slot, save_s)
-                {
-                    continue;
-                }
-                let slack_s = self.feasible_slack_s.get(&key.0.job);
-                let by_slack = slack_s.map_or(i64::MIN, |slack_s| -slack_s as i64 / SLACK_STEP_S);
-                let victim = Victim { machine: machine.id.clone(), key: *key, need };
-                ranked.push(((need.priority, by_slack, Ms::MAX - slot.since), victim));
-            }
-        }
-        sorted(ranked)
-    }
-}
-
-/// Whether a task has run for too short a time to be preempted.
-fn runs_too_shortly(ctx: &Context, slot: &TaskSlot, save_s: f64) -> bool {
-    let ran_s = slot.running_since.map_or(0, |since| ctx.now - since) as f64 / 1000.0;
-    let lease_s = ctx.cfg.lease_ms as f64;
-    let first_s = if slot.first_of_job { FIRST_TASK_LEASES * lease_s / 1000.0 } else { 0.0 };
-    ran_s < (MIN_RUN_PER_SAVE * save_s).max(first_s)
-}
-
-/// Tasks that may be stopped for a team that has waited too long for its guarantee: all that
-/// hold capacity, also those that cannot save or have just begun; services last.
-fn guarantee_victims(ctx: &Context, cluster: &Cluster) -> Vec<Victim> {
-    let mut ranked: Vec<((bool, VictimRank), Victim)> = Vec::new();
-    for machine in cluster.machines.values().filter(|machine| accepts_tasks(ctx, machine)) {
-        for (key, slot) in &machine.slots {
-            let need =
-                slot.demand.filter(|_| slot.holds_resources() && slot.stop_grace_s.is_none());
-            let Some(need) = need else { continue };
-            let service = cluster.jobs.get(&key.0.job).is_some_and(|job| job.spec.is_service());
-            let rank = (need.priority, 0, Ms::MAX - slot.since);
-            let victim = Victim { machine: machine.id.clone(), key: *key, need };
-            ranked.push(((service, rank), victim));
-        }
-    }
-    sorted(ranked)
 }
 
 impl Preemption<'_> {
@@ -238,8 +165,8 @@
             false => self.victims.take(),
         };
         let victims = victims.unwrap_or_else(|| match overdue {
-            true => guarantee_victims(ctx, cluster),
-            false => scheduler.victims(ctx, cluster),
+            true => victims_of_guarantee(ctx, cluster),
+            false => victims_of_priority(ctx, cluster, &scheduler.feasible_slack_s),
         });
         let before = self.preempted;
         for victim in &victims {
@@ -279,11 +206,11 @@
 
     /// Orders a task to stop, if the job may preempt it and use its machine.
     fn stop(&mut self, preemptor: &mut Preemptor, victim: &Victim) {
-        let need = &victim.need;
-        let borrowed_cpus = self.used[need.team].cpus
-            - self.freed_cpus.get(&need.team).copied().unwrap_or(0.0)
-            - self.ctx.cfg.teams[need.team].cpus;
-        if !preemptor.may_preempt(need, borrowed_cpus) {
+        let demand = &victim.demand;
+        let borrowed_cpus = self.used[demand.team].cpus
+            - self.freed_cpus.get(&demand.team).copied().unwrap_or(0.0)
+            - self.ctx.cfg.teams[demand.team].cpus;
+        if !preemptor.may_preempt(demand, borrowed_cpus) {
             return;
         }
         let slot = self
@@ -294,11 +221,11 @@
             .and_then(|machine| machine.slots.get_mut(&victim.key))
             .filter(|slot| slot.stop_grace_s.is_none());
         let Some(slot) = slot else { return };
-        slot.stop_grace_s = Some(need.save_s.map_or(0.0, |save_s| save_s + SAVE_MARGIN_S));
+        slot.stop_grace_s = Some(demand.save_s.map_or(0.0, |save_s| save_s + SAVE_MARGIN_S));
         slot.stop_sent_at = None;
-        preemptor.wanted_cpus -= need.resources.cpus;
-        preemptor.guarantee_left -= need.resources.cpus;
-        *self.freed_cpus.entry(need.team).or_default() += need.resources.cpus;
+        preemptor.wanted_cpus -= demand.resources.cpus;
+        preemptor.guarantee_left -= demand.resources.cpus;
+        *self.freed_cpus.entry(demand.team).or_default() += demand.resources.cpus;
         self.preempted += 1;
     }
 }
@@ -310,13 +237,6 @@
     slack_s.is_some_and(|slack_s| slack_s * 1000.0 < urgent_ms)
 }
 
-fn sorted<R: Ord>(mut ranked: Vec<(R, Victim)>) -> Vec<Victim> {
-    ranked.sort_by(|(rank, a), (other, b)| {
-        (rank, &a.machine, a.key).cmp(&(other, &b.machine, b.key))
-    });
-    ranked.into_iter().map(|(_, victim)| victim).collect()
-}
-
 #[cfg(test)]
 #[path = "preemption_tests.rs"]
 mod tests;
--- a/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::leader::scheduler::test_cluster::{ready_machine, running_slot, service, TestCluster};
 use crate::leader::Leader;
-use crate::model::WallMs;
+use crate::model::{Attempt, MachineId, Priority, TaskId, WallMs};
 use crate::settings::sample::a_job;
 
 fn demand(priority: Priority, save_s: Option<f64>) -> TaskDemand {
@@ -25,7 +25,8 @@
     leader.cluster.machines.insert(id.clone(), machine);
     let mut victims = |now| {
         leader.cluster.machines.get_mut(&id).unwrap().last_heartbeat = Some(now);
-        leader.scheduler.victims(&test.context(now), &leader.cluster).len()
+        let slack_s = &leader.scheduler.feasible_slack_s;
+        victims_of_priority(&test.context(now), &leader.cluster, slack_s).len()
     };
     assert_eq!((victims(5_000), victims(30_500), victims(36_000)), (0, 1, 2));
 }
