--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -1,9 +1,9 @@
 //! The autoscaler of a leader: how many machines there are, of which kinds, and in which zones.
 //!
-//! A plan ([`scale_out`], [`drain`]) is made twice a heartbeat interval: it compares the machines
-//! that are counted on ([`fleet`]) with those that the work at hand pays for
-//! ([`capacity_target`]). [`scale_in`] terminates what is drained, failed or lost, and
-//! [`inventory`] reconciles the known machines with the cloud's list.
+//! A plan (`scale_out`, `drain`) is made twice a heartbeat interval: it compares the machines
+//! that are counted on (`fleet`) with those that the work at hand pays for
+//! (`capacity_target`). `scale_in` terminates what is drained, failed or lost, and
+//! `inventory` reconciles the known machines with the cloud's list.
 
 pub mod provisioning;
 pub mod provisioning_time;
--- a/crates/basaltrail-core/src/leader/scheduler/mod.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/mod.rs
@@ -1,8 +1,8 @@
 //! The scheduler of a leader: which task starts where, and what is preempted for it.
 //!
 //! The design is ASTRAEA (paper, sections 4 and 5): the team with the lowest degree of fairness
-//! goes first. A [`cycle`] looks at all machines, at most every twentieth of a heartbeat
-//! interval; between two of them [`backfill`] assigns tasks to the machine whose heartbeat is
+//! goes first. A `cycle` looks at all machines, at most every twentieth of a heartbeat
+//! interval; between two of them `backfill` assigns tasks to the machine whose heartbeat is
 //! being answered.
 
 pub(in crate::leader) mod assignment;
