--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -1,9 +1,9 @@
 //! The autoscaler of a leader: how many machines there are, of which kinds, and in which zones.
 //!
-//! A plan ([`scale_out`], [`drain`]) is made twice a heartbeat interval: it compares the machines
-//! that are counted on ([`fleet`]) with those that the work at hand pays for
-//! ([`capacity_target`]). [`scale_in`] terminates what is drained, failed or lost, and
-//! [`inventory`] reconciles the known machines with the cloud's list.
+//! A plan (`scale_out`, `drain`) is made twice a heartbeat interval: it compares the machines
+//! that are counted on (`fleet`) with those that the work at hand pays for
+//! (`capacity_target`). `scale_in` terminates what is drained, failed or lost, and
+//! `inventory` reconciles the known machines with the cloud's list.
 
 pub mod provisioning;
 pub mod provisioning_time;
@@ -47,7 +47,7 @@
     /// The call that terminates machines.
     termination: TerminationCall,
     /// Recently terminated machines.
-    pub(in crate::leader) returned: TerminatedMachines,
+    pub(in crate::leader) terminated: TerminatedMachines,
     /// Since when there are more machines than the work pays for.
     surplus_since: Option<Ms>,
     /// Machines that recent work could use.
@@ -68,7 +68,7 @@
             provisioning_times: ProvisioningTimes::default(),
             inventory: Inventory::default(),
             termination: TerminationCall::default(),
-            returned: TerminatedMachines::new(settings),
+            terminated: TerminatedMachines::new(settings),
             surplus_since: None,
             peak: DemandPeak::new(now),
             next_plan_at: 0,
@@ -172,7 +172,7 @@
             }
         }
         for listed in listing.machines {
-            let terminated = &self.autoscaler.returned;
+            let terminated = &self.autoscaler.terminated;
             let unknown = inventory::reconcile(ctx, &mut self.cluster, terminated, listed);
             if let Some(machine) = unknown {
                 calls.log(MachineEvent::Discovered { machine: machine.id.clone() });
