--- a/crates/basaltrail-core/src/election.rs
+++ b/crates/basaltrail-core/src/election.rs
@@ -260,20 +260,24 @@
         if now < self.next_read {
             return None;
         }
-        let prefix = CONTROL_PREFIX.to_string();
         let Some(view) = &self.view else {
             if self.in_flight.list {
                 return None;
             }
             self.in_flight.list = true;
-            let list = StoreRequest::List { prefix, after: None, limit: CONTROL_KEYS };
+            let list = StoreRequest::List {
+                prefix: CONTROL_PREFIX.into(),
+                after: None,
+                limit: CONTROL_KEYS,
+            };
             return Some(self.request(ElectionCall::List, list));
         };
         if self.in_flight.watch {
             return None;
         }
         let wait_ms = self.settings.lease_ttl_ms / WATCHES_PER_TTL;
-        let watch = StoreRequest::Watch { prefix, after: view.revision, wait_ms };
+        let (prefix, after) = (CONTROL_PREFIX.into(), view.revision);
+        let watch = StoreRequest::Watch { prefix, after, wait_ms };
         self.in_flight.watch = true;
         let request = self.request(ElectionCall::Watch, watch);
         Some(ElectionRequest { timeout_ms: wait_ms + request.timeout_ms, ..request })
