--- a/crates/basaltrail-core/tests/simulation/simulated/troubles.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/troubles.rs
@@ -38,8 +38,8 @@
             13 => self.controllers[controller].workers_cut = Some((until, held)),
             14 => {
                 // Silent for a minute or more, and back.
-                let run_for = self.rng.random_range(60_000..90_000);
-                self.end(controller, run_for);
+                let delay_ms = self.rng.random_range(60_000..90_000);
+                self.end(controller, delay_ms);
             }
             15 => self.slow_provisioning = (self.rng.random_range(0..2), until + 30_000),
             16 => self.poll_storm_until = until + 10_000,
@@ -205,19 +205,19 @@
     }
 
     pub(super) fn crash(&mut self, i: usize) {
-        let run_for = [20, 100, 400, 3_000, 3_000][self.rng.random_range(0..5)];
-        self.end(i, run_for);
+        let delay_ms = [20, 100, 400, 3_000, 3_000][self.rng.random_range(0..5)];
+        self.end(i, delay_ms);
     }
 
-    /// Ends a process; it is started again after `run_for`.
-    pub(super) fn end(&mut self, i: usize, run_for: u64) {
+    /// Ends a process; it is started again after `delay_ms`.
+    pub(super) fn end(&mut self, i: usize, delay_ms: u64) {
         self.controllers[i].process = None;
         self.controllers[i].epoch += 1;
         self.controllers[i].freezes_until = 0;
         self.controllers[i].frozen_until = 0;
-        self.faults_over_at = self.faults_over_at.max(self.now + run_for);
+        self.faults_over_at = self.faults_over_at.max(self.now + delay_ms);
         let epoch = self.controllers[i].epoch;
-        self.send(self.now + run_for, i, epoch, Message::Tick);
+        self.send(self.now + delay_ms, i, epoch, Message::Tick);
     }
 
     pub(super) fn heal(&mut self) {
--- a/crates/basaltrail-core/tests/simulation/simulated/users.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/users.rs
@@ -42,15 +42,15 @@
         RequestId(self.next_request)
     }
 
-    /// A user asks a controller, `run_for` from now.
-    fn ask(&mut self, i: usize, controller: usize, what: RequestKind, run_for: u64, alone: bool) {
+    /// A user asks a controller, `delay_ms` from now.
+    fn ask(&mut self, i: usize, controller: usize, what: RequestKind, delay_ms: u64, alone: bool) {
         let t = self.now;
         if self.controllers[controller].process.is_none()
             || t < self.controllers[controller].isolated_until
         {
             return;
         }
-        let (before, until) = (self.users[i].observed, t + run_for + what.patience());
+        let (before, until) = (self.users[i].observed, t + delay_ms + what.patience());
         let req = self.request(Requester::User(i, PendingRequest { until, before, alone }));
         let u = &mut self.users[i];
         u.cancel_requested |= what == RequestKind::Cancel;
@@ -60,7 +60,7 @@
             let copy = what.input(RequestId(0), &self.users[i]);
             self.send(at, controller, 0, Message::Input(copy));
         }
-        let at = t + run_for + self.delay();
+        let at = t + delay_ms + self.delay();
         self.send(at, controller, 0, Message::Input(input));
     }
 
@@ -75,8 +75,8 @@
     fn read_back(&mut self, i: usize) {
         for controller in 0..CONTROLLERS {
             for what in [RequestKind::Poll, RequestKind::Submit, RequestKind::Poll] {
-                let run_for = self.rng.random_range(0..12);
-                self.ask(i, controller, what, run_for, false);
+                let delay_ms = self.rng.random_range(0..12);
+                self.ask(i, controller, what, delay_ms, false);
             }
         }
         if self.users[i].observed == Observed::Accepted && self.rng.random_bool(0.1) {
