--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -132,7 +132,7 @@
             self.writer.complete_jobs.insert(id);
         }
         self.cluster.jobs.insert(id, job);
-        self.scheduler.replica_sizes.note(ctx, &active.spec);
+        self.scheduler.replica_sizes.record(ctx, &active.spec);
         for (machine, change) in self.cluster.changes_before_known(id) {
             self.reconcile(ctx, &machine, change);
         }
--- a/crates/basaltrail-core/src/leader/scheduler/accounting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/accounting.rs
@@ -7,14 +7,14 @@
 use crate::model::JobId;
 use std::collections::HashMap;
 
-/// CPUs that run tasks now.
+/// CPUs of running tasks, by team index and by job.
 struct RunningCpus {
     by_team: Vec<f64>,
     by_job: HashMap<JobId, f64>,
 }
 
-/// Accrues received and fair time (paper, equations 2, 11, 13 and 14) since the last call for
-/// all teams and jobs. Returns the CPUs of all machines whose lease is valid.
+/// Accrues the received and fair time of all teams and jobs since the last call (paper, equations
+/// 2, 11, 13 and 14). Returns the CPUs of all machines with a valid worker lease.
 pub(in crate::leader) fn accrue_shares(
     ctx: &Context,
     cluster: &mut Cluster,
@@ -30,22 +30,23 @@
     }
     for job in cluster.jobs.values_mut().filter(|job| job.ended.is_none()) {
         let unfinished = job.spec.tasks - job.done.count().min(job.spec.tasks);
-        let demand = unfinished as f64 * job.spec.cpus;
-        let quota = Ledger::quota(ctx.cfg, job.team, fleet_cpus);
-        let share = quota / active_jobs[job.team].max(1) as f64;
-        job.account.fair += share.min(demand) * elapsed_s;
+        let demand_cpus = unfinished as f64 * job.spec.cpus;
+        let quota_cpus = Ledger::quota(ctx.cfg, job.team, fleet_cpus);
+        let share_cpus = quota_cpus / active_jobs[job.team].max(1) as f64;
+        job.account.fair += share_cpus.min(demand_cpus) * elapsed_s;
         job.account.received += running.by_job.get(&job.id).copied().unwrap_or(0.0) * elapsed_s;
     }
     fleet_cpus
 }
 
-/// CPUs of all machines whose lease is valid, and what runs there.
+/// Counts the CPUs of all machines with a valid worker lease, and those that run tasks there.
 fn count_cpus(ctx: &Context, cluster: &Cluster) -> (f64, RunningCpus) {
     let mut running =
         RunningCpus { by_team: vec![0.0; ctx.cfg.teams.len()], by_job: HashMap::new() };
     let mut fleet_cpus = 0.0;
-    let up = cluster.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired);
-    for machine in up {
+    let up_machines =
+        cluster.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired);
+    for machine in up_machines {
         if let Some(index) = type_index(ctx.types, &machine.machine_type) {
             fleet_cpus += ctx.types[index].cpus;
         }
--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -1,6 +1,6 @@
-//! Assignment of a job's tasks to machines, within limits of teams and constraints of the job.
+//! Assignment of a job's tasks to machines, within the team's limit and the job's constraints.
 
-use super::bin_packing::{choose, Placement, PlacementRequest, ZoneSpread};
+use super::bin_packing::{choose_placement, Placement, PlacementRequest, ZoneSpread};
 use super::capacity::{FreeCapacity, CPU_TOLERANCE};
 use super::fair_share_order::JobOrder;
 use super::Scheduler;
@@ -14,11 +14,11 @@
 use rand::rngs::SmallRng;
 use std::collections::BTreeSet;
 
-/// Bits of an attempt number below the fencing token: the token is in the high half, so that
-/// no two leaders give the same number.
+/// Bits of the counter in an attempt number. The fencing token takes the bits above it, so that no
+/// two leaders issue the same number.
 const ATTEMPT_COUNTER_BITS: u32 = 32;
 
-/// What the scheduler works with beside its own state.
+/// State of the leader that the scheduler reads and updates, apart from its own.
 pub(in crate::leader) struct SchedulerInputs<'a> {
     /// Settings, machine types and time.
     pub(in crate::leader) ctx: &'a Context<'a>,
@@ -26,17 +26,19 @@
     pub(in crate::leader) cluster: &'a mut Cluster,
     /// Received and fair time of teams.
     pub(in crate::leader) ledger: &'a mut Ledger,
-    /// Jobs whose record has to be read before any of their tasks may start.
+    /// Jobs whose record must be read before any of their tasks may start.
     pub(in crate::leader) unknown_jobs: &'a BTreeSet<JobId>,
-    /// The leader's fencing token.
+    /// Fencing token of the leader.
     pub(in crate::leader) token: FencingToken,
-    /// The mod revision of the leader's record: jobs of a later one were accepted in its term.
+    /// Mod revision of the leader's record under the leader key. Jobs with a later revision were
+    /// accepted in this leader's term.
     pub(in crate::leader) elected_revision: Revision,
-    /// For the sample of machines that is searched.
+    /// Source of randomness for sampling machines.
     pub(in crate::leader) rng: &'a mut SmallRng,
 }
 
-/// What one task of a job takes of its machine, and what stops it.
+/// Returns the resources that one task of a job takes, and the properties on which its preemption
+/// depends.
 pub(in crate::leader) fn task_demand(job: &JobState) -> TaskDemand {
     TaskDemand {
         team: job.team,
@@ -46,8 +48,9 @@
     }
 }
 
-/// Tasks of a job that its team's limit still allows beside what is in use.
-pub(in crate::leader) fn allowed_by_limit(
+/// Returns how many pending tasks of a job its team may start within its limit, given the resources
+/// that the teams use.
+pub(in crate::leader) fn pending_within_limit(
     ctx: &Context,
     cluster: &Cluster,
     id: JobId,
@@ -58,18 +61,20 @@
     team.tasks_within_limit(used[job.team], &job.spec).min(job.pending())
 }
 
-/// Where the tasks of a job may be; nothing is counted unless the job restricts its zones.
+/// Counts the tasks of a job that may be on machines, by zone. The result is empty unless the job
+/// restricts how its tasks spread over zones.
 pub(in crate::leader) fn zone_spread(cluster: &Cluster, id: JobId) -> ZoneSpread {
     let mut spread = ZoneSpread::default();
-    let restricted = cluster.jobs.get(&id).is_some_and(|job| job.spec.one_zone || job.spec.spread);
-    if !restricted {
+    let is_restricted =
+        cluster.jobs.get(&id).is_some_and(|job| job.spec.one_zone || job.spec.spread);
+    if !is_restricted {
         return spread;
     }
     for machine in cluster.machines.values() {
-        let of_job = |((task, _), slot): &(&(TaskId, Attempt), &TaskSlot)| {
+        let is_of_job = |((task, _), slot): &(&(TaskId, Attempt), &TaskSlot)| {
             task.job == id && slot.holds_resources()
         };
-        let tasks = machine.slots.iter().filter(of_job).count();
+        let tasks = machine.slots.iter().filter(is_of_job).count();
         if tasks > 0 {
             spread.add(&machine.zone, tasks as u32);
         }
@@ -77,20 +82,20 @@
     spread
 }
 
-/// Assigns tasks to machines with free capacity and keeps account of what is left.
+/// Assigns tasks to machines, and keeps track of free capacity and usage as it does.
 pub(in crate::leader) struct Assigner<'a> {
-    /// The scheduler's state.
+    /// State of the scheduler.
     pub(in crate::leader) scheduler: &'a mut Scheduler,
-    /// The rest of what it works with.
+    /// State of the other parts of the leader.
     pub(in crate::leader) inputs: SchedulerInputs<'a>,
     /// Machines with free capacity.
     pub(in crate::leader) free: Vec<FreeCapacity>,
-    /// What each team may have in use, by team index.
+    /// Upper bound of the resources that each team uses, by team index.
     pub(in crate::leader) used: Vec<Resources>,
 }
 
 impl Assigner<'_> {
-    /// The order of jobs as of now.
+    /// Returns the order of jobs by the present state.
     pub(in crate::leader) fn order(&self) -> JobOrder<'_> {
         JobOrder {
             ctx: self.inputs.ctx,
@@ -101,28 +106,29 @@
         }
     }
 
-    /// Whether a job has tasks that wait.
+    /// Returns whether a job has pending tasks.
     pub(in crate::leader) fn has_pending(&self, id: JobId) -> bool {
         self.inputs.cluster.jobs.get(&id).is_some_and(|job| job.pending() > 0)
     }
 
-    /// Tasks of a job that its team's limit still allows.
-    pub(in crate::leader) fn allowed_by_limit(&self, id: JobId) -> u32 {
-        allowed_by_limit(self.inputs.ctx, self.inputs.cluster, id, &self.used)
+    /// Returns how many pending tasks of a job its team may start within its limit.
+    pub(in crate::leader) fn pending_within_limit(&self, id: JobId) -> u32 {
+        pending_within_limit(self.inputs.ctx, self.inputs.cluster, id, &self.used)
     }
 
-    /// Whether nothing of a job is placed and its team's limit leaves no capacity for a task of
-    /// it. Narrow tasks of later jobs would take what becomes free of the limit, bit by bit, and
-    /// a wide one would never find enough at once. A job that has tasks running takes what its
-    /// own leave: what is too little for it is the others'.
-    pub(in crate::leader) fn blocked_by_limit(&self, id: JobId) -> bool {
+    /// Returns whether no task of a job is placed and its team's limit leaves too little for one.
+    ///
+    /// Other jobs of the team must then wait: their smaller tasks would take the released parts of
+    /// the limit one by one, and a large task would never fit. A job with placed tasks reuses the
+    /// part of the limit that its own tasks release, so other jobs may use the rest.
+    pub(in crate::leader) fn is_blocked_by_limit(&self, id: JobId) -> bool {
         let job = self.inputs.cluster.jobs.get(&id);
-        self.allowed_by_limit(id) == 0 && job.is_some_and(|job| job.placed.is_empty())
+        self.pending_within_limit(id) == 0 && job.is_some_and(|job| job.placed.is_empty())
     }
 
-    /// Keeps the machine with the most free CPUs that the job may use from others in this cycle,
-    /// so that enough for one of its tasks becomes free there. What the task takes counts
-    /// against its team.
+    /// Reserves the machine with the most free CPUs that the job may use, and returns it. Other
+    /// jobs get no capacity there in this cycle, so that enough becomes free for one task of the
+    /// job. The demand of that task counts as used by the job's team.
     pub(in crate::leader) fn reserve_machine(&mut self, id: JobId) -> Option<MachineId> {
         let job = self.inputs.cluster.jobs.get(&id)?;
         let types = self.inputs.ctx.types;
@@ -133,10 +139,10 @@
         best.map(|index| self.free.swap_remove(index).machine)
     }
 
-    /// Assigns up to `most` tasks of a job to one machine and notes them in the ledger (paper,
-    /// algorithm 1, lines 10 to 15); false if nothing fits.
-    pub(in crate::leader) fn assign(&mut self, id: JobId, most: u32) -> bool {
-        let assigned = self.assign_to_one_machine(id, most);
+    /// Assigns up to `max_tasks` tasks of a job to one machine and records the granted CPU time in
+    /// the ledger (paper, algorithm 1, lines 10 to 15). Returns false if no task was assigned.
+    pub(in crate::leader) fn assign(&mut self, id: JobId, max_tasks: u32) -> bool {
+        let assigned = self.assign_to_one_machine(id, max_tasks);
         let SchedulerInputs { ctx, cluster, ledger, .. } = &mut self.inputs;
         let Some(job) = cluster.jobs.get_mut(&id).filter(|_| assigned > 0) else { return false };
         let granted_cpu_s = assigned as f64 * job.spec.cpus * ctx.cfg.policy.lease_term_s;
@@ -146,39 +152,40 @@
         true
     }
 
-    /// Assigns as many tasks as it can, one machine after the other.
+    /// Assigns as many tasks of a job as possible, one machine after another.
     pub(in crate::leader) fn assign_all(&mut self, id: JobId) {
         while self.has_pending(id) && self.assign(id, u32::MAX) {}
     }
 
-    /// Assigns up to `most` tasks of a job to the best machine; returns how many.
-    fn assign_to_one_machine(&mut self, id: JobId, most: u32) -> u32 {
-        let allowed = self.allowed_by_limit(id).min(most);
+    /// Assigns up to `max_tasks` tasks of a job to the best machine. Returns the number assigned.
+    fn assign_to_one_machine(&mut self, id: JobId, max_tasks: u32) -> u32 {
+        let allowed = self.pending_within_limit(id).min(max_tasks);
         if allowed == 0 {
             return 0;
         }
         let Some(placement) = self.choose_machine(id, allowed) else { return 0 };
-        self.fill_slots(id, placement)
+        self.place_tasks(id, placement)
     }
 
-    /// The machine that takes up to so many tasks of a job.
+    /// Returns the best machine for up to `allowed` tasks of a job, and how many it takes.
     fn choose_machine(&mut self, id: JobId, allowed: u32) -> Option<Placement> {
         let SchedulerInputs { ctx, cluster, rng, .. } = &mut self.inputs;
         let spread = zone_spread(cluster, id);
         let job = cluster.jobs.get(&id)?;
-        let service = job.spec.is_service();
-        let tasks = allowed.min(job.allowed_starts()).min(if service { 1 } else { u32::MAX });
+        let is_service = job.spec.is_service();
+        let tasks = allowed.min(job.allowed_starts()).min(if is_service { 1 } else { u32::MAX });
         let has_image = |machine: &MachineId| {
             cluster.machines.get(machine).is_some_and(|m| m.has_image(&job.spec.image))
         };
         let avoid = |machine: &MachineId| job.health.avoids(machine, ctx.now);
-        // Replicas run on different machines where there are any: a lost machine takes one.
-        let with_replica: BTreeSet<&MachineId> = match service {
+        // Prefers separate machines for replicas, so that a lost machine takes only one of them.
+        let machines_with_replica: BTreeSet<&MachineId> = match is_service {
             true => job.placed.values().map(|(machine, _)| machine).collect(),
             false => BTreeSet::new(),
         };
-        let avoid_replicas = |machine: &MachineId| avoid(machine) || with_replica.contains(machine);
-        let apart = PlacementRequest {
+        let avoid_replicas =
+            |machine: &MachineId| avoid(machine) || machines_with_replica.contains(machine);
+        let separate = PlacementRequest {
             job: &job.spec,
             spread: &spread,
             tasks,
@@ -186,16 +193,16 @@
             has_image: &has_image,
         };
         let sample = ctx.cfg.policy.sample;
-        let placement = choose(&self.free, ctx.types, &apart, sample, rng);
-        if placement.is_some() || with_replica.is_empty() {
+        let placement = choose_placement(&self.free, ctx.types, &separate, sample, rng);
+        if placement.is_some() || machines_with_replica.is_empty() {
             return placement;
         }
-        let beside = PlacementRequest { avoid: &avoid, ..apart };
-        choose(&self.free, ctx.types, &beside, sample, rng)
+        let shared = PlacementRequest { avoid: &avoid, ..separate };
+        choose_placement(&self.free, ctx.types, &shared, sample, rng)
     }
 
-    /// Puts tasks of a job on a machine; returns how many.
-    fn fill_slots(&mut self, id: JobId, placement: Placement) -> u32 {
+    /// Places tasks of a job on a machine. Returns the number of placed tasks.
+    fn place_tasks(&mut self, id: JobId, placement: Placement) -> u32 {
         let SchedulerInputs { ctx, cluster, token, .. } = &mut self.inputs;
         let capacity = &mut self.free[placement.index];
         let Some(job) = cluster.jobs.get_mut(&id) else { return 0 };
@@ -204,8 +211,8 @@
         let mut placed = 0;
         while placed < placement.tasks {
             let Some(index) = job.next_pending() else { break };
-            let Some(counter) = self.scheduler.attempts.checked_add(1) else { break };
-            self.scheduler.attempts = counter;
+            let Some(counter) = self.scheduler.attempt_counter.checked_add(1) else { break };
+            self.scheduler.attempt_counter = counter;
             let attempt = Attempt((token.0 << ATTEMPT_COUNTER_BITS) | u64::from(counter));
             job.placed.insert(index, (machine.id.clone(), attempt));
             let slot = assigned_slot(ctx, demand, !job.started);
@@ -213,12 +220,12 @@
             placed += 1;
         }
         if job.spec.is_service() && job.health.is_crash_looping() {
-            // The next attempt waits for the outcome of this one.
+            // Delays the next attempt until the outcome of this one is known.
             job.health.back_off(ctx.now + ctx.cfg.lease_ms);
         }
         machine.idle_since = None;
         self.used[job.team] += Resources::of_task(&job.spec) * placed as f64;
-        capacity.take(&job.spec, placed);
+        capacity.deduct_tasks(&job.spec, placed);
         if capacity.free.cpus <= CPU_TOLERANCE {
             self.free.swap_remove(placement.index);
         }
@@ -226,7 +233,7 @@
     }
 }
 
-/// The slot of a task that was assigned and not sent yet.
+/// Returns the slot of a task whose start has not been sent yet.
 fn assigned_slot(ctx: &Context, demand: TaskDemand, first_of_job: bool) -> TaskSlot {
     TaskSlot {
         phase: TaskPhase::Assigned,
--- a/crates/basaltrail-core/src/leader/scheduler/backfill.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/backfill.rs
@@ -1,8 +1,8 @@
 //! Backfill of a machine whose heartbeat is being answered.
 //!
-//! Its free capacity is given to jobs in the order of the last cycle, so that the response
-//! carries the starts. Were they left to the next cycle, they would go out with the response to
-//! the next heartbeat, and the capacity would be idle until then.
+//! Its free capacity is assigned to jobs in the order of the last cycle, so that the response to
+//! the heartbeat carries the starts. Tasks assigned by the next cycle would only start with the
+//! response to the next heartbeat, and the capacity would be idle until then.
 
 use super::assignment::{Assigner, SchedulerInputs};
 use super::capacity::{FreeCapacity, CPU_TOLERANCE};
@@ -12,7 +12,7 @@
 use crate::model::{JobId, MachineId};
 
 impl Scheduler {
-    /// Assigns tasks to one machine by the order of the last cycle.
+    /// Assigns tasks to one machine in the order of the last cycle.
     pub(in crate::leader) fn backfill(&mut self, inputs: SchedulerInputs, machine: &MachineId) {
         let ctx = inputs.ctx;
         let capacity = inputs
@@ -33,21 +33,23 @@
     }
 }
 
+/// A backfill in progress.
 struct Backfill<'a> {
-    /// With one machine, or none once it is full.
+    /// Assigner with one machine, or with none once the machine is full.
     assigner: Assigner<'a>,
 }
 
 impl Backfill<'_> {
+    /// Assigns tasks to `machine` in the same order as a cycle.
     fn run(&mut self, snapshot: &mut CycleSnapshot, machine: &MachineId) {
         for id in &snapshot.high_priority_services {
             self.assign(*id, u32::MAX);
         }
         if let Some(capacity) = self.assigner.free.first_mut() {
-            snapshot.reserved_capacity.withhold(self.assigner.inputs.ctx.types, capacity);
+            snapshot.reserved_capacity.deduct_reserved(self.assigner.inputs.ctx.types, capacity);
         }
         self.assigner.free.retain(|capacity| capacity.free.cpus > CPU_TOLERANCE);
-        for id in &snapshot.one_task_first {
+        for id in &snapshot.expedited_jobs {
             self.assign(*id, 1);
         }
         if snapshot.reserved_machine.as_ref() == Some(machine) {
@@ -61,14 +63,14 @@
         self.assign_by_fair_share(&snapshot.waiting);
     }
 
-    /// Assigns tasks of a job of the last cycle, if they may still be started.
-    fn assign(&mut self, id: JobId, most: u32) {
+    /// Assigns up to `max_tasks` tasks of a job of the last cycle if they may still be started.
+    fn assign(&mut self, id: JobId, max_tasks: u32) {
         if self.may_start(id) {
-            self.assigner.assign(id, most);
+            self.assigner.assign(id, max_tasks);
         }
     }
 
-    /// Whether tasks of a job of the last cycle may still be started.
+    /// Returns whether tasks of a job of the last cycle may still be started.
     fn may_start(&self, id: JobId) -> bool {
         let inputs = &self.assigner.inputs;
         let job = inputs.cluster.jobs.get(&id);
@@ -76,34 +78,37 @@
             && !inputs.unknown_jobs.contains(&id)
     }
 
-    /// Looks at a bounded number of jobs, since it runs with every heartbeat.
+    /// Assigns the remaining capacity by fair share. The number of jobs that are tried is bounded,
+    /// since backfill runs on every heartbeat.
     fn assign_by_fair_share(&mut self, waiting: &[Vec<JobId>]) {
-        let mut next = vec![0; waiting.len()];
+        let mut positions = vec![0; waiting.len()];
         for _ in 0..self.assigner.inputs.ctx.cfg.policy.sample {
             if self.assigner.free.is_empty() {
                 break;
             }
-            self.skip_unstartable(waiting, &mut next);
-            let positions = waiting.iter().zip(&next).enumerate();
-            let heads = positions.filter_map(|(team, (jobs, position))| {
+            self.skip_unstartable(waiting, &mut positions);
+            let teams = waiting.iter().zip(&positions).enumerate();
+            let heads = teams.filter_map(|(team, (jobs, position))| {
                 jobs.get(*position).map(|job| TeamHead { team, job: *job })
             });
-            let Some(head) = self.assigner.order().next(heads, &self.assigner.used) else { break };
+            let Some(head) = self.assigner.order().select_next(heads, &self.assigner.used) else {
+                break;
+            };
             if self.assigner.assign(head.job, u32::MAX) {
                 continue;
             }
-            next[head.team] += 1;
-            if self.assigner.blocked_by_limit(head.job) {
-                next[head.team] = usize::MAX;
+            positions[head.team] += 1;
+            if self.assigner.is_blocked_by_limit(head.job) {
+                positions[head.team] = usize::MAX;
             }
         }
     }
 
     /// Moves the position of each team to its next job that may still be started.
-    fn skip_unstartable(&self, waiting: &[Vec<JobId>], next: &mut [usize]) {
+    fn skip_unstartable(&self, waiting: &[Vec<JobId>], positions: &mut [usize]) {
         for (team, jobs) in waiting.iter().enumerate() {
-            while jobs.get(next[team]).is_some_and(|id| !self.may_start(*id)) {
-                next[team] += 1;
+            while jobs.get(positions[team]).is_some_and(|id| !self.may_start(*id)) {
+                positions[team] += 1;
             }
         }
     }
--- a/crates/basaltrail-core/src/leader/scheduler/bin_packing.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/bin_packing.rs
@@ -1,44 +1,46 @@
-//! Which machine a job's tasks go to: as few machines as possible (paper, section 5.1.2), those
-//! that have the image first, and cheap ones before expensive ones.
+//! Bin packing of a job's tasks: prefers few machines (paper, section 5.1.2), machines that have
+//! the image, and cheap machines.
 
 use super::capacity::FreeCapacity;
 use crate::model::{JobSpec, MachineId, MachineType};
 use rand::seq::IndexedRandom;
 use rand::Rng;
 
-/// What a task scores more on a machine that has its image, in tasks.
+/// Score bonus per task on a machine that has the job's image, where each task scores 1.
 const IMAGE_BONUS: f64 = 0.5;
-/// What a replica scores less on a spot machine, in tasks: a reclaimed machine takes a replica.
+/// Score penalty per replica on a spot machine, which loses the replica when it is reclaimed.
 const SPOT_REPLICA_PENALTY: f64 = 4.0;
-/// What a task that cannot save scores less on a spot machine, in tasks: a reclaimed machine
-/// loses the whole run.
-const SPOT_UNSAVED_PENALTY: f64 = 0.2;
+/// Score penalty per task that cannot save on a spot machine, which loses all progress of the task
+/// when it is reclaimed.
+const SPOT_UNSAVABLE_PENALTY: f64 = 0.2;
 
-/// Where the tasks of a job are, for the constraints that depend on it.
+/// The number of tasks of a job in each zone, for the constraints on their spread.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneSpread {
-    /// Tasks by zone that may be on machines now.
+    /// Zones with the number of tasks that may be on machines there.
     pub zones: Vec<(String, u32)>,
 }
 
 impl ZoneSpread {
-    /// How many more tasks of the job may start in a zone (PROTOCOL, `POST /api/jobs`).
-    pub fn allowed_in(&self, job: &JobSpec, zone: &str) -> u32 {
+    /// Returns how many more tasks of the job may start in a zone (PROTOCOL, `POST /api/jobs`).
+    pub fn tasks_allowed_in(&self, job: &JobSpec, zone: &str) -> u32 {
         if job.zone.as_deref().is_some_and(|allowed| allowed != zone) {
             return 0;
         }
-        let elsewhere = self.zones.iter().any(|(other, tasks)| other != zone && *tasks > 0);
-        if job.one_zone && elsewhere {
+        let has_tasks_elsewhere =
+            self.zones.iter().any(|(other, tasks)| other != zone && *tasks > 0);
+        if job.one_zone && has_tasks_elsewhere {
             return 0;
         }
         if !job.spread {
             return u32::MAX;
         }
-        let here = self.zones.iter().find(|(other, _)| other == zone).map_or(0, |(_, n)| *n);
-        job.tasks.div_ceil(2).saturating_sub(here)
+        let tasks_here =
+            self.zones.iter().find(|(other, _)| other == zone).map_or(0, |(_, tasks)| *tasks);
+        job.tasks.div_ceil(2).saturating_sub(tasks_here)
     }
 
-    /// Counts tasks in a zone.
+    /// Adds tasks in a zone.
     pub fn add(&mut self, zone: &str, tasks: u32) {
         match self.zones.iter_mut().find(|(other, _)| other == zone) {
             Some((_, counted)) => *counted += tasks,
@@ -47,32 +49,32 @@
     }
 }
 
-/// What is asked of the bin packing: a machine for some tasks of one job.
+/// A request for a machine for tasks of one job.
 pub struct PlacementRequest<'a> {
     /// The job.
     pub job: &'a JobSpec,
-    /// Where its tasks are.
+    /// Number of its tasks in each zone.
     pub spread: &'a ZoneSpread,
-    /// Tasks to be placed at the most.
+    /// Maximum number of tasks to place.
     pub tasks: u32,
-    /// Machines that it may not use now.
+    /// Predicate for machines that the job must not use now.
     pub avoid: &'a dyn Fn(&MachineId) -> bool,
-    /// Machines that have its image.
+    /// Predicate for machines that have the job's image.
     pub has_image: &'a dyn Fn(&MachineId) -> bool,
 }
 
-/// A machine that was chosen.
+/// The machine chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// The machine's position among the free capacities.
+    /// Index of the machine among the free capacities.
     pub index: usize,
-    /// How many tasks it takes.
+    /// Number of tasks to place there.
     pub tasks: u32,
 }
 
-/// The machine with the best score for a request. With more than `sample` machines, a sample of
-/// that size is searched first, and all only if none of it fits.
-pub fn choose<R: Rng>(
+/// Returns the placement with the highest score for a request. Of more than `sample` machines, only
+/// a random sample of that size is evaluated, unless no machine of the sample fits.
+pub fn choose_placement<R: Rng>(
     free: &[FreeCapacity],
     types: &[MachineType],
     request: &PlacementRequest,
@@ -87,15 +89,15 @@
     };
     if free.len() > sample {
         let all: Vec<usize> = (0..free.len()).collect();
-        let mut some = all.choose_multiple(rng, sample).copied();
-        if let Some(placement) = best(&mut some) {
+        let mut sampled = all.choose_multiple(rng, sample).copied();
+        if let Some(placement) = best(&mut sampled) {
             return Some(placement);
         }
     }
     best(&mut (0..free.len()))
 }
 
-/// The score of a machine and what it takes; nothing if it may or can take no task.
+/// Returns the score of a machine and the placement there, or `None` if no task can be placed.
 fn evaluate(
     capacity: &FreeCapacity,
     index: usize,
@@ -107,9 +109,9 @@
         return None;
     }
     let tasks = capacity
-        .fits(request.job)
+        .fitting_tasks(request.job)
         .min(request.tasks)
-        .min(request.spread.allowed_in(request.job, &capacity.zone));
+        .min(request.spread.tasks_allowed_in(request.job, &capacity.zone));
     if tasks == 0 || (request.avoid)(&capacity.machine) {
         return None;
     }
@@ -117,8 +119,8 @@
     Some((score, Placement { index, tasks }))
 }
 
-/// How well so many tasks go to a machine: the more of them and the less is left free, the
-/// better.
+/// Returns the score of placing `tasks` tasks on a machine. It rises with the number of tasks, and
+/// falls with the part of the machine that remains free.
 fn score(
     capacity: &FreeCapacity,
     machine_type: &MachineType,
@@ -126,7 +128,7 @@
     tasks: u32,
 ) -> f64 {
     let job = request.job;
-    let left_cpus = capacity.free.cpus - job.cpus * tasks as f64;
+    let remaining_cpus = capacity.free.cpus - job.cpus * tasks as f64;
     let mut score = tasks as f64;
     if (request.has_image)(&capacity.machine) {
         score += IMAGE_BONUS * tasks as f64;
@@ -134,12 +136,12 @@
     if job.is_service() && capacity.spot {
         score -= SPOT_REPLICA_PENALTY * tasks as f64;
     } else if job.checkpoint_s > 0.0 {
-        // The cheaper machine first: the expensive one becomes idle and is scaled in.
+        // Prefers cheap machines, so that expensive ones become idle and are scaled in.
         let price = if capacity.spot { machine_type.spot_price } else { machine_type.price };
         let lowest = machine_type.spot_price.min(machine_type.price);
         score *= lowest.max(1e-9) / price.max(1e-9);
     } else if capacity.spot {
-        score -= SPOT_UNSAVED_PENALTY * tasks as f64;
+        score -= SPOT_UNSAVABLE_PENALTY * tasks as f64;
     }
-    score - left_cpus / machine_type.cpus.max(1e-9)
+    score - remaining_cpus / machine_type.cpus.max(1e-9)
 }
--- a/crates/basaltrail-core/src/leader/scheduler/capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/capacity.rs
@@ -1,4 +1,4 @@
-//! What machines have left for new tasks, and what teams use of the cluster.
+//! Free capacity of machines, and resource usage of teams.
 
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
@@ -7,30 +7,30 @@
 use crate::resources::Resources;
 use std::collections::BTreeSet;
 
-/// CPUs up to which an amount counts as none: sums of floating-point numbers leave such
+/// CPUs up to which an amount counts as zero, since sums of floating-point numbers leave small
 /// remainders.
 pub(in crate::leader) const CPU_TOLERANCE: f64 = 1e-9;
 
-/// Heartbeat intervals after the last heartbeat for which a machine is given new tasks.
-const HEARD_INTERVALS: u64 = 2;
+/// Maximum age of the last heartbeat of a machine that gets new tasks, in heartbeat intervals.
+const MAX_HEARTBEAT_AGE_INTERVALS: u64 = 2;
 
-/// A machine with free capacity, as a scheduling cycle sees it.
+/// The free capacity of a machine.
 #[derive(Clone, Debug)]
 pub struct FreeCapacity {
     /// The machine.
     pub machine: MachineId,
-    /// The position of its type among the known machine types.
+    /// Index of its type among the known machine types.
     pub type_index: usize,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// What no task of it takes.
+    /// Resources that no task takes.
     pub free: Resources,
 }
 
 impl FreeCapacity {
-    /// What is free on a machine; nothing if it takes no new tasks or is full.
+    /// Returns the free capacity of a machine, or `None` if it accepts no tasks or is full.
     pub(in crate::leader) fn of_machine(ctx: &Context, machine: &Machine) -> Option<Self> {
         let type_index =
             type_index(ctx.types, &machine.machine_type).filter(|_| accepts_tasks(ctx, machine))?;
@@ -44,17 +44,18 @@
         })
     }
 
-    /// How many tasks of a job the free resources hold.
-    pub fn fits(&self, job: &JobSpec) -> u32 {
+    /// Returns how many tasks of a job fit into the free resources.
+    pub fn fitting_tasks(&self, job: &JobSpec) -> u32 {
         self.free.fits(&Resources::of_task(job))
     }
 
-    /// Takes the resources of so many tasks of a job.
-    pub fn take(&mut self, job: &JobSpec, tasks: u32) {
+    /// Deducts the resources of `tasks` tasks of a job.
+    pub fn deduct_tasks(&mut self, job: &JobSpec, tasks: u32) {
         self.free -= Resources::of_task(job) * tasks as f64;
     }
 
-    /// Whether the job's own constraints permit its tasks here (PROTOCOL, `POST /api/jobs`).
+    /// Returns whether the job's own constraints permit its tasks on this machine (PROTOCOL,
+    /// `POST /api/jobs`).
     pub(in crate::leader) fn permitted_by(&self, job: &JobSpec, types: &[MachineType]) -> bool {
         (job.spot || !self.spot)
             && job.zone.as_deref().is_none_or(|zone| zone == self.zone)
@@ -62,12 +63,12 @@
     }
 }
 
-/// The position of a machine type among the known ones.
+/// Returns the index of a machine type among the known ones.
 pub(in crate::leader) fn type_index(types: &[MachineType], name: &str) -> Option<usize> {
     types.iter().position(|machine_type| machine_type.name == name)
 }
 
-/// The machine type of this name, if it is known.
+/// Returns the machine type of this name, if it is known.
 pub(in crate::leader) fn machine_type<'a>(
     types: &'a [MachineType],
     name: &str,
@@ -75,7 +76,7 @@
     types.iter().find(|machine_type| machine_type.name == name)
 }
 
-/// Whether a machine may be given new tasks now.
+/// Returns whether new tasks may be assigned to a machine now.
 pub(in crate::leader) fn accepts_tasks(ctx: &Context, machine: &Machine) -> bool {
     machine.reconciled
         && machine.receives_answers
@@ -86,22 +87,22 @@
         && !machine.has_reclaim_notice(ctx.now)
         && !machine.is_quarantined(ctx.now, ctx.cfg.lease_ms)
         && ctx.now >= machine.no_room_until
-        && machine
-            .last_heartbeat
-            .is_some_and(|at| ctx.now <= at + ctx.cfg.heartbeat_interval_ms * HEARD_INTERVALS)
+        && machine.last_heartbeat.is_some_and(|at| {
+            ctx.now <= at + ctx.cfg.heartbeat_interval_ms * MAX_HEARTBEAT_AGE_INTERVALS
+        })
 }
 
-/// What each team may have in use anywhere, by team index. It never counts too little: the
-/// limits of teams hold whatever unreconciled machines run.
+/// Returns an upper bound of the resources that each team uses, by team index. With an upper bound,
+/// team limits hold whatever tasks unreconciled machines run.
 pub(in crate::leader) fn team_usage(ctx: &Context, cluster: &Cluster) -> Vec<Resources> {
     let mut used = vec![Resources::default(); ctx.cfg.teams.len()];
     for machine in cluster.machines.values() {
-        let holds_unknown = |machine: &Machine| {
+        let has_unknown_demand = |machine: &Machine| {
             machine.slots.values().any(|slot| slot.holds_resources() && slot.demand.is_none())
         };
-        if !machine.reconciled || holds_unknown(machine) {
-            // An earlier leader's tasks of any team may fill it.
-            let whole = whole_machine(ctx.types, &machine.machine_type);
+        if !machine.reconciled || has_unknown_demand(machine) {
+            // An earlier leader's tasks of any team may fill the machine.
+            let whole = machine_resources(ctx.types, &machine.machine_type);
             used.iter_mut().for_each(|used| *used += whole);
             continue;
         }
@@ -114,16 +115,16 @@
     used
 }
 
-/// All that a machine of this type may hold; without bound if the type is not known.
-fn whole_machine(types: &[MachineType], name: &str) -> Resources {
+/// Returns the resources of an empty machine of this type; infinite if the type is not known.
+fn machine_resources(types: &[MachineType], name: &str) -> Resources {
     type_index(types, name).map_or(
         Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory_gb: f64::INFINITY },
         |index| Resources::of_machine_type(&types[index]),
     )
 }
 
-/// Kinds of the machines on which tasks of earlier leaders may run that no heartbeat has shown
-/// to this leader yet.
+/// Returns the kinds of the unreconciled machines, on which tasks of earlier leaders may run that
+/// no heartbeat has reported to this leader yet.
 pub(in crate::leader) fn unreconciled_kinds(cluster: &Cluster) -> BTreeSet<MachineKind> {
     cluster.machines.values().filter(|machine| !machine.reconciled).map(Machine::kind).collect()
 }
--- a/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
@@ -1,7 +1,7 @@
-//! Classes of a team that get less than their least share, and the tasks that make up for it.
+//! The least share of each job class in its team's usage.
 //!
-//! Within a team the order goes by priority first: a class of low priority would wait for as
-//! long as more of the others is submitted than the team can run. The policy file may set a
+//! A team's jobs are ordered by priority first, so a class of low priority could wait for as long
+//! as more jobs of other classes are submitted than the team can run. The policy file may set a
 //! least share (`class-least`).
 
 use super::capacity::CPU_TOLERANCE;
@@ -11,14 +11,14 @@
 use crate::model::JobId;
 use std::collections::{BTreeMap, HashMap};
 
-/// CPUs in use by team and class.
+/// CPUs in use, by team and class.
 struct ClassUsage<'a> {
     by_class: HashMap<(usize, &'a str), f64>,
     by_team: Vec<f64>,
 }
 
 impl<'a> ClassUsage<'a> {
-    fn of(ctx: &Context, cluster: &'a Cluster) -> Self {
+    fn collect(ctx: &Context, cluster: &'a Cluster) -> Self {
         let mut usage =
             ClassUsage { by_class: HashMap::new(), by_team: vec![0.0; ctx.cfg.teams.len()] };
         for machine in cluster.machines.values() {
@@ -34,28 +34,29 @@
         usage
     }
 
-    /// CPUs that a class lacks of its least share of what its team uses.
-    fn deficit(&self, team: usize, class: &str, least_share: f64) -> f64 {
+    /// Returns by how many CPUs a class is below its least share of its team's usage; negative if
+    /// it is above.
+    fn deficit_cpus(&self, team: usize, class: &str, least_share: f64) -> f64 {
         let used = self.by_class.get(&(team, class)).copied().unwrap_or(0.0);
         self.by_team[team] * least_share - used
     }
 }
 
-/// Of each class of these waiting jobs that lacks some of its least share: the job that was
-/// submitted first, and how many of its tasks make up for it.
+/// Returns the oldest waiting job of each class that is below its least share, and the number of
+/// its tasks that make up the deficit. `waiting` holds the waiting jobs by team.
 pub(in crate::leader) fn underserved_classes(
     ctx: &Context,
     cluster: &Cluster,
     waiting: &[Vec<JobId>],
 ) -> Vec<(JobId, u32)> {
     let Some(policy) = &ctx.cfg.policy.admission else { return Vec::new() };
-    let usage = ClassUsage::of(ctx, cluster);
+    let usage = ClassUsage::collect(ctx, cluster);
     let mut underserved = Vec::new();
     for (team, jobs) in waiting.iter().enumerate() {
         for (class, job) in oldest_by_class(cluster, jobs) {
-            let deficit = usage.deficit(team, class, policy.class_least);
-            if deficit > CPU_TOLERANCE {
-                let tasks = (deficit / job.spec.cpus.max(1e-9)).ceil().max(1.0) as u32;
+            let deficit_cpus = usage.deficit_cpus(team, class, policy.class_least);
+            if deficit_cpus > CPU_TOLERANCE {
+                let tasks = (deficit_cpus / job.spec.cpus.max(1e-9)).ceil().max(1.0) as u32;
                 underserved.push((job.id, tasks));
             }
         }
@@ -63,6 +64,7 @@
     underserved
 }
 
+/// Returns the job that was accepted first, by class.
 fn oldest_by_class<'a>(cluster: &'a Cluster, jobs: &[JobId]) -> BTreeMap<&'a str, &'a JobState> {
     let mut by_class: BTreeMap<&str, &JobState> = BTreeMap::new();
     for job in jobs.iter().filter_map(|id| cluster.jobs.get(id)) {
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -1,15 +1,15 @@
-//! A scheduling cycle over all machines: which job gets capacity, in which order.
+//! The scheduling cycle: assigns the free capacity of all machines to waiting jobs.
 
 use super::assignment::{Assigner, SchedulerInputs};
 use super::capacity::{team_usage, FreeCapacity};
 use super::class_shares::underserved_classes;
-use super::deadline_feasibility::find_feasible;
+use super::deadline_feasibility::find_feasible_slacks;
 use super::fair_share_order::TeamHead;
-use super::guarantees::TeamNeed;
+use super::guarantees::TeamDemand;
 use super::reserved_capacity::{reserve_capacity, ReservedCapacity};
 use super::services::is_high_priority_service;
-use super::starvation::starved_jobs;
-use super::waiting::Waiting;
+use super::starvation::find_starved_jobs;
+use super::waiting::WaitingJobs;
 use super::{accounting, Scheduler};
 use crate::jobs::JobState;
 use crate::leader::cluster::Cluster;
@@ -17,47 +17,48 @@
 use crate::model::{JobId, MachineId, Ms, WallMs};
 use crate::resources::Resources;
 
-/// The least time between two cycles, as a part of the heartbeat interval: that many cycles fit
-/// into it.
-const CYCLES_PER_HEARTBEAT: Ms = 20;
-/// Workers' leases that a job waits for its first task before it goes before the order.
-const NEVER_STARTED_LEASES: WallMs = 9;
+/// Maximum number of cycles per heartbeat interval.
+const MAX_CYCLES_PER_HEARTBEAT: Ms = 20;
+/// Time that a job waits for its first task before it gets one ahead of the fair-share order, in
+/// worker leases.
+const FIRST_TASK_WAIT_LEASES: WallMs = 9;
 
-/// What a cycle found, for the machines whose heartbeats come before the next one.
+/// Results of a cycle, used to backfill machines until the next cycle.
 #[derive(Default)]
 pub(in crate::leader) struct CycleSnapshot {
-    /// Jobs with tasks that wait, by team and in order; those that got capacity since are still
-    /// among them.
+    /// Jobs with waiting tasks, by team and in order. Jobs whose tasks have all been assigned since
+    /// then are still included.
     pub(super) waiting: Vec<Vec<JobId>>,
-    /// What each team may have in use. What has ended since still counts.
+    /// Upper bound of the resources that each team uses, by team index. Tasks that ended after the
+    /// cycle still count.
     pub(super) used: Vec<Resources>,
-    /// Jobs of which one task goes before the order: those that waited long for their first one,
-    /// those of underserved classes, and those in a crash loop.
-    pub(super) one_task_first: Vec<JobId>,
-    /// The machine that is kept for the job that waited longest for its first task.
+    /// Jobs that get one task ahead of the fair-share order: those that have waited long for their
+    /// first task, those of underserved classes, and those in a crash loop.
+    pub(super) expedited_jobs: Vec<JobId>,
+    /// Machine reserved for the job that has waited longest for its first task.
     pub(super) reserved_machine: Option<MachineId>,
-    /// Services that go before the order.
+    /// Services that get capacity ahead of the fair-share order.
     pub(super) high_priority_services: Vec<JobId>,
-    /// The capacity that is reserved for more of them.
+    /// Capacity reserved for further high-priority services.
     pub(super) reserved_capacity: ReservedCapacity,
 }
 
-/// What a cycle did beside assigning tasks.
+/// Effects of a cycle other than assignments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(in crate::leader) struct CycleOutcome {
-    /// Tasks that were ordered to stop for others.
-    pub(in crate::leader) preempted: usize,
+    /// Number of preempted tasks.
+    pub(in crate::leader) preempted_tasks: usize,
 }
 
 impl Scheduler {
-    /// Runs a scheduling cycle, unless the last one was just now.
+    /// Runs a scheduling cycle if the minimum interval since the last one has passed.
     pub(in crate::leader) fn schedule(&mut self, inputs: SchedulerInputs) -> CycleOutcome {
         let ctx = inputs.ctx;
-        if ctx.now < self.next_cycle_at || ctx.types.is_empty() {
+        if ctx.now < self.earliest_cycle_at || ctx.types.is_empty() {
             return CycleOutcome::default();
         }
         self.changed = false;
-        self.next_cycle_at = ctx.now + ctx.cfg.heartbeat_interval_ms / CYCLES_PER_HEARTBEAT;
+        self.earliest_cycle_at = ctx.now + ctx.cfg.heartbeat_interval_ms / MAX_CYCLES_PER_HEARTBEAT;
         self.fleet_cpus = accounting::accrue_shares(ctx, inputs.cluster, inputs.ledger);
         self.visited +=
             inputs.cluster.machines.values().map(|m| 1 + m.slots.len() as u64).sum::<u64>();
@@ -66,49 +67,50 @@
         cycle.finish()
     }
 
-    /// Notes which teams wait for what they are guaranteed, after a cycle that left these jobs
+    /// Records which teams wait for their guarantee after a cycle that left the `blocked` jobs
     /// without capacity.
-    fn note_guarantees(&mut self, ctx: &Context, cluster: &Cluster, blocked: &[JobId]) {
-        let mut needs = vec![TeamNeed::default(); ctx.cfg.teams.len()];
-        let open = |job: &&JobState| job.ended.is_none() && !job.health.is_crash_looping();
-        for job in cluster.jobs.values().filter(open) {
+    fn update_guarantee_waits(&mut self, ctx: &Context, cluster: &Cluster, blocked: &[JobId]) {
+        let mut demands = vec![TeamDemand::default(); ctx.cfg.teams.len()];
+        let adds_demand = |job: &&JobState| job.ended.is_none() && !job.health.is_crash_looping();
+        for job in cluster.jobs.values().filter(adds_demand) {
             let tasks = job.pending() as f64 + job.placed.len() as f64;
-            needs[job.team].unfinished_cpus += tasks * job.spec.cpus;
+            demands[job.team].unfinished_cpus += tasks * job.spec.cpus;
         }
         for job in blocked.iter().filter_map(|id| cluster.jobs.get(id)) {
-            needs[job.team].blocked = true;
+            demands[job.team].blocked = true;
         }
         let guaranteed = ctx.cfg.teams.iter().map(|team| team.cpus);
-        self.guarantee_waits.note(ctx.now, guaranteed.zip(needs));
+        self.guarantee_waits.update(ctx.now, guaranteed.zip(demands));
     }
 
-    /// When a cycle is due though nothing changes: a back-off ends, or a team has waited too long
-    /// for its guarantee.
-    fn next_wake(&self, ctx: &Context, cluster: &Cluster) -> Ms {
-        let open = || cluster.jobs.values().filter(|job| job.pending() > 0);
-        let pauses = open().map(|job| job.health.back_off_until());
-        let avoided = open().filter_map(|job| job.health.avoids_until(ctx.now));
-        let machines = cluster.machines.values().map(|machine| machine.no_room_until);
-        let back_offs = pauses.chain(avoided).chain(machines).filter(|at| *at > ctx.now);
-        let guarantee = ctx
+    /// Returns when a cycle is due even if nothing changes: the next back-off ends, or the next
+    /// team has waited too long for its guarantee.
+    fn next_wake_at(&self, ctx: &Context, cluster: &Cluster) -> Ms {
+        let waiting_jobs = || cluster.jobs.values().filter(|job| job.pending() > 0);
+        let job_back_offs = waiting_jobs().map(|job| job.health.back_off_until());
+        let avoided_machines = waiting_jobs().filter_map(|job| job.health.avoids_until(ctx.now));
+        let full_machines = cluster.machines.values().map(|machine| machine.no_room_until);
+        let back_off_ends =
+            job_back_offs.chain(avoided_machines).chain(full_machines).filter(|at| *at > ctx.now);
+        let guarantee_overdue_at = ctx
             .cfg
             .guarantee_patience_ms()
-            .and_then(|patience| self.guarantee_waits.next_overdue(ctx.now, patience));
-        back_offs.min().into_iter().chain(guarantee).min().unwrap_or(Ms::MAX)
+            .and_then(|patience_ms| self.guarantee_waits.next_overdue_at(ctx.now, patience_ms));
+        back_off_ends.min().into_iter().chain(guarantee_overdue_at).min().unwrap_or(Ms::MAX)
     }
 }
 
-/// A cycle that runs.
+/// A cycle in progress.
 struct Cycle<'a> {
     assigner: Assigner<'a>,
-    waiting: Waiting,
-    /// Jobs that found no capacity.
+    waiting: WaitingJobs,
+    /// Jobs for which no capacity was found.
     blocked: Vec<JobId>,
     snapshot: CycleSnapshot,
 }
 
 impl<'a> Cycle<'a> {
-    /// Takes account of capacity and use, and orders the waiting jobs.
+    /// Determines free capacity, usage and feasible jobs, and sorts the waiting jobs.
     fn begin(scheduler: &'a mut Scheduler, inputs: SchedulerInputs<'a>) -> Self {
         let ctx = inputs.ctx;
         let used = team_usage(ctx, inputs.cluster);
@@ -119,8 +121,8 @@
             .filter_map(|machine| FreeCapacity::of_machine(ctx, machine))
             .collect();
         scheduler.feasible_slack_s =
-            find_feasible(ctx, inputs.cluster, scheduler.fleet_cpus, &used);
-        let mut waiting = Waiting::collect(&inputs);
+            find_feasible_slacks(ctx, inputs.cluster, scheduler.fleet_cpus, &used);
+        let mut waiting = WaitingJobs::collect(&inputs);
         let assigner = Assigner { scheduler, inputs, free, used };
         let order = assigner.order();
         for jobs in &mut waiting.by_team {
@@ -133,49 +135,50 @@
         self.assigner.inputs.ctx
     }
 
-    /// Assigns tasks in this order: to jobs for which others were preempted, to high-priority
-    /// services, one task each to jobs that would wait without end, then by fair share.
+    /// Assigns tasks in this order: jobs for which others were preempted, high-priority services,
+    /// one task each of jobs that might otherwise never run, all other jobs by fair share, and
+    /// one task each of starved jobs.
     fn run(&mut self) {
         self.assign_preemptors();
         self.assign_high_priority_services();
         self.reserve_capacity();
-        let never_started = self.never_started();
+        let overdue_jobs = self.jobs_overdue_for_first_task();
         self.assign_crash_looping();
-        self.assign_never_started(never_started);
+        self.assign_first_tasks(overdue_jobs);
         self.assign_underserved_classes();
-        self.snapshot.one_task_first.append(&mut self.waiting.crash_looping);
+        self.snapshot.expedited_jobs.append(&mut self.waiting.crash_looping);
         self.snapshot.waiting.clone_from(&self.waiting.by_team);
         self.assign_by_fair_share();
         self.assign_starved();
     }
 
-    /// Keeps what was found for the next heartbeats, and preempts for jobs that are blocked.
+    /// Preempts tasks for blocked jobs, and stores the snapshot for backfill.
     fn finish(self) -> CycleOutcome {
         let Cycle { assigner, blocked, mut snapshot, .. } = self;
         let Assigner { scheduler, inputs, free, used } = assigner;
         let SchedulerInputs { ctx, cluster, .. } = inputs;
         scheduler.short_of_capacity = !blocked.is_empty();
-        scheduler.note_guarantees(ctx, cluster, &blocked);
-        scheduler.wake_at = scheduler.next_wake(ctx, cluster);
-        let preempted = scheduler.preempt(ctx, cluster, &blocked, &used, &free);
+        scheduler.update_guarantee_waits(ctx, cluster, &blocked);
+        scheduler.wake_at = scheduler.next_wake_at(ctx, cluster);
+        let preempted_tasks = scheduler.preempt(ctx, cluster, &blocked, &used, &free);
         snapshot.used = used;
         scheduler.last_cycle = Some(snapshot);
-        CycleOutcome { preempted }
+        CycleOutcome { preempted_tasks }
     }
 
-    /// Removes a job none of whose tasks waits any more.
-    fn remove_if_complete(&mut self, team: usize, id: JobId) {
+    /// Removes a job from the waiting jobs if none of its tasks is pending.
+    fn remove_if_none_pending(&mut self, team: usize, id: JobId) {
         if !self.assigner.has_pending(id) {
             self.waiting.remove(team, id);
         }
     }
 
-    /// The jobs for which others were preempted: were the freed capacity given by degree, those
-    /// that were preempted would take it back, and be preempted again.
+    /// Assigns tasks of the jobs for which others were preempted. If the freed capacity were
+    /// assigned by degree, the preempted jobs would get it back and be preempted again.
     fn assign_preemptors(&mut self) {
         let now = self.ctx().now;
         let scheduler = &mut self.assigner.scheduler;
-        scheduler.preemption_reservations.retain(|_, until| *until > now);
+        scheduler.preemption_reservations.retain(|_, reserved_until| *reserved_until > now);
         let preemptors: Vec<JobId> = scheduler.preemption_reservations.keys().copied().collect();
         for id in preemptors {
             let Some(team) = self.assigner.inputs.cluster.jobs.get(&id).map(|job| job.team) else {
@@ -192,10 +195,11 @@
         }
     }
 
-    /// A replica is missed from the first second, an array by its deadline.
+    /// Assigns replicas of high-priority services. Every second without a replica counts, whereas
+    /// an array only has to meet its deadline.
     fn assign_high_priority_services(&mut self) {
         let jobs = &self.assigner.inputs.cluster.jobs;
-        let high_priority =
+        let is_high_priority =
             |id: &JobId| jobs.get(id).is_some_and(|job| is_high_priority_service(&job.spec));
         let services: Vec<(usize, JobId)> = self
             .waiting
@@ -203,104 +207,108 @@
             .iter()
             .enumerate()
             .flat_map(|(team, jobs)| jobs.iter().map(move |id| (team, *id)))
-            .filter(|(_, id)| high_priority(id))
+            .filter(|(_, id)| is_high_priority(id))
             .collect();
         for (team, id) in &services {
             self.assigner.assign_all(*id);
-            self.remove_if_complete(*team, *id);
+            self.remove_if_none_pending(*team, *id);
         }
         self.snapshot.high_priority_services = services.into_iter().map(|(_, id)| id).collect();
     }
 
-    /// Reserves capacity for services that may come.
+    /// Reserves capacity for high-priority services that may be submitted or restarted.
     fn reserve_capacity(&mut self) {
         let Assigner { scheduler, inputs, free, used } = &mut self.assigner;
         self.snapshot.reserved_capacity =
             reserve_capacity(inputs.ctx, &scheduler.replica_sizes, free, used);
     }
 
-    /// Jobs that waited too long for their first task, the longest first: a large array may come
-    /// after others for as long as more is submitted than can be run.
-    fn never_started(&self) -> Vec<(usize, JobId)> {
+    /// Returns the jobs that have waited too long for their first task, the longest wait first.
+    /// Without a task ahead of the order, a large array could stay last in it for as long as more
+    /// work is submitted than the cluster can run.
+    fn jobs_overdue_for_first_task(&self) -> Vec<(usize, JobId)> {
         let SchedulerInputs { ctx, cluster, .. } = &self.assigner.inputs;
-        let patience = NEVER_STARTED_LEASES * ctx.cfg.lease_ms as WallMs;
-        let mut found: Vec<(WallMs, JobId, usize)> = self
+        let max_wait_ms = FIRST_TASK_WAIT_LEASES * ctx.cfg.lease_ms as WallMs;
+        let mut overdue: Vec<(WallMs, JobId, usize)> = self
             .waiting
             .by_team
             .iter()
             .flatten()
             .filter_map(|id| cluster.jobs.get(id))
-            .filter(|job| !job.started && ctx.wall - job.accepted_at > patience)
+            .filter(|job| !job.started && ctx.wall - job.accepted_at > max_wait_ms)
             .map(|job| (job.accepted_at, job.id, job.team))
             .collect();
-        found.sort();
-        found.into_iter().map(|(_, id, team)| (team, id)).collect()
+        overdue.sort();
+        overdue.into_iter().map(|(_, id, team)| (team, id)).collect()
     }
 
-    /// One task of a job in a crash loop costs the others next to nothing, and shows when its
-    /// fault is gone.
+    /// Assigns one task of each job in a crash loop. A single task takes little capacity from other
+    /// jobs, and shows whether the fault has been removed.
     fn assign_crash_looping(&mut self) {
         let assigner = &mut self.assigner;
         self.waiting.crash_looping.retain(|id| !assigner.assign(*id, 1));
     }
 
-    fn assign_never_started(&mut self, jobs: Vec<(usize, JobId)>) {
-        for (team, id) in jobs {
+    /// Assigns one task of each job that has waited too long for its first task.
+    fn assign_first_tasks(&mut self, overdue_jobs: Vec<(usize, JobId)>) {
+        for (team, id) in overdue_jobs {
             if self.assigner.assign(id, 1) {
-                self.remove_if_complete(team, id);
+                self.remove_if_none_pending(team, id);
                 continue;
             }
-            if self.assigner.allowed_by_limit(id) == 0 {
+            if self.assigner.pending_within_limit(id) == 0 {
                 self.waiting.by_team[team].clear();
                 continue;
             }
-            if self.snapshot.one_task_first.is_empty() {
-                // A machine, and what its team may use, is kept for the job that waited longest.
+            if self.snapshot.expedited_jobs.is_empty() {
+                // Only the job that has waited longest gets a reserved machine.
                 self.snapshot.reserved_machine = self.assigner.reserve_machine(id);
             }
-            self.snapshot.one_task_first.push(id);
+            self.snapshot.expedited_jobs.push(id);
         }
     }
 
-    /// Classes that have less than their least share of what their team uses.
+    /// Assigns tasks of classes that use less than their least share of their team's usage.
     fn assign_underserved_classes(&mut self) {
         let inputs = &self.assigner.inputs;
         for (id, tasks) in underserved_classes(inputs.ctx, inputs.cluster, &self.waiting.by_team) {
-            let mut left = tasks;
-            while left > 0 && self.assigner.assign(id, 1) {
-                left -= 1;
+            let mut remaining = tasks;
+            while remaining > 0 && self.assigner.assign(id, 1) {
+                remaining -= 1;
             }
             for team in 0..self.waiting.by_team.len() {
-                self.remove_if_complete(team, id);
+                self.remove_if_none_pending(team, id);
             }
-            if left > 0 {
-                self.snapshot.one_task_first.push(id);
+            if remaining > 0 {
+                self.snapshot.expedited_jobs.push(id);
             }
         }
     }
 
-    /// What is left goes to the team with the lowest degree that has a fitting job (paper,
-    /// algorithm 1).
+    /// Assigns the remaining capacity, at each step to the team with the lowest degree that has a
+    /// job that fits (paper, algorithm 1).
     fn assign_by_fair_share(&mut self) {
         loop {
-            let head = self.assigner.order().next(self.waiting.heads(), &self.assigner.used);
+            let head =
+                self.assigner.order().select_next(self.waiting.team_heads(), &self.assigner.used);
             let Some(TeamHead { team, job }) = head else { break };
             if self.assigner.assign(job, u32::MAX) {
-                self.remove_if_complete(team, job);
+                self.remove_if_none_pending(team, job);
                 continue;
             }
             self.waiting.remove(team, job);
             self.blocked.push(job);
-            if self.assigner.blocked_by_limit(job) {
+            if self.assigner.is_blocked_by_limit(job) {
                 self.waiting.by_team[team].clear();
             }
         }
     }
 
-    /// Reserved capacity is no reason to leave jobs waiting of which nothing has run for long.
+    /// Assigns one task of each starved job that is blocked. Reserved capacity is made available
+    /// for it, so that a reservation never keeps a job from running for long.
     fn assign_starved(&mut self) {
         let inputs = &mut self.assigner.inputs;
-        let starved = starved_jobs(inputs.ctx, inputs.cluster);
+        let starved = find_starved_jobs(inputs.ctx, inputs.cluster);
         if !self.blocked.iter().any(|id| starved.contains(id)) {
             return;
         }
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
@@ -1,9 +1,9 @@
-//! Which jobs can still meet an objective, when more is asked than can be run.
+//! Selection of the jobs that can still meet an objective under overload.
 //!
-//! Ordered by deadline alone, an overload makes every job a little late. By the algorithm of
-//! Moore and Hodgson, which minimises the number of late jobs, jobs are taken in the order of
-//! their deadlines; where those so far cannot all be started in time, the largest of them is
-//! given up, and then tries its next objective (paper, section 5.2.1: urgent jobs).
+//! If jobs were ordered by deadline alone, an overload would make every job a little late. The
+//! algorithm of Moore and Hodgson minimises the number of late jobs: it adds jobs in the order of
+//! their deadlines and, whenever those added cannot all start in time, removes the largest. A
+//! removed job is added again with its next objective (paper, section 5.2.1: urgent jobs).
 
 use crate::fairness::Ledger;
 use crate::jobs::JobState;
@@ -14,8 +14,8 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// The part of its estimate by which a job may be late and still count as feasible: estimates
-/// are often wrong.
+/// Lateness with which a job still counts as feasible, as a fraction of its estimate. Estimates are
+/// often wrong.
 const TOLERATED_LATENESS: f64 = 0.3;
 
 /// A job that may meet an objective.
@@ -23,22 +23,22 @@
 pub struct Candidate {
     /// The job.
     pub job: JobId,
-    /// CPUs of its tasks that wait to be started.
+    /// CPUs of its pending tasks.
     pub pending_cpus: f64,
-    /// Slack by objective, the nearest last: seconds until its last task must have started.
+    /// Seconds until its last task must have started, by objective, the nearest last.
     pub slacks_s: Vec<f64>,
 }
 
-/// A candidate with the objective that it tries; the one with the least slack is the greatest,
-/// so that a heap gives it first.
+/// A candidate with the slack of its current objective. The candidate with the least slack is the
+/// greatest, so that a heap returns it first.
 struct QueuedCandidate {
     slack_s: f64,
     candidate: Candidate,
 }
 
 impl QueuedCandidate {
-    /// The candidate with its next objective, if it has one left.
-    fn next(mut candidate: Candidate) -> Option<Self> {
+    /// Returns the candidate with its next objective, or `None` if there is no further one.
+    fn with_next_objective(mut candidate: Candidate) -> Option<Self> {
         let slack_s = candidate.slacks_s.pop()?;
         Some(QueuedCandidate { slack_s, candidate })
     }
@@ -64,42 +64,42 @@
 
 impl Eq for QueuedCandidate {}
 
-/// The jobs that can meet an objective, with their slack in seconds, if `available_cpus` can be
-/// started now and `cpus_per_s` more in every second.
-pub fn feasible_jobs(
+/// Returns the jobs that can meet an objective, with their slack in seconds, if tasks with
+/// `available_cpus` CPUs can start now and tasks with `cpus_per_s` more in every second.
+pub fn select_feasible_jobs(
     candidates: Vec<Candidate>,
     available_cpus: f64,
     cpus_per_s: f64,
 ) -> Vec<(JobId, f64)> {
-    let mut open: BinaryHeap<QueuedCandidate> =
-        candidates.into_iter().filter_map(QueuedCandidate::next).collect();
-    let mut kept: Vec<QueuedCandidate> = Vec::new();
+    let mut queue: BinaryHeap<QueuedCandidate> =
+        candidates.into_iter().filter_map(QueuedCandidate::with_next_objective).collect();
+    let mut selected: Vec<QueuedCandidate> = Vec::new();
     let mut started_cpus = 0.0;
-    while let Some(queued) = open.pop() {
+    while let Some(queued) = queue.pop() {
         let slack_s = queued.slack_s;
         started_cpus += queued.candidate.pending_cpus;
-        kept.push(queued);
+        selected.push(queued);
         while started_cpus > available_cpus + cpus_per_s * slack_s.max(0.0) + 1e-9 {
-            let Some(largest) = largest(&kept) else { break };
-            let given_up = kept.swap_remove(largest).candidate;
-            started_cpus -= given_up.pending_cpus;
-            open.extend(QueuedCandidate::next(given_up));
+            let Some(largest) = index_of_largest(&selected) else { break };
+            let removed = selected.swap_remove(largest).candidate;
+            started_cpus -= removed.pending_cpus;
+            queue.extend(QueuedCandidate::with_next_objective(removed));
         }
     }
-    kept.into_iter().map(|queued| (queued.candidate.job, queued.slack_s)).collect()
+    selected.into_iter().map(|queued| (queued.candidate.job, queued.slack_s)).collect()
 }
 
-/// The position of the job with the most CPUs to start; none if nothing is left to give up.
-fn largest(kept: &[QueuedCandidate]) -> Option<usize> {
-    (0..kept.len())
+/// Returns the index of the job with the most pending CPUs, or `None` if no job has any.
+fn index_of_largest(selected: &[QueuedCandidate]) -> Option<usize> {
+    (0..selected.len())
         .max_by(|a, b| {
-            let (a, b) = (&kept[*a].candidate, &kept[*b].candidate);
+            let (a, b) = (&selected[*a].candidate, &selected[*b].candidate);
             a.pending_cpus.total_cmp(&b.pending_cpus).then(b.job.cmp(&a.job))
         })
-        .filter(|index| kept[*index].candidate.pending_cpus > 0.0)
+        .filter(|index| selected[*index].candidate.pending_cpus > 0.0)
 }
 
-/// Slack in seconds of a job for each objective that it may still meet, the nearest last.
+/// Returns a job's slack in seconds for each objective that it may still meet, the nearest last.
 fn slacks_s(ctx: &Context, job: &JobState) -> Vec<f64> {
     let age_s = (ctx.wall - job.accepted_at) as f64 / 1000.0;
     let estimate_s = job.spec.estimate_s;
@@ -118,25 +118,25 @@
     slacks_s
 }
 
-/// What a team has to run, as far as deadlines are concerned.
+/// Unfinished work of a team, as far as it matters for deadlines.
 #[derive(Default)]
 struct TeamLoad {
     /// Candidates by priority, the highest first.
     candidates: BTreeMap<Reverse<Priority>, Vec<Candidate>>,
     /// CPUs of unfinished tasks of arrays.
     array_cpus: f64,
-    /// CPU-seconds of the same by their estimates.
+    /// CPU-seconds of unfinished tasks of arrays, by their estimates.
     array_cpu_s: f64,
-    /// CPUs of replicas that are placed.
+    /// CPUs of placed replicas.
     placed_replica_cpus: f64,
-    /// CPUs of replicas that wait.
+    /// CPUs of pending replicas.
     pending_replica_cpus: f64,
-    /// Services that lack a replica.
+    /// Services with pending replicas.
     incomplete_services: Vec<JobId>,
 }
 
 impl TeamLoad {
-    fn add(&mut self, ctx: &Context, job: &JobState) {
+    fn add_job(&mut self, ctx: &Context, job: &JobState) {
         if job.spec.is_service() {
             self.add_service(job);
         } else {
@@ -144,8 +144,8 @@
         }
     }
 
-    /// A service has neither an end nor a deadline: what of it is missing is late already, and
-    /// what runs is no work that ends and frees its capacity.
+    /// Adds a service. It has neither an end nor a deadline: its missing replicas are late already,
+    /// and its running ones never end and free their capacity.
     fn add_service(&mut self, job: &JobState) {
         self.placed_replica_cpus += job.placed.len() as f64 * job.spec.cpus;
         if job.pending() > 0 {
@@ -164,10 +164,10 @@
     }
 }
 
-/// The slack in seconds of each job that can meet an objective, team by team and the higher
-/// priorities first: a team may start at once what it lacks of its share, and as much more as
-/// its tasks end.
-pub(in crate::leader) fn find_feasible(
+/// Returns the slack in seconds of each job that can meet an objective. Each team is considered on
+/// its own, with higher priorities first. A team can start tasks at once up to its share, and
+/// further tasks at the rate at which its tasks end.
+pub(in crate::leader) fn find_feasible_slacks(
     ctx: &Context,
     cluster: &Cluster,
     fleet_cpus: f64,
@@ -176,14 +176,16 @@
     let mut feasible = HashMap::new();
     for (team, used) in used.iter().enumerate() {
         let mut load = TeamLoad::default();
-        let open = |job: &&JobState| job.team == team && job.ended.is_none();
-        for job in cluster.jobs.values().filter(open).filter(|job| !job.health.is_crash_looping()) {
-            load.add(ctx, job);
+        let is_unfinished = |job: &&JobState| job.team == team && job.ended.is_none();
+        for job in
+            cluster.jobs.values().filter(is_unfinished).filter(|job| !job.health.is_crash_looping())
+        {
+            load.add_job(ctx, job);
         }
         feasible.extend(load.incomplete_services.iter().map(|job| (*job, 0.0)));
         let share_cpus = match ctx.cfg.teams[team].without_guarantee() {
-            // Nobody knows what the others will leave it. By its quota nothing of it could be
-            // in time, and its longest tasks would go first.
+            // The capacity that other teams will leave to this one is unknown. Measured by its
+            // quota, none of its jobs would be feasible, and its longest tasks would start first.
             true => fleet_cpus,
             false => Ledger::quota(ctx.cfg, team, fleet_cpus),
         };
@@ -193,7 +195,7 @@
         let mut available_cpus = share_cpus - used.cpus - load.pending_replica_cpus;
         for (_, candidates) in load.candidates {
             let pending_cpus: f64 = candidates.iter().map(|c| c.pending_cpus).sum();
-            feasible.extend(feasible_jobs(candidates, available_cpus, cpus_per_s));
+            feasible.extend(select_feasible_jobs(candidates, available_cpus, cpus_per_s));
             available_cpus -= pending_cpus;
         }
     }
--- a/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
@@ -1,5 +1,5 @@
-//! The order in which jobs get capacity: between teams by their degree of fairness, within a
-//! team by priority, slack and degree (paper, algorithm 1 and section 5.2.1).
+//! The order in which jobs get capacity: by degree of fairness between teams, and by priority,
+//! slack and degree within a team (paper, algorithm 1 and section 5.2.1).
 
 use super::capacity::CPU_TOLERANCE;
 use crate::fairness::Ledger;
@@ -11,59 +11,59 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::HashMap;
 
-/// How much the work of a job counts beside its slack: a large job starts earlier than a small
-/// one with the same slack.
+/// Weight with which a job's pending work, in seconds of its team's whole quota, is added to its
+/// slack. Of two jobs with the same slack, the one with less work comes first.
 const WORK_WEIGHT: f64 = 3.0;
 
-/// The first job of a team's order.
+/// The first waiting job of a team.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::leader) struct TeamHead {
-    /// The team's index.
+    /// Index of the team.
     pub(in crate::leader) team: usize,
     /// The job.
     pub(in crate::leader) job: JobId,
 }
 
-/// What the order of jobs depends on.
+/// The order of jobs, and the state on which it depends.
 #[derive(Clone, Copy)]
 pub(in crate::leader) struct JobOrder<'a> {
-    /// Settings and time.
+    /// Settings, machine types and time.
     pub(in crate::leader) ctx: &'a Context<'a>,
-    /// The jobs.
+    /// Machines and jobs.
     pub(in crate::leader) cluster: &'a Cluster,
     /// Received and fair time of teams.
     pub(in crate::leader) ledger: &'a Ledger,
-    /// Slack in seconds of jobs that can meet an objective.
+    /// Slack in seconds of each job that can still meet an objective.
     pub(in crate::leader) slack_s: &'a HashMap<JobId, f64>,
-    /// CPUs of all machines whose lease is valid.
+    /// CPUs of all machines with a valid worker lease.
     pub(in crate::leader) fleet_cpus: f64,
 }
 
-/// The rank of a job within its team; the smaller goes first.
+/// Rank of a job within its team. The job with the smallest rank comes first.
 struct JobRank {
     priority: Reverse<Priority>,
-    infeasible: bool,
-    urgency_s: f64,
-    started: bool,
+    is_infeasible: bool,
+    effective_slack_s: f64,
+    has_started: bool,
     degree: f64,
-    submitted: WallMs,
+    accepted_at: WallMs,
 }
 
 impl JobRank {
     fn compare(&self, other: &Self) -> Ordering {
-        (self.priority, self.infeasible)
-            .cmp(&(other.priority, other.infeasible))
-            .then(self.urgency_s.total_cmp(&other.urgency_s))
-            .then(self.started.cmp(&other.started))
+        (self.priority, self.is_infeasible)
+            .cmp(&(other.priority, other.is_infeasible))
+            .then(self.effective_slack_s.total_cmp(&other.effective_slack_s))
+            .then(self.has_started.cmp(&other.has_started))
             .then(self.degree.total_cmp(&other.degree))
-            .then(self.submitted.cmp(&other.submitted))
+            .then(self.accepted_at.cmp(&other.accepted_at))
     }
 }
 
 impl JobOrder<'_> {
-    /// Sorts the jobs of a team: those that can still meet an objective, the one with the least
-    /// slack first; then the others. Once a cycle: what an assignment changes keeps a job where
-    /// it is.
+    /// Sorts the jobs of a team. Within a priority, jobs that can still meet an objective come
+    /// first, in order of their slack. Each cycle sorts once: assignments within the cycle do not
+    /// move a job.
     pub(in crate::leader) fn sort_team(&self, jobs: &mut Vec<JobId>) {
         let mut ranked: Vec<(JobRank, JobId)> = jobs
             .iter()
@@ -81,20 +81,20 @@
         let quota = Ledger::quota(self.ctx.cfg, job.team, self.fleet_cpus).max(1.0);
         JobRank {
             priority: Reverse(job.spec.priority),
-            infeasible: slack_s.is_none(),
-            // An infeasible job can only gain by being done at all: the longest first.
-            urgency_s: slack_s
+            is_infeasible: slack_s.is_none(),
+            // An infeasible job is late in any case and only has to complete: longest first.
+            effective_slack_s: slack_s
                 .map_or(-job.spec.estimate_s, |slack_s| slack_s + WORK_WEIGHT * work_cpu_s / quota),
-            started: job.started,
+            has_started: job.started,
             degree: job.account.degree(),
-            submitted: job.accepted_at,
+            accepted_at: job.accepted_at,
         }
     }
 
-    /// The job of the team with the lowest degree (paper, algorithm 1, line 5). Before it goes a
-    /// job that could preempt the others: by degree alone its capacity would be taken by tasks
-    /// that are preempted at once.
-    pub(in crate::leader) fn next(
+    /// Returns the first job of the team with the lowest degree (paper, algorithm 1, line 5). Jobs
+    /// that may preempt others rank by priority first: by degree alone, other tasks could get the
+    /// capacity and would be preempted at once.
+    pub(in crate::leader) fn select_next(
         &self,
         heads: impl Iterator<Item = TeamHead>,
         used: &[Resources],
--- a/crates/basaltrail-core/src/leader/scheduler/guarantees.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/guarantees.rs
@@ -1,55 +1,65 @@
-//! Since when each team waits for what it is guaranteed.
+//! Tracking of how long each team has waited for its guarantee.
 //!
-//! A team whose unfinished jobs all fit into its guarantee need not wait for other teams
-//! (DEPLOY). What others borrowed comes back as their tasks end or save. Where that takes longer
-//! than the operators allow, tasks that cannot save are preempted as well.
+//! A team whose unfinished jobs all fit into its guarantee should not have to wait for other teams
+//! (DEPLOY). Capacity that other teams borrowed is released as their tasks end or save. If that
+//! takes longer than the operators allow, tasks that cannot save are preempted as well.
 
 use super::capacity::CPU_TOLERANCE;
 use crate::model::Ms;
 
-/// What a scheduling cycle found of one team.
+/// Demand of one team in a scheduling cycle.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TeamNeed {
-    /// CPUs of all its unfinished tasks.
+pub struct TeamDemand {
+    /// CPUs of all unfinished tasks of the team.
     pub unfinished_cpus: f64,
-    /// Whether some job found no capacity.
+    /// Whether the cycle left any job of the team without capacity.
     pub blocked: bool,
 }
 
-impl TeamNeed {
-    /// Whether it waits for what it is guaranteed.
+impl TeamDemand {
+    /// Returns whether the team waits for capacity that it is guaranteed.
     fn waits_for(&self, guaranteed_cpus: f64) -> bool {
         self.blocked && self.unfinished_cpus <= guaranteed_cpus + CPU_TOLERANCE
     }
 }
 
-/// Since when each team waits, by team index.
+/// The times since which teams have waited for their guarantee.
 #[derive(Debug, Default)]
 pub struct GuaranteeWaits {
-    since: Vec<Option<Ms>>,
+    /// Start of the wait, by team index; `None` if the team does not wait.
+    waiting_since: Vec<Option<Ms>>,
 }
 
 impl GuaranteeWaits {
-    /// Takes what a cycle found of every team, with the CPUs that each is guaranteed.
-    pub fn note(&mut self, now: Ms, teams: impl Iterator<Item = (f64, TeamNeed)>) {
-        let before = std::mem::take(&mut self.since);
-        self.since = teams
+    /// Updates the waits after a cycle, from the guaranteed CPUs and the demand of every team.
+    pub fn update(&mut self, now: Ms, teams: impl Iterator<Item = (f64, TeamDemand)>) {
+        let previous = std::mem::take(&mut self.waiting_since);
+        self.waiting_since = teams
             .enumerate()
-            .map(|(team, (guaranteed_cpus, need))| {
-                let since = before.get(team).copied().flatten();
-                need.waits_for(guaranteed_cpus).then(|| since.unwrap_or(now))
+            .map(|(team, (guaranteed_cpus, demand))| {
+                let since = previous.get(team).copied().flatten();
+                demand.waits_for(guaranteed_cpus).then(|| since.unwrap_or(now))
             })
             .collect();
     }
 
-    /// Whether a team has waited for `patience` milliseconds.
-    pub fn overdue(&self, team: usize, now: Ms, patience: Ms) -> bool {
-        self.since.get(team).copied().flatten().is_some_and(|since| now >= since + patience)
+    /// Returns whether a team has waited for at least `patience_ms`.
+    pub fn is_overdue(&self, team: usize, now: Ms, patience_ms: Ms) -> bool {
+        self.waiting_since
+            .get(team)
+            .copied()
+            .flatten()
+            .is_some_and(|since| now >= since + patience_ms)
     }
 
-    /// When the next team will have waited for `patience` milliseconds.
-    pub fn next_overdue(&self, now: Ms, patience: Ms) -> Option<Ms> {
-        self.since.iter().flatten().map(|since| since + patience).filter(|at| *at > now).min()
+    /// Returns when the next team will have waited for `patience_ms`.
+    pub fn next_overdue_at(&self, now: Ms, patience_ms: Ms) -> Option<Ms> {
+        self.waiting_since
+            .iter()
+            .flatten()
+            .map(|since| since + patience_ms)
+            .filter(|at| *at > now)
+            .min()
     }
 }
 
--- a/crates/basaltrail-core/src/leader/scheduler/mod.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/mod.rs
@@ -1,9 +1,10 @@
-//! The scheduler of a leader: which task starts where, and what is preempted for it.
+//! The leader's scheduler: assigns tasks to machines, and preempts tasks for jobs that must not
+//! wait.
 //!
-//! The design is ASTRAEA (paper, sections 4 and 5): the team with the lowest degree of fairness
-//! goes first. A `cycle` looks at all machines, at most every twentieth of a heartbeat
-//! interval; between two of them `backfill` assigns tasks to the machine whose heartbeat is
-//! being answered.
+//! The algorithm is ASTRAEA (paper, sections 4 and 5): the team with the lowest degree of fairness
+//! gets capacity first. A scheduling `cycle` covers all machines and runs at most once per
+//! twentieth of a heartbeat interval. Between cycles, `backfill` assigns tasks to the machine
+//! whose heartbeat is being answered.
 
 pub(in crate::leader) mod assignment;
 pub(in crate::leader) mod capacity;
@@ -39,38 +40,41 @@
 
 /// The state of the scheduler.
 pub struct Scheduler {
-    /// Attempts that this leader has numbered.
-    pub(in crate::leader) attempts: u32,
-    /// Whether something has changed since the last cycle.
+    /// Counter of the last attempt number that this leader issued.
+    pub(in crate::leader) attempt_counter: u32,
+    /// Whether a change since the last cycle makes another one due.
     pub(in crate::leader) changed: bool,
-    /// No cycle begins before.
-    pub(in crate::leader) next_cycle_at: Ms,
-    /// What the last cycle found; gone when more may be in use than it counted.
+    /// Earliest start of the next cycle.
+    pub(in crate::leader) earliest_cycle_at: Ms,
+    /// Snapshot of the last cycle; `None` once teams may use more than the cycle counted.
     pub(in crate::leader) last_cycle: Option<CycleSnapshot>,
-    /// The last cycle left jobs without capacity.
+    /// Whether the last cycle left jobs without capacity.
     pub(in crate::leader) short_of_capacity: bool,
-    /// When a back-off ends or a guarantee is overdue: a cycle is due though nothing changed.
+    /// Time at which a cycle is due even if nothing has changed: a back-off ends, or a guarantee
+    /// becomes overdue.
     pub(in crate::leader) wake_at: Ms,
-    /// Jobs for which others were preempted, and until when the freed capacity is theirs first.
+    /// Jobs for which others were preempted, each with the end of its reservation of the freed
+    /// capacity.
     pub(in crate::leader) preemption_reservations: BTreeMap<JobId, Ms>,
-    /// Jobs that can still meet an objective, with their slack in seconds.
+    /// Slack in seconds of each job that can still meet an objective.
     pub(in crate::leader) feasible_slack_s: HashMap<JobId, f64>,
-    /// The largest recent service of each class.
+    /// Largest recent high-priority service of each class.
     pub(in crate::leader) replica_sizes: ReplicaSizes,
-    /// Since when teams wait for their guarantee.
+    /// Start of each team's wait for its guarantee.
     pub(in crate::leader) guarantee_waits: GuaranteeWaits,
-    /// Machines and tasks looked at in cycles: what the size of the cluster costs.
+    /// Number of machines and tasks examined so far, which shows how the work grows with the size
+    /// of the cluster.
     pub visited: u64,
-    /// CPUs of all machines whose lease is valid.
+    /// CPUs of all machines with a valid worker lease.
     pub(in crate::leader) fleet_cpus: f64,
 }
 
 impl Default for Scheduler {
     fn default() -> Self {
         Scheduler {
-            attempts: 0,
+            attempt_counter: 0,
             changed: true,
-            next_cycle_at: 0,
+            earliest_cycle_at: 0,
             last_cycle: None,
             short_of_capacity: false,
             wake_at: Ms::MAX,
@@ -85,17 +89,17 @@
 }
 
 impl Leader {
-    /// Runs a scheduling cycle, unless the last one was just now.
+    /// Runs a scheduling cycle if the minimum interval since the last one has passed.
     pub(in crate::leader) fn schedule(
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
         rng: &mut SmallRng,
     ) {
-        let (scheduler, inputs) = self.scheduling(ctx, rng);
+        let (scheduler, inputs) = self.scheduler_and_inputs(ctx, rng);
         let outcome = scheduler.schedule(inputs);
-        if outcome.preempted > 0 {
-            calls.log(JobEvent::TasksPreempted { tasks: outcome.preempted });
+        if outcome.preempted_tasks > 0 {
+            calls.log(JobEvent::TasksPreempted { tasks: outcome.preempted_tasks });
         }
     }
 
@@ -106,11 +110,12 @@
         machine: &MachineId,
         rng: &mut SmallRng,
     ) {
-        let (scheduler, inputs) = self.scheduling(ctx, rng);
+        let (scheduler, inputs) = self.scheduler_and_inputs(ctx, rng);
         scheduler.backfill(inputs, machine);
     }
 
-    fn scheduling<'a>(
+    /// Borrows the scheduler and its inputs from the other parts of the leader.
+    fn scheduler_and_inputs<'a>(
         &'a mut self,
         ctx: &'a Context,
         rng: &'a mut SmallRng,
--- a/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
@@ -9,10 +9,10 @@
     TaskDemand { team: 0, resources, priority, save_s }
 }
 
-/// The first tasks of a job that had waited nine leases were stopped as they began, and
-/// none of it ran for minutes.
+/// The first tasks of a job that had waited for nine leases were preempted as they started, so that
+/// no task of the job ran for minutes.
 #[test]
-fn first_tasks_are_not_preempted_as_they_begin() {
+fn first_tasks_are_not_preempted_until_they_have_run_for_a_minimum_time() {
     let test = TestCluster::new(0.0, &[]);
     let mut leader = test.leader(0);
     let mut machine = ready_machine("m-1", "a", true, None);
@@ -26,13 +26,14 @@
     let mut victims = |now| {
         leader.cluster.machines.get_mut(&id).unwrap().last_heartbeat = Some(now);
         let slack_s = &leader.scheduler.feasible_slack_s;
-        victims_of_priority(&test.context(now), &leader.cluster, slack_s).len()
+        priority_victims(&test.context(now), &leader.cluster, slack_s).len()
     };
     assert_eq!((victims(5_000), victims(30_500), victims(36_000)), (0, 1, 2));
 }
 
-/// Tasks on spot machines were stopped for services that may not use them, cycle after cycle, and
-/// none was stopped where they could have gone: free spot machines counted as capacity for them.
+/// Tasks on spot machines were preempted in every cycle for services that may not use spot
+/// machines, while no task was preempted on machines that the services may use, since free spot
+/// machines counted as capacity for them.
 #[test]
 fn only_tasks_on_machines_that_the_job_may_use_are_preempted() {
     let (array, service) = (a_job(99, true), service(2, 4.0));
@@ -40,7 +41,7 @@
     let now = 60_000;
     let ctx = Context { wall: now as WallMs, ..test.context(now) };
     let mut leader = test.leader(now);
-    // One replica runs in zone a, where no other may go.
+    // One replica runs in zone a, where the spread constraint allows no other.
     let machines =
         [("m-1", "a", false), ("m-2", "b", true), ("m-3", "b", false), ("m-4", "a", false)];
     for (index, (name, zone, spot)) in machines.into_iter().enumerate() {
--- a/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
@@ -1,8 +1,8 @@
-//! Capacity that is reserved for high-priority services that may come.
+//! Reservation of capacity for high-priority services that may need it later.
 //!
-//! Tasks that cannot save are not preempted and may end late, so a service that comes, or lost
-//! its machines, would wait for them. Capacity for some of the largest recent service of each class
-//! is kept free, within the guarantees of their teams.
+//! Tasks that cannot save are not preempted and may end late, so a service that is submitted or
+//! loses its machines would have to wait for them. Capacity for the largest recent service of each
+//! class is therefore reserved, within the guarantees of the services' teams.
 
 use super::capacity::{machine_type, FreeCapacity, CPU_TOLERANCE};
 use super::services::is_high_priority_service;
@@ -14,23 +14,24 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Services of each class for which capacity is reserved: one that comes, and one that lost its
-/// machines.
+/// Number of services of each class for which capacity is reserved: a newly submitted one, and one
+/// that lost its machines.
 const RESERVED_SERVICES: u32 = 2;
-/// Workers' leases for which a class of services is remembered.
-const REMEMBERED_LEASES: Ms = 30;
-/// Classes remembered at the most.
+/// Time for which capacity is reserved after the last recorded service of a class, in worker
+/// leases.
+const RETENTION_LEASES: Ms = 30;
+/// Maximum number of classes for which capacity is reserved.
 const MAX_CLASSES: usize = 16;
 
 /// The largest recent service of a class.
 struct ReplicaSize {
     spec: Arc<JobSpec>,
-    /// When it is forgotten.
-    until: Ms,
+    /// End of the reservation for its class.
+    expires_at: Ms,
 }
 
 impl ReplicaSize {
-    /// Replicas that one zone may have to take.
+    /// Returns the largest number of replicas that a single zone may have to hold.
     fn replicas_per_zone(&self, zones: usize) -> u32 {
         match self.spec.one_zone || zones < 2 {
             true => self.spec.tasks,
@@ -38,69 +39,70 @@
         }
     }
 
-    /// Replicas for which capacity is reserved in a zone.
-    fn reserved_per_zone(&self, zones: usize) -> u32 {
+    /// Returns the number of replicas for which capacity is reserved in each zone.
+    fn reserved_replicas_per_zone(&self, zones: usize) -> u32 {
         self.replicas_per_zone(zones) * RESERVED_SERVICES
     }
 }
 
-/// The largest recent service of each class, by class.
+/// The largest recent high-priority service of each class.
 #[derive(Default)]
 pub struct ReplicaSizes {
     by_class: BTreeMap<String, ReplicaSize>,
 }
 
 impl ReplicaSizes {
-    /// Notes a service that was submitted.
-    pub(in crate::leader) fn note(&mut self, ctx: &Context, spec: &Arc<JobSpec>) {
+    /// Records the size of a job if it is a high-priority service.
+    pub(in crate::leader) fn record(&mut self, ctx: &Context, spec: &Arc<JobSpec>) {
         if !is_high_priority_service(spec) {
             return;
         }
-        let until = ctx.now + REMEMBERED_LEASES * ctx.cfg.lease_ms;
+        let expires_at = ctx.now + RETENTION_LEASES * ctx.cfg.lease_ms;
         let total_cpus = |spec: &JobSpec| spec.cpus * f64::from(spec.tasks);
-        self.by_class.retain(|_, size| size.until > ctx.now);
+        self.by_class.retain(|_, size| size.expires_at > ctx.now);
         if let Some(size) = self.by_class.get_mut(&spec.class) {
-            size.until = until;
+            size.expires_at = expires_at;
             if total_cpus(spec) > total_cpus(&size.spec) {
                 size.spec = spec.clone();
             }
         } else if self.by_class.len() < MAX_CLASSES {
-            self.by_class.insert(spec.class.clone(), ReplicaSize { spec: spec.clone(), until });
+            self.by_class
+                .insert(spec.class.clone(), ReplicaSize { spec: spec.clone(), expires_at });
         }
     }
 
-    fn remembered(&self, now: Ms) -> impl Iterator<Item = &ReplicaSize> {
-        self.by_class.values().filter(move |size| size.until > now)
+    fn unexpired(&self, now: Ms) -> impl Iterator<Item = &ReplicaSize> {
+        self.by_class.values().filter(move |size| size.expires_at > now)
     }
 }
 
-/// Replicas of a service for which a zone has too little free capacity.
+/// Replicas of a service for which no capacity could be reserved in a zone.
 struct Shortfall {
     zone: String,
     spec: Arc<JobSpec>,
     replicas: u32,
 }
 
-/// Capacity that a scheduling cycle reserved.
+/// Capacity reserved by a scheduling cycle.
 #[derive(Default)]
 pub(in crate::leader) struct ReservedCapacity {
-    /// What is reserved of each machine.
+    /// Reserved part of each machine's free capacity.
     by_machine: BTreeMap<MachineId, FreeCapacity>,
-    /// What could not be reserved.
+    /// Replicas for which no capacity could be reserved.
     shortfalls: Vec<Shortfall>,
 }
 
 impl ReservedCapacity {
-    /// Reserves capacity for so many replicas on a machine.
+    /// Reserves capacity for `replicas` replicas on a machine.
     fn reserve(&mut self, capacity: &mut FreeCapacity, spec: &JobSpec, replicas: u32) {
-        let nothing = || FreeCapacity { free: Resources::default(), ..capacity.clone() };
-        let reserved = self.by_machine.entry(capacity.machine.clone()).or_insert_with(nothing);
+        let empty = || FreeCapacity { free: Resources::default(), ..capacity.clone() };
+        let reserved = self.by_machine.entry(capacity.machine.clone()).or_insert_with(empty);
         reserved.free += Resources::of_task(spec) * f64::from(replicas);
-        capacity.take(spec, replicas);
+        capacity.deduct_tasks(spec, replicas);
     }
 
-    /// Reserves capacity for replicas of a service in a zone, and notes those for which there is
-    /// none.
+    /// Reserves capacity for replicas of a service in a zone, and records the shortfall if there is
+    /// too little.
     fn reserve_in_zone(
         &mut self,
         types: &[MachineType],
@@ -113,10 +115,10 @@
             if replicas == 0 || !capacity.permitted_by(spec, types) {
                 continue;
             }
-            let here = capacity.fits(spec).min(replicas);
-            if here > 0 {
-                self.reserve(capacity, spec, here);
-                replicas -= here;
+            let fitting = capacity.fitting_tasks(spec).min(replicas);
+            if fitting > 0 {
+                self.reserve(capacity, spec, fitting);
+                replicas -= fitting;
             }
         }
         if replicas > 0 {
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Gives all of it back.
+    /// Returns all reserved capacity to the free capacity.
     pub(in crate::leader) fn release_all(self, free: &mut Vec<FreeCapacity>) {
         for reserved in self.by_machine.into_values() {
             match free.iter_mut().find(|capacity| capacity.machine == reserved.machine) {
@@ -134,9 +136,9 @@
         }
     }
 
-    /// Takes from a machine's free capacity what is reserved of it, and what of it makes up for a
-    /// shortfall.
-    pub(in crate::leader) fn withhold(
+    /// Deducts the reserved part from a machine's free capacity, and reserves more of it to cover
+    /// shortfalls.
+    pub(in crate::leader) fn deduct_reserved(
         &mut self,
         types: &[MachineType],
         capacity: &mut FreeCapacity,
@@ -148,7 +150,7 @@
         for shortfall in &mut shortfalls {
             let spec = &shortfall.spec;
             if shortfall.zone == capacity.zone && capacity.permitted_by(spec, types) {
-                let replicas = capacity.fits(spec).min(shortfall.replicas);
+                let replicas = capacity.fitting_tasks(spec).min(shortfall.replicas);
                 self.reserve(capacity, spec, replicas);
                 shortfall.replicas -= replicas;
             }
@@ -158,7 +160,8 @@
     }
 }
 
-/// Reserves capacity on machines with free capacity, within the guarantees of teams.
+/// Reserves capacity for high-priority services, within the guarantees of their teams, and deducts
+/// it from the free capacity.
 pub(in crate::leader) fn reserve_capacity(
     ctx: &Context,
     sizes: &ReplicaSizes,
@@ -167,8 +170,9 @@
 ) -> ReservedCapacity {
     let mut reserved = ReservedCapacity::default();
     let teams = ctx.cfg.teams.iter().zip(used);
-    let mut guarantee_left: Vec<f64> = teams.map(|(team, used)| team.cpus - used.cpus).collect();
-    for size in sizes.remembered(ctx.now) {
+    let mut unused_guarantee_cpus: Vec<f64> =
+        teams.map(|(team, used)| team.cpus - used.cpus).collect();
+    for size in sizes.unexpired(ctx.now) {
         for zone in &ctx.cfg.zones {
             let spec = &size.spec;
             if spec.zone.as_ref().is_some_and(|allowed| allowed != zone) {
@@ -176,9 +180,9 @@
             }
             let Some(team) = ctx.cfg.team(&spec.team) else { continue };
             let replicas = size
-                .reserved_per_zone(ctx.cfg.zones.len())
-                .min(fits(guarantee_left[team], spec.cpus));
-            guarantee_left[team] -= f64::from(replicas) * spec.cpus;
+                .reserved_replicas_per_zone(ctx.cfg.zones.len())
+                .min(fits(unused_guarantee_cpus[team], spec.cpus));
+            unused_guarantee_cpus[team] -= f64::from(replicas) * spec.cpus;
             reserved.reserve_in_zone(ctx.types, free, zone, spec, replicas);
         }
     }
@@ -186,8 +190,9 @@
     reserved
 }
 
-/// Machines of a kind that the services need, with what is reserved for more of them. Only
-/// on-demand machines are counted: a reclaimed spot machine takes a replica.
+/// Returns how many machines of a kind the services need, including the capacity reserved for
+/// further services. Only on-demand machines are counted, since a replica on a spot machine is lost
+/// when the cloud reclaims it.
 pub(in crate::leader) fn machines_for_services(
     ctx: &Context,
     cluster: &Cluster,
@@ -197,28 +202,31 @@
     let known_type = machine_type(ctx.types, &kind.machine_type);
     let Some(machine_type) = known_type.filter(|_| !kind.spot) else { return 0 };
     let zones = machine_type.zones.len().max(1);
-    let belongs_here = |spec: &JobSpec| {
+    let runs_on_kind = |spec: &JobSpec| {
         let zone_allowed = spec.zone.as_ref().is_none_or(|zone| *zone == kind.zone);
         zone_allowed && is_cheapest_type(ctx.types, machine_type, spec)
     };
-    let machines = |spec: &JobSpec, replicas: f64| replicas / f64::from(machine_type.holds(spec));
+    let machines_for =
+        |spec: &JobSpec, replicas: f64| replicas / f64::from(machine_type.holds(spec));
     let running = cluster
         .jobs
         .values()
-        .filter(|job| job.ended.is_none() && job.spec.is_service() && belongs_here(&job.spec))
+        .filter(|job| job.ended.is_none() && job.spec.is_service() && runs_on_kind(&job.spec))
         .map(|job| {
             let replicas = f64::from(job.desired_placements());
-            let in_zone = if job.spec.zone.is_some() { replicas } else { replicas / zones as f64 };
-            machines(&job.spec, in_zone)
+            let replicas_in_zone =
+                if job.spec.zone.is_some() { replicas } else { replicas / zones as f64 };
+            machines_for(&job.spec, replicas_in_zone)
         });
     let reserved = sizes
-        .remembered(ctx.now)
-        .filter(|size| belongs_here(&size.spec))
-        .map(|size| machines(&size.spec, f64::from(size.reserved_per_zone(zones))));
+        .unexpired(ctx.now)
+        .filter(|size| runs_on_kind(&size.spec))
+        .map(|size| machines_for(&size.spec, f64::from(size.reserved_replicas_per_zone(zones))));
     running.chain(reserved).sum::<f64>().ceil() as usize
 }
 
-/// Whether no type runs the job's tasks at a lower price.
+/// Returns whether a type has the lowest on-demand price per task among the types that the job
+/// allows.
 fn is_cheapest_type(types: &[MachineType], machine_type: &MachineType, spec: &JobSpec) -> bool {
     let price_per_task = |t: &&MachineType| t.price / f64::from(t.holds(spec));
     types
--- a/crates/basaltrail-core/src/leader/scheduler/services.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services.rs
@@ -1,4 +1,4 @@
-//! Services: jobs whose replicas run until the job is cancelled.
+//! Queries about services, the jobs whose replicas run until the job is cancelled.
 
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
@@ -6,16 +6,16 @@
 use crate::model::{JobSpec, MachineId, Priority, TaskId};
 use std::collections::BTreeSet;
 
-/// Other replicas that are looked at to tell whether a service runs.
-const REPLICAS_LOOKED_AT: usize = 16;
+/// Maximum number of other replicas that are examined to find a running one.
+const MAX_REPLICAS_EXAMINED: usize = 16;
 
-/// Whether the replicas of this job go before the order of jobs.
+/// Returns whether a job is a service that gets capacity ahead of the fair-share order.
 pub(in crate::leader) fn is_high_priority_service(spec: &JobSpec) -> bool {
     spec.is_service() && spec.priority >= Priority::High
 }
 
-/// Whether another replica of this service has run for a while: a failure of this one is then
-/// not the service's.
+/// Returns whether another replica of the task's service has run for at least half a worker lease,
+/// so that a failure of this replica is not evidence against the service.
 pub(in crate::leader) fn another_replica_runs(
     ctx: &Context,
     cluster: &Cluster,
@@ -25,7 +25,7 @@
         return false;
     };
     let others = job.placed.iter().filter(|(index, _)| **index != task.index);
-    others.take(REPLICAS_LOOKED_AT).any(|(index, (machine, attempt))| {
+    others.take(MAX_REPLICAS_EXAMINED).any(|(index, (machine, attempt))| {
         let key = (TaskId { job: task.job, index: *index }, *attempt);
         let slot = cluster.machines.get(machine).and_then(|machine| machine.slots.get(&key));
         slot.and_then(|slot| slot.running_since)
@@ -33,7 +33,7 @@
     })
 }
 
-/// Machines that may run a replica.
+/// Returns the machines that may run a replica.
 pub(in crate::leader) fn machines_with_replicas(cluster: &Cluster) -> BTreeSet<MachineId> {
     if !any_service(cluster) {
         return BTreeSet::new();
@@ -42,16 +42,16 @@
     with_replicas.map(|machine| machine.id.clone()).collect()
 }
 
-/// Whether there is a service at all.
+/// Returns whether there is any service.
 pub(in crate::leader) fn any_service(cluster: &Cluster) -> bool {
     cluster.jobs.values().any(|job| job.spec.is_service())
 }
 
-/// Whether a machine may run a replica.
+/// Returns whether a machine may run a replica.
 pub(in crate::leader) fn has_replicas(cluster: &Cluster, machine: &Machine) -> bool {
-    let of_service =
+    let is_of_service =
         |task: &TaskId| cluster.jobs.get(&task.job).is_some_and(|job| job.spec.is_service());
-    machine.slots.iter().any(|((task, _), slot)| slot.holds_resources() && of_service(task))
+    machine.slots.iter().any(|((task, _), slot)| slot.holds_resources() && is_of_service(task))
 }
 
 #[cfg(test)]
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -2,7 +2,7 @@
 use crate::answer::Answer;
 use crate::leader::autoscaler::partitions::silent_machines_with_replicas;
 use crate::leader::failover::Loading;
-use crate::leader::scheduler::deadline_feasibility::find_feasible;
+use crate::leader::scheduler::deadline_feasibility::find_feasible_slacks;
 use crate::leader::scheduler::reserved_capacity::machines_for_services;
 use crate::leader::scheduler::test_cluster::{ready_machine, service, TestCluster};
 use crate::leader::Leader;
@@ -18,7 +18,7 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
-/// A leader with so many machines in each zone, all of them heard just now.
+/// Returns a leader with `per_zone` machines in each zone, all with a heartbeat at time 0.
 fn leader_with_machines(test: &TestCluster, per_zone: usize) -> Leader {
     let mut leader = test.leader(0);
     leader.failover.loading = Loading::Complete;
@@ -32,30 +32,35 @@
 }
 
 fn schedule(test: &TestCluster, leader: &mut Leader, now: Ms) {
-    leader.scheduler.next_cycle_at = 0;
+    leader.scheduler.earliest_cycle_at = 0;
     leader.schedule(&test.context(now), &mut Calls::default(), &mut SmallRng::seed_from_u64(1));
 }
 
 fn machines_of(leader: &Leader, job: u64) -> Vec<String> {
-    let on = |m: &&Machine| m.slots.keys().any(|(t, _)| t.job == JobId(job));
-    leader.cluster.machines.values().filter(on).map(|m| m.id.to_string()).collect()
+    let runs_job = |m: &&Machine| m.slots.keys().any(|(task, _)| task.job == JobId(job));
+    leader.cluster.machines.values().filter(runs_job).map(|m| m.id.to_string()).collect()
 }
 
-/// Packed on as few machines as possible, all replicas would go with one of them.
+/// If replicas were packed on as few machines as possible, the loss of one machine could take all
+/// of them.
 #[test]
-fn replicas_run_on_different_machines_while_there_are_any() {
+fn replicas_run_on_separate_machines_if_there_are_enough() {
     let test = TestCluster::new(100.0, &[service(4, 2.0)]);
     let mut leader = leader_with_machines(&test, 3);
     schedule(&test, &mut leader, 100);
     assert_eq!(machines_of(&leader, 1).len(), 4);
-    let mut few = leader_with_machines(&test, 1);
-    schedule(&test, &mut few, 100);
-    assert_eq!(machines_of(&few, 1).len(), 2);
-    assert_eq!(few.cluster.jobs[&JobId(1)].pending(), 0, "two on each are better than none");
+    let mut leader_of_two = leader_with_machines(&test, 1);
+    schedule(&test, &mut leader_of_two, 100);
+    assert_eq!(machines_of(&leader_of_two, 1).len(), 2);
+    assert_eq!(
+        leader_of_two.cluster.jobs[&JobId(1)].pending(),
+        0,
+        "replicas share machines rather than wait"
+    );
 }
 
-/// An array would take all capacity, and a service that comes, or comes back, would wait for
-/// its tasks to end.
+/// Without reserved capacity, an array would take all of it, and a service that is submitted or
+/// restarted would wait for the array's tasks to end.
 #[test]
 fn capacity_for_services_is_reserved_from_arrays_within_the_guarantee() {
     let array = a_job(99, true);
@@ -72,13 +77,14 @@
     }
 }
 
-/// Kept from a job of which nothing runs, it would leave the job waiting beside free capacity.
+/// If the capacity stayed reserved, a job without any running task would wait although machines are
+/// free.
 #[test]
 fn reserved_capacity_is_given_to_a_starved_job() {
     let test = TestCluster::new(100.0, &[service(4, 2.0), a_job(2, false)]);
     let mut leader = leader_with_machines(&test, 1);
     schedule(&test, &mut leader, 100);
-    assert!(machines_of(&leader, 2).is_empty(), "all is reserved");
+    assert!(machines_of(&leader, 2).is_empty(), "all free capacity is reserved");
     for m in leader.cluster.machines.values_mut() {
         m.last_heartbeat = Some(50_000);
     }
@@ -86,34 +92,33 @@
     assert_eq!(machines_of(&leader, 2).len(), 1);
 }
 
-/// A machine that goes with a replica on it is missed for a lease, unless it is given up
-/// sooner; but many silent ones are partitioned, and come back with what runs there.
+/// A replica on a lost machine is down for a worker lease, unless the machine is given up sooner.
+/// If many machines are silent, the cause is a network partition, and they return with their tasks.
 #[test]
 fn few_silent_machines_with_replicas_are_given_up_and_many_are_not() {
     let test = TestCluster::new(100.0, &[service(4, 2.0)]);
     let mut leader = leader_with_machines(&test, 8);
     schedule(&test, &mut leader, 100);
-    let with: Vec<MachineId> =
+    let with_replica: Vec<MachineId> =
         machines_of(&leader, 1).iter().map(|m| MachineId(m.as_str().into())).collect();
     let now = 10_000;
-    let hear = |leader: &mut Leader, silent: &[MachineId], at: Ms| {
+    let set_heartbeats = |leader: &mut Leader, silent: &[MachineId], silent_since: Ms| {
         for m in leader.cluster.machines.values_mut() {
-            m.last_heartbeat = Some(if silent.contains(&m.id) { at } else { now });
+            m.last_heartbeat = Some(if silent.contains(&m.id) { silent_since } else { now });
         }
     };
     let silent = |leader: &Leader| {
         let reachable_since = leader.liveness.reachable_since;
         silent_machines_with_replicas(&test.context(now), &leader.cluster, reachable_since)
     };
-    hear(&mut leader, &with[..1], now - 3_400);
-    assert!(silent(&leader).is_empty(), "too soon");
-    hear(&mut leader, &with[..1], now - 3_600);
+    set_heartbeats(&mut leader, &with_replica[..1], now - 3_400);
+    assert!(silent(&leader).is_empty(), "the machine was not silent for long enough");
+    set_heartbeats(&mut leader, &with_replica[..1], now - 3_600);
     assert_eq!(silent(&leader).len(), 1);
     leader.liveness.reachable_since = now - 2_000;
-    assert!(silent(&leader).is_empty(), "we stood still ourselves");
+    assert!(silent(&leader).is_empty(), "the controller itself was stalled");
     leader.liveness.reachable_since = 0;
-    // Half of a zone.
-    let zone: Vec<MachineId> = leader
+    let half_zone: Vec<MachineId> = leader
         .cluster
         .machines
         .values()
@@ -121,15 +126,17 @@
         .map(|m| m.id.clone())
         .take(4)
         .collect();
-    hear(&mut leader, &zone, now - 3_600);
-    assert!(silent(&leader).is_empty(), "a network partition");
-    // One without a replica may wait for its lease.
-    let bare = leader.cluster.machines.keys().find(|m| !with.contains(m)).unwrap().clone();
-    hear(&mut leader, &[bare], now - 3_600);
+    set_heartbeats(&mut leader, &half_zone, now - 3_600);
+    assert!(silent(&leader).is_empty(), "half of a zone is silent, so it is a network partition");
+    // A machine without a replica is only given up when its lease expires.
+    let without_replica =
+        leader.cluster.machines.keys().find(|m| !with_replica.contains(m)).unwrap().clone();
+    set_heartbeats(&mut leader, &[without_replica], now - 3_600);
     assert!(silent(&leader).is_empty());
 }
 
-/// Machines for services are not drained as idle, and are requested while there are too few.
+/// The count prevents machines for services from being drained as idle, and makes the leader
+/// request more while there are too few.
 #[test]
 fn services_need_on_demand_machines() {
     let test = TestCluster::new(100.0, &[service(6, 2.0)]);
@@ -139,29 +146,34 @@
         let sizes = &leader.scheduler.replica_sizes;
         machines_for_services(&test.context(0), &leader.cluster, sizes, kind)
     };
-    // Three replicas of its own in each zone, and capacity reserved for two times three: 18 CPUs.
+    // Each zone needs capacity for three replicas of the service, and reserved capacity for two
+    // times three: 18 CPUs.
     assert_eq!(machines(&test, &leader, &kind("a", false)), 3);
     assert_eq!(machines(&test, &leader, &kind("b", true)), 0);
-    let none = TestCluster::new(100.0, &[a_job(6, false)]);
-    assert_eq!(machines(&none, &leader_with_machines(&none, 1), &kind("a", false)), 0);
+    let without_service = TestCluster::new(100.0, &[a_job(6, false)]);
+    assert_eq!(
+        machines(&without_service, &leader_with_machines(&without_service, 1), &kind("a", false)),
+        0
+    );
 }
 
-/// What has no end is no work that ends: as overload it would make every deadline infeasible.
+/// Counted as work that ends, a service would look like an overload that makes every deadline
+/// infeasible.
 #[test]
 fn services_do_not_count_as_work_that_ends() {
     let mut test = TestCluster::new(100.0, &[service(40, 1.0), a_job(10, true)]);
     test.settings.objectives = vec![Objective::Finished { class: "c".into(), within_s: 200.0 }];
     let leader = leader_with_machines(&test, 8);
     let used = [Resources::default()];
-    let feasible = find_feasible(&test.context(0), &leader.cluster, 128.0, &used);
-    assert_eq!(feasible.get(&JobId(1)), Some(&0.0), "its replicas are missed");
-    assert!(feasible.contains_key(&JobId(2)), "the array can be in time");
+    let feasible = find_feasible_slacks(&test.context(0), &leader.cluster, 128.0, &used);
+    assert_eq!(feasible.get(&JobId(1)), Some(&0.0), "its pending replicas are late already");
+    assert!(feasible.contains_key(&JobId(2)), "the array can meet its deadline");
 }
 
-/// Left where it is until the machine is taken, a replica would be missed for a lease; it has
-/// no end that it might reach before.
+/// A replica that stays until its machine is reclaimed would be down for a worker lease, and unlike
+/// a task of an array, it cannot complete before.
 #[test]
-fn replicas_leave_a_machine_that_is_about_to_go() {
+fn replicas_are_stopped_on_a_machine_with_a_reclaim_notice() {
     let test = TestCluster::new(100.0, &[service(2, 2.0), a_job(1, true)]);
     let mut leader = leader_with_machines(&test, 2);
     schedule(&test, &mut leader, 100);
@@ -178,9 +190,9 @@
         reclaim_notice_s: Some(12.0),
         tasks: Vec::new(),
     };
-    let entries = &mut leader.cluster.machines.get_mut(&id).unwrap().slots;
-    for ((task, attempt), e) in entries.iter_mut() {
-        e.phase = TaskPhase::Confirmed(TaskState::Running);
+    let slots = &mut leader.cluster.machines.get_mut(&id).unwrap().slots;
+    for ((task, attempt), slot) in slots.iter_mut() {
+        slot.phase = TaskPhase::Confirmed(TaskState::Running);
         let (task, attempt) = (*task, *attempt);
         heartbeat.tasks.push(TaskStatus { task, attempt, state: TaskState::Running });
     }
@@ -192,7 +204,7 @@
     let permit = evidence.permit(&heartbeat);
     let answer = leader.heartbeat(&ctx, &mut Calls::default(), &heartbeat, permit, &mut rng);
     let Ok(Answer::Commands { commands, .. }) = answer else { panic!("{answer:?}") };
-    let stops =
-        |o: &TaskCommand| matches!(o, TaskCommand::Stop { task, .. } if task.job == JobId(1));
-    assert!(commands.iter().any(stops), "{commands:?}");
+    let stops_replica =
+        |cmd: &TaskCommand| matches!(cmd, TaskCommand::Stop { task, .. } if task.job == JobId(1));
+    assert!(commands.iter().any(stops_replica), "{commands:?}");
 }
--- a/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
@@ -11,7 +11,7 @@
 use crate::settings::{Settings, Team};
 use crate::store::records::JobRecord;
 
-/// Settings, machine types and jobs of which a leader knows.
+/// The settings, machine types and jobs that a leader knows.
 pub(in crate::leader) struct TestCluster {
     pub(in crate::leader) settings: Settings,
     pub(in crate::leader) types: Vec<MachineType>,
@@ -19,7 +19,8 @@
 }
 
 impl TestCluster {
-    /// A cluster of team `t`, with its jobs 1, 2 and so on, accepted after the election.
+    /// Returns a cluster with team `t` and its jobs, numbered from 1 and accepted after the
+    /// election.
     pub(in crate::leader) fn new(guaranteed_cpus: f64, jobs: &[JobSpec]) -> Self {
         let mut job_cache = JobCache::new(10);
         for (index, spec) in jobs.iter().enumerate() {
@@ -30,7 +31,7 @@
         TestCluster { settings, types: vec![a_type()], job_cache }
     }
 
-    /// What a leader with a valid lease and fresh knowledge of jobs may look at.
+    /// Returns the context of a leader with a valid lease and a fresh job cache.
     pub(in crate::leader) fn context(&self, now: Ms) -> Context<'_> {
         Context {
             cfg: &self.settings,
@@ -43,13 +44,13 @@
         }
     }
 
-    /// A leader elected at revision 1, without machines.
+    /// Returns a leader elected at revision 1, without machines.
     pub(in crate::leader) fn leader(&self, now: Ms) -> Leader {
         Leader::new(&self.context(now), FencingToken(2), Revision(1))
     }
 }
 
-/// A team without limits.
+/// Returns a team without limits.
 pub(in crate::leader) fn team(name: &str, guaranteed_cpus: f64) -> Team {
     Team {
         name: name.into(),
@@ -60,7 +61,7 @@
     }
 }
 
-/// A service of the highest priority whose replicas are spread over zones.
+/// Returns a service of the highest priority whose replicas are spread over zones.
 pub(in crate::leader) fn service(replicas: u32, cpus: f64) -> JobSpec {
     JobSpec {
         kind: JobKind::Service,
@@ -72,7 +73,7 @@
     }
 }
 
-/// A machine that may be given tasks while its last heartbeat is recent.
+/// Returns a machine that accepts tasks while its last heartbeat is recent.
 pub(in crate::leader) fn ready_machine(
     name: &str,
     zone: &str,
@@ -85,7 +86,7 @@
     machine
 }
 
-/// The slot of a task that has run since time 0.
+/// Returns the slot of a task that has run since time 0.
 pub(in crate::leader) fn running_slot(demand: TaskDemand) -> TaskSlot {
     TaskSlot {
         phase: TaskPhase::Confirmed(TaskState::Running),
--- a/crates/basaltrail-core/src/leader/scheduler/waiting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/waiting.rs
@@ -1,4 +1,4 @@
-//! The jobs whose tasks wait and may be started now.
+//! The jobs with pending tasks that may be started now.
 
 use super::assignment::SchedulerInputs;
 use super::capacity::unreconciled_kinds;
@@ -8,27 +8,31 @@
 use crate::model::{JobId, Revision};
 use std::collections::BTreeSet;
 
-/// Jobs that may get tasks assigned now.
-pub(in crate::leader) struct Waiting {
-    /// By team, in the order in which they are to get capacity once sorted.
+/// Jobs with pending tasks that may be assigned now.
+pub(in crate::leader) struct WaitingJobs {
+    /// Jobs that are not in a crash loop, by team. Once sorted, they are in the order in which they
+    /// get capacity.
     pub(in crate::leader) by_team: Vec<Vec<JobId>>,
-    /// Those in a crash loop, which try one task at a time.
+    /// Jobs in a crash loop, which run one task at a time.
     pub(in crate::leader) crash_looping: Vec<JobId>,
 }
 
-impl Waiting {
-    /// The jobs with waiting tasks that are in no back-off and may not run unseen.
+impl WaitingJobs {
+    /// Collects the jobs with pending tasks that are not in a back-off, whose record is known, and
+    /// of which no unreported task may be running.
     pub(in crate::leader) fn collect(inputs: &SchedulerInputs) -> Self {
         let SchedulerInputs { ctx, cluster, unknown_jobs, .. } = inputs;
         let unreconciled = unreconciled_kinds(cluster);
-        let mut waiting =
-            Waiting { by_team: vec![Vec::new(); ctx.cfg.teams.len()], crash_looping: Vec::new() };
+        let mut waiting = WaitingJobs {
+            by_team: vec![Vec::new(); ctx.cfg.teams.len()],
+            crash_looping: Vec::new(),
+        };
         for job in cluster.jobs.values() {
-            let startable = job.pending() > 0
+            let is_startable = job.pending() > 0
                 && job.health.back_off_until() <= ctx.now
                 && !unknown_jobs.contains(&job.id)
-                && !may_run_unseen(job, inputs.elected_revision, &unreconciled);
-            if !startable {
+                && !may_have_unreported_tasks(job, inputs.elected_revision, &unreconciled);
+            if !is_startable {
                 continue;
             }
             match job.health.is_crash_looping() {
@@ -39,24 +43,23 @@
         waiting
     }
 
-    /// Removes a job of a team.
     pub(in crate::leader) fn remove(&mut self, team: usize, id: JobId) {
         self.by_team[team].retain(|job| *job != id);
     }
 
-    /// The first job of each team that has one.
-    pub(in crate::leader) fn heads(&self) -> impl Iterator<Item = TeamHead> + '_ {
-        let first = |(team, jobs): (usize, &Vec<JobId>)| {
+    /// Returns the first job of each team that has one.
+    pub(in crate::leader) fn team_heads(&self) -> impl Iterator<Item = TeamHead> + '_ {
+        let head = |(team, jobs): (usize, &Vec<JobId>)| {
             jobs.first().map(|job| TeamHead { team, job: *job })
         };
-        self.by_team.iter().enumerate().filter_map(first)
+        self.by_team.iter().enumerate().filter_map(head)
     }
 }
 
-/// Whether an earlier leader may have started tasks of this job on a machine that has not
-/// reported to this leader. A job accepted since the failover cannot have been started, and no
-/// leader of any version starts a task on a kind of machine that its job does not permit.
-fn may_run_unseen(
+/// Returns whether an earlier leader may have started tasks of this job on a machine that has not
+/// reported to this leader. That is impossible for a job accepted since the failover, and on a
+/// kind of machine that the job does not permit, since no version of the leader starts tasks there.
+fn may_have_unreported_tasks(
     job: &JobState,
     elected_revision: Revision,
     unreconciled: &BTreeSet<MachineKind>,
