--- a/crates/basaltrail-core/src/controller/admission_tests.rs
+++ b/crates/basaltrail-core/src/controller/admission_tests.rs
@@ -20,7 +20,7 @@
     let mut controller = Controller::new(Arc::new(cfg), 1);
     controller.job_watch.page_read(Revision(1));
     controller.job_watch.list_completed(0);
-    controller.types = MachineTypes::of(vec![a_type()]);
+    controller.types = MachineTypes::with_known(vec![a_type()]);
     controller
 }
 
--- a/crates/basaltrail-core/src/controller/machine_types.rs
+++ b/crates/basaltrail-core/src/controller/machine_types.rs
@@ -2,7 +2,7 @@
 
 use super::Controller;
 use crate::io::{CloudReply, CloudRequest, Precondition, PutRequest, StoreReply, StoreRequest};
-use crate::machines::types::TypesCall;
+use crate::machines::types::MachineTypesCall;
 use crate::model::{Ms, Revision};
 use crate::store::calls::{CloudPurpose, StorePurpose};
 use crate::store::rate_limiter::CallPriority;
@@ -15,24 +15,24 @@
         let Some(call) = self.types.call_due(self.now, self.cfg.value_bytes, leads) else { return };
         let timeout_ms = self.cfg.lease_ms / 3;
         match call {
-            TypesCall::Read => {
+            MachineTypesCall::Read => {
                 if self.calls.try_acquire(self.now, CallPriority::Request) {
-                    self.types.sent();
+                    self.types.record_sent();
                     let request = StoreRequest::Get(MACHINE_TYPES_KEY.into());
                     self.calls.send_to_store(StorePurpose::ReadMachineTypes, request, timeout_ms);
                 }
             }
-            TypesCall::Write { value, mod_revision } => {
+            MachineTypesCall::Write { value, mod_revision } => {
                 if self.calls.try_acquire(self.now, CallPriority::Request)
                     && self.calls.write_rate.try_acquire(self.now, 1.0, CallPriority::Request)
                 {
-                    self.types.sent();
+                    self.types.record_sent();
                     self.write_machine_types(value, mod_revision, timeout_ms);
                 }
             }
-            TypesCall::AskCloud => {
+            MachineTypesCall::RequestFromCloud => {
                 if self.calls.cloud_rate.try_acquire(self.now, 1.0, CallPriority::Lease) {
-                    self.types.sent();
+                    self.types.record_sent();
                     let request = CloudRequest::Types;
                     self.calls.send_to_cloud(CloudPurpose::MachineTypes, request, timeout_ms);
                 }
@@ -51,13 +51,13 @@
 
     /// Takes the machine types that were read from the store.
     pub(super) fn machine_types_read(&mut self, reply: StoreReply) {
-        self.types.read(reply, self.now + self.cfg.heartbeat_interval_ms / 4);
+        self.types.apply_read_reply(reply, self.now + self.cfg.heartbeat_interval_ms / 4);
     }
 
     /// Takes the cloud's reply.
     pub(super) fn machine_types_told(&mut self, reply: CloudReply) {
         let retry_at = self.now + self.cfg.lease_ms / 8;
         let next_at = self.now + self.cfg.lease_ms * 6;
-        self.types.cloud_replied(reply, retry_at, next_at);
+        self.types.apply_cloud_reply(reply, retry_at, next_at);
     }
 }
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -38,7 +38,7 @@
             StorePurpose::ReadOutcome { job, requests } => self.outcome_read(job, requests, reply),
             StorePurpose::CancelJob { job, requests } => self.job_cancelled(job, requests, reply),
             StorePurpose::ReadMachineTypes => self.machine_types_read(reply),
-            StorePurpose::WriteMachineTypes => self.types.written(&reply),
+            StorePurpose::WriteMachineTypes => self.types.apply_write_reply(&reply),
             StorePurpose::AnnounceController => self.admission.announced(self.now, &self.cfg),
             StorePurpose::LoadLeaderState { token } => {
                 self.with_leader_of(token, |leader, ctx, calls| {
--- a/crates/basaltrail-core/src/controller/tests.rs
+++ b/crates/basaltrail-core/src/controller/tests.rs
@@ -9,7 +9,7 @@
     let mut controller = Controller::new(Arc::new(settings()), 1);
     controller.job_watch.page_read(Revision(1));
     controller.job_watch.list_completed(0);
-    controller.types = MachineTypes::of(vec![a_type()]);
+    controller.types = MachineTypes::with_known(vec![a_type()]);
     controller.store_reachable_at = 10_000;
     let mut ready_at = |now, leader_heard_at| {
         (controller.now, controller.leader_heard_at) = (now, leader_heard_at);
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -101,7 +101,7 @@
         let oldest_ms = ctx.cfg.list_lag_ms * 5 / 2 + LIST_AGE_MARGIN_MS;
         let listed: HashSet<&MachineId> = listed.iter().map(|listed| &listed.machine).collect();
         let listed_before = |machine: &Machine| {
-            machine.first_listed.is_some_and(|at| self.requested_at > at + oldest_ms)
+            machine.first_listed_at.is_some_and(|at| self.requested_at > at + oldest_ms)
         };
         let silent = |machine: &Machine| {
             machine.last_heartbeat.is_none_or(|at| ctx.now > at + ctx.cfg.heartbeat_interval_ms)
@@ -110,7 +110,7 @@
             .machines
             .values()
             .filter(|machine| listed_before(machine) && silent(machine))
-            .filter(|m| m.decommission != Decommission::Releasing && !listed.contains(&m.id))
+            .filter(|m| m.decommission != Decommission::Terminating && !listed.contains(&m.id))
             .map(|machine| machine.id.clone())
             .collect()
     }
@@ -132,8 +132,8 @@
     let booting_since = (listed.state == ListedState::Booting).then_some(requested_at);
     if let Some(machine) = cluster.machines.get_mut(&listed.machine) {
         machine.requested_at = machine.requested_at.or(booting_since);
-        machine.listed = Some((listed.state, ctx.now));
-        machine.first_listed.get_or_insert(ctx.now);
+        machine.last_listed = Some((listed.state, ctx.now));
+        machine.first_listed_at.get_or_insert(ctx.now);
         if machine.endpoint.is_empty() {
             machine.endpoint = listed.endpoint;
         }
@@ -142,8 +142,8 @@
     let ListedMachine { machine: id, machine_type, zone, spot, .. } = listed;
     let mut machine = Machine::new(id, &machine_type, &zone, spot, ctx.now);
     machine.endpoint = listed.endpoint;
-    machine.listed = Some((listed.state, ctx.now));
-    machine.first_listed = Some(ctx.now);
+    machine.last_listed = Some((listed.state, ctx.now));
+    machine.first_listed_at = Some(ctx.now);
     machine.known_since = requested_at;
     machine.requested_at = booting_since;
     Some(machine)
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -140,11 +140,11 @@
         let silence_ms = self.silence_ms(machine);
         let age_ms = now - machine.known_since;
         let list_ms = cfg.list_lag_ms * LIST_LAGS + LIST_MARGIN_MS;
-        let listed = machine.listed.is_some_and(|(_, at)| now <= at + list_ms);
+        let listed = machine.last_listed.is_some_and(|(_, at)| now <= at + list_ms);
         let never_heard = machine.last_heartbeat.is_none();
         let partitioned = self.autoscaler.partitions.contains(&machine.zone);
         let longest_ms = self.boot_ms * ABANDONED + NEVER_HEARD_LEASES * cfg.lease_ms as f64;
-        if matches!(machine.listed, Some((ListedState::Failed, _))) {
+        if matches!(machine.last_listed, Some((ListedState::Failed, _))) {
             Some(ReleaseReason::Failed)
         } else if !listed && silence_ms > cfg.lease_ms + list_ms && age_ms > list_ms {
             Some(ReleaseReason::NotListed)
@@ -201,7 +201,7 @@
     /// From here on the machine is not to be used, whatever the cloud answers.
     fn note_termination(&mut self, ctx: &Context, cluster: &mut Cluster, id: &MachineId) {
         let Some(machine) = cluster.machines.get_mut(id) else { return };
-        machine.decommission = Decommission::Releasing;
+        machine.decommission = Decommission::Terminating;
         let never_came = machine.abandoned && machine.last_heartbeat.is_none();
         if let Some(t) = machine_type(ctx.types, &machine.machine_type).filter(|_| never_came) {
             self.provisioning_times.note_abandoned(t, &machine.zone, ctx.now);
--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -233,7 +233,7 @@
         demand: Some(demand),
         stop_grace_s: None,
         stop_sent_at: None,
-        since: ctx.now,
+        known_since: ctx.now,
         running_since: None,
         outcome_recorded: false,
         first_of_job,
--- a/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
@@ -92,7 +92,7 @@
         demand: Some(demand),
         stop_grace_s: None,
         stop_sent_at: None,
-        since: 0,
+        known_since: 0,
         running_since: Some(0),
         outcome_recorded: false,
         first_of_job: false,
--- a/crates/basaltrail-core/src/leader/scheduler/victims.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/victims.rs
@@ -56,7 +56,7 @@
             let slack_s = feasible_slack_s.get(&key.0.job);
             let by_slack = slack_s.map_or(i64::MIN, |slack_s| -slack_s as i64 / SLACK_STEP_S);
             let victim = Victim { machine: machine.id.clone(), key: *key, demand };
-            ranked.push(((demand.priority, by_slack, Ms::MAX - slot.since), victim));
+            ranked.push(((demand.priority, by_slack, Ms::MAX - slot.known_since), victim));
         }
     }
     sorted(ranked)
@@ -80,7 +80,7 @@
                 slot.demand.filter(|_| slot.holds_resources() && slot.stop_grace_s.is_none());
             let Some(demand) = demand else { continue };
             let service = cluster.jobs.get(&key.0.job).is_some_and(|job| job.spec.is_service());
-            let rank = (demand.priority, 0, Ms::MAX - slot.since);
+            let rank = (demand.priority, 0, Ms::MAX - slot.known_since);
             let victim = Victim { machine: machine.id.clone(), key: *key, demand };
             ranked.push(((service, rank), victim));
         }
--- a/crates/basaltrail-core/src/machines/health.rs
+++ b/crates/basaltrail-core/src/machines/health.rs
@@ -1,38 +1,40 @@
-//! Quarantine of machines on which jobs fail that end well elsewhere.
+//! Quarantine of machines on which jobs fail that succeed on other machines.
 //!
-//! The counterpart, jobs that fail on every machine, is [`crate::jobs::crash_loop`].
+//! Jobs that fail on every machine are handled by [`crate::jobs::crash_loop`].
 
 use crate::model::{JobId, Ms};
 use std::collections::BTreeSet;
 
-/// Different jobs that ended well elsewhere and failed on a machine, none ending well there
-/// between, for the machine to be quarantined.
+/// Number of different jobs whose failures quarantine a machine if no task succeeds on it in
+/// between.
 const QUARANTINE_JOBS: usize = 2;
 
-/// Jobs that failed on a machine and ended well elsewhere, since one last ended well there.
+/// The failures of jobs on one machine since a task last succeeded there. Only jobs that succeed on
+/// other machines count.
 #[derive(Debug, Default)]
 pub struct MachineHealth {
     failed_jobs: BTreeSet<JobId>,
-    /// When the last of them was added.
+    /// When a job was last added to `failed_jobs`.
     last_failure: Ms,
 }
 
 impl MachineHealth {
-    /// A job failed. Its failures count once, however many of its tasks were there.
+    /// Records the failure of a job. A job counts once, no matter how many of its tasks fail here.
     pub fn record_failure(&mut self, job: JobId, now: Ms) {
         if self.failed_jobs.len() < QUARANTINE_JOBS && self.failed_jobs.insert(job) {
             self.last_failure = now;
         }
     }
 
-    /// A task of any job ended well on the machine.
+    /// Records that a task of any job succeeded on the machine, which clears the failures.
     pub fn record_success(&mut self) {
         self.failed_jobs.clear();
     }
 
-    /// Whether the machine gets no more work. Where few jobs run, one failed job is enough
-    /// once the machine has been idle for a lease: nobody else confirms the fault while the
-    /// only job avoids the machine.
+    /// Returns whether the machine gets no more tasks.
+    ///
+    /// Where few jobs run, one failed job is enough once the machine has been idle for a lease: if
+    /// the only job avoids the machine, no second job can confirm the fault.
     pub fn is_quarantined(&self, idle_since: Option<Ms>, now: Ms, lease_ms: Ms) -> bool {
         let avoided =
             || idle_since.is_some_and(|since| now > since.max(self.last_failure) + lease_ms);
--- a/crates/basaltrail-core/src/machines/health_tests.rs
+++ b/crates/basaltrail-core/src/machines/health_tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Four failures of one faulty array must not condemn the machine it was packed on.
+/// Four failures of one faulty array must not quarantine the machine that its tasks were packed on.
 #[test]
-fn a_machine_is_quarantined_by_different_jobs() {
+fn quarantine_requires_failures_of_different_jobs() {
     let mut health = MachineHealth::default();
     for _ in 0..20 {
         health.record_failure(JobId(1), 1_000);
@@ -12,7 +12,7 @@
     assert!(health.is_quarantined(None, 2_000, 10_000));
     health.record_success();
     assert!(!health.is_quarantined(None, 2_000, 10_000));
-    // Only one job runs, and it avoids the machine.
+    // With a single job, which avoids the machine, an idle lease after its failure is enough.
     health.record_failure(JobId(1), 3_000);
     assert!(!health.is_quarantined(Some(3_000), 12_000, 10_000));
     assert!(health.is_quarantined(Some(3_000), 13_001, 10_000));
--- a/crates/basaltrail-core/src/machines/machine_kind.rs
+++ b/crates/basaltrail-core/src/machines/machine_kind.rs
@@ -1,8 +1,8 @@
-//! What distinguishes machines that the cloud rents out.
+//! Kinds of machines that the cloud offers.
 
 use crate::model::JobSpec;
 
-/// A kind of machine that can be provisioned.
+/// A combination of machine type, zone and purchase option that can be provisioned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineKind {
     /// Name of the machine type.
@@ -14,7 +14,7 @@
 }
 
 impl MachineKind {
-    /// Whether tasks of the job may be placed on machines of this kind.
+    /// Returns whether the job permits its tasks to run on machines of this kind.
     pub fn permitted_by(&self, spec: &JobSpec) -> bool {
         spec.permits(&self.machine_type, &self.zone, self.spot)
     }
--- a/crates/basaltrail-core/src/machines/mod.rs
+++ b/crates/basaltrail-core/src/machines/mod.rs
@@ -1,7 +1,7 @@
 //! Machines, their agent epochs, and the tasks that may run on them.
 //!
-//! Everything here errs to one side: a task counts as being on a machine until a newer heartbeat
-//! of that machine, the end of its agent epoch or its confirmed termination says otherwise.
+//! The state here is conservative: a task counts as being on a machine until a newer heartbeat of
+//! that machine, the end of its agent epoch or its confirmed termination proves otherwise.
 
 pub mod health;
 pub mod machine;
--- a/crates/basaltrail-core/src/machines/task_slot.rs
+++ b/crates/basaltrail-core/src/machines/task_slot.rs
@@ -1,102 +1,103 @@
-//! Task slots: one attempt of a task that occupies, or may occupy, a part of a machine.
+//! Task slots: attempts of tasks that occupy, or may occupy, part of a machine.
 
 use crate::model::{Attempt, ExitReason, Ms, Priority, TaskId, TaskState};
 use crate::resources::Resources;
 
-/// How far the start of a task has come.
+/// Progress of the start of a task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TaskPhase {
-    /// Chosen by the scheduler; no answer has carried the start yet.
+    /// The scheduler has assigned the task; its start has not been sent yet.
     Assigned,
-    /// The start went out in the answer to the machine's last heartbeat.
+    /// The start was sent in the answer to the machine's last heartbeat.
     Sent,
     /// A heartbeat of the machine's agent listed the task in this state.
     Confirmed(TaskState),
 }
 
-/// What a task takes of its machine, and what stopping it costs.
+/// The resources that a task takes on its machine, and the properties that matter for preempting
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskDemand {
     /// Index of its team in the settings.
     pub team: usize,
-    /// Resources of the machine that it takes.
+    /// Resources that it takes on its machine.
     pub resources: Resources,
     /// Priority of its job.
     pub priority: Priority,
-    /// Seconds that it needs to save its progress; `None` if it cannot.
+    /// Seconds that it needs to save its progress; `None` if it cannot save it.
     pub save_s: Option<f64>,
 }
 
 /// One attempt of a task on a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskSlot {
-    /// How far its start has come.
+    /// Progress of its start.
     pub phase: TaskPhase,
-    /// What it takes; `None` while its job is not known.
+    /// Its demand; `None` while its job is unknown.
     pub demand: Option<TaskDemand>,
-    /// Ordered to stop, with so many seconds of grace.
+    /// Grace period in seconds if the task was ordered to stop.
     pub stop_grace_s: Option<f64>,
     /// When the stop was last sent to the machine.
     pub stop_sent_at: Option<Ms>,
-    /// When this leader assigned the task or first heard of it.
-    pub since: Ms,
+    /// When this leader assigned the task or first saw it in a heartbeat.
+    pub known_since: Ms,
     /// When a heartbeat first listed it as running.
     pub running_since: Option<Ms>,
-    /// Whether its outcome was recorded in its job.
+    /// Whether its outcome has been recorded in its job.
     pub outcome_recorded: bool,
-    /// Assigned when no task of its job had ever started.
+    /// Whether no task of its job had ever started when it was assigned.
     pub first_of_job: bool,
 }
 
 impl TaskSlot {
-    /// A slot that a heartbeat showed and this leader did not assign.
+    /// Creates the slot of a task that a heartbeat lists and this leader did not assign.
     pub fn reported(state: TaskState, now: Ms) -> Self {
         TaskSlot {
             phase: TaskPhase::Confirmed(state),
             demand: None,
             stop_grace_s: None,
             stop_sent_at: None,
-            since: now,
+            known_since: now,
             running_since: None,
             outcome_recorded: false,
             first_of_job: false,
         }
     }
 
-    /// Whether it may hold resources of its machine.
+    /// Returns whether the task may hold resources of its machine.
     pub fn holds_resources(&self) -> bool {
         !matches!(self.phase, TaskPhase::Confirmed(TaskState::Exited(_)))
     }
 
-    /// Whether the machine's agent listed it as running.
+    /// Returns whether the machine's agent listed the task as running.
     pub fn is_running(&self) -> bool {
         matches!(self.phase, TaskPhase::Confirmed(TaskState::Running))
     }
 
-    /// Whether it was assigned and no start was sent.
+    /// Returns whether the task is assigned and its start has not been sent.
     pub fn is_unsent(&self) -> bool {
         self.phase == TaskPhase::Assigned
     }
 
-    /// Orders it to stop without grace, in the next answer.
+    /// Orders the task to stop without grace; the next answer carries the order.
     pub fn stop_at_once(&mut self) {
         self.stop_grace_s = Some(0.0);
         self.stop_sent_at = None;
     }
 }
 
-/// A change that a heartbeat, or the end of a lease, made to the tasks on a machine; the jobs
-/// have to be reconciled with it.
+/// A change to the tasks of a machine, made by a heartbeat or by the end of a lease, with which the
+/// jobs have to be reconciled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TaskChange {
-    /// The attempt is certainly not on the machine, or not any more.
+    /// The attempt is certainly not, or no longer, on the machine.
     Gone {
         /// The task.
         task: TaskId,
         /// Its attempt.
         attempt: Attempt,
     },
-    /// The attempt is on the machine, and the leader may not have known.
+    /// The attempt is on the machine, possibly unknown to the leader so far.
     Present {
         /// The task.
         task: TaskId,
@@ -107,7 +108,7 @@
     Exited(TaskExit),
 }
 
-/// The end of an attempt, as its machine's agent reported it.
+/// The exit of an attempt, as reported by the agent of its machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskExit {
     /// The task.
@@ -116,12 +117,12 @@
     pub attempt: Attempt,
     /// How it ended.
     pub reason: ExitReason,
-    /// Milliseconds that it was seen running, if it was.
+    /// Milliseconds for which it was seen running; `None` if it never was.
     pub ran_ms: Option<Ms>,
 }
 
 impl TaskChange {
-    /// The change by which an attempt became known that was reported before its job was known.
+    /// Returns the change for an attempt in this phase that was reported before its job was known.
     pub fn reported(task: TaskId, attempt: Attempt, phase: TaskPhase) -> Self {
         match phase {
             TaskPhase::Confirmed(TaskState::Exited(reason)) => {
--- a/crates/basaltrail-core/src/machines/types.rs
+++ b/crates/basaltrail-core/src/machines/types.rs
@@ -1,127 +1,137 @@
-//! The machine types that a controller knows, and which call brings them up to date.
+//! The machine types that a controller knows, and the calls that keep them up to date.
 //!
-//! The cloud tells of them; the leader stores what it was told, so that the other controllers, and
-//! processes that start while the cloud is out, can judge submissions.
+//! The types come from the cloud. The leader stores them, so that the other controllers, and
+//! processes that start during a cloud outage, can validate submissions.
 
 use crate::io::{CloudReply, StoreReply};
 use crate::model::{MachineType, Ms, Revision};
 use crate::store::records::{decode, encode};
 
-/// The call that is due.
+/// A call that is due.
 #[derive(Clone, Debug, PartialEq)]
-pub enum TypesCall {
-    /// Read the types that are stored.
+pub enum MachineTypesCall {
+    /// Reads the stored types.
     Read,
-    /// Store this value, if the present one still has this mod revision.
+    /// Stores the types, provided that the key still has this mod revision.
     Write {
-        /// The value.
+        /// The encoded types.
         value: String,
-        /// The mod revision.
+        /// The expected mod revision.
         mod_revision: Revision,
     },
-    /// Ask the cloud.
-    AskCloud,
+    /// Requests the types from the cloud.
+    RequestFromCloud,
 }
 
-/// The machine types, and the state of the calls about them.
+/// The known machine types and the state of the calls that update them.
 #[derive(Debug, Default)]
 pub struct MachineTypes {
     known: Vec<MachineType>,
-    /// What is stored was read.
-    stored_read: bool,
+    /// Whether the store has been read since the start or since the last failed write.
+    has_read_store: bool,
     in_flight: bool,
-    not_before: Ms,
-    /// The mod revision of what is stored.
+    next_call_at: Ms,
+    /// Mod revision of the stored types.
     mod_revision: Revision,
-    /// What is known differs from what is stored.
-    changed: bool,
+    /// Whether the known types differ from the stored ones.
+    write_due: bool,
 }
 
 impl MachineTypes {
-    /// The types; none if they are not known yet.
+    /// Returns the types; empty while none are known.
     pub fn known(&self) -> &[MachineType] {
         &self.known
     }
 
-    /// Types that are known without having been asked for.
+    /// Creates a value that already knows these types.
     #[cfg(test)]
-    pub fn of(known: Vec<MachineType>) -> Self {
+    pub fn with_known(known: Vec<MachineType>) -> Self {
         MachineTypes { known, ..MachineTypes::default() }
     }
 
-    /// The call to make now. Values longer than `value_bytes` are not stored: every controller then
-    /// asks the cloud; otherwise only a leader does, and whoever knows no types.
-    pub fn call_due(&mut self, now: Ms, value_bytes: usize, leads: bool) -> Option<TypesCall> {
-        if self.in_flight || now < self.not_before {
+    /// Returns the call to make now, if one is due.
+    ///
+    /// Types whose encoding is longer than `value_bytes` are not stored, so every controller
+    /// requests them from the cloud. Otherwise only the leader and controllers that know no types
+    /// do.
+    pub fn call_due(
+        &mut self,
+        now: Ms,
+        value_bytes: usize,
+        is_leader: bool,
+    ) -> Option<MachineTypesCall> {
+        if self.in_flight || now < self.next_call_at {
             return None;
         }
-        if !self.stored_read {
-            return Some(TypesCall::Read);
+        if !self.has_read_store {
+            return Some(MachineTypesCall::Read);
         }
-        if self.changed {
+        if self.write_due {
             let value = encode(&self.known);
             if value.len() <= value_bytes {
-                return Some(TypesCall::Write { value, mod_revision: self.mod_revision });
+                return Some(MachineTypesCall::Write { value, mod_revision: self.mod_revision });
             }
-            self.changed = false;
+            self.write_due = false;
             return None;
         }
-        (self.known.is_empty() || leads).then_some(TypesCall::AskCloud)
+        (self.known.is_empty() || is_leader).then_some(MachineTypesCall::RequestFromCloud)
     }
 
-    /// The call that was due was sent.
-    pub fn sent(&mut self) {
+    /// Records that the call returned by `call_due` was sent.
+    pub fn record_sent(&mut self) {
         self.in_flight = true;
     }
 
-    /// The stored types were read, or were not; then they are read again, no sooner than `retry_at`.
-    pub fn read(&mut self, reply: StoreReply, retry_at: Ms) {
+    /// Applies the reply to a read of the stored types. If it failed, the read is repeated no
+    /// sooner than `retry_at`.
+    pub fn apply_read_reply(&mut self, reply: StoreReply, retry_at: Ms) {
         self.in_flight = false;
         match reply {
             StoreReply::KeyValue(item) => {
-                self.stored_read = true;
+                self.has_read_store = true;
                 self.mod_revision = item.mod_revision;
                 if let (true, Some(types)) = (self.known.is_empty(), decode(&item.value)) {
                     self.known = types;
                 }
             }
             StoreReply::NotFound => {
-                self.stored_read = true;
+                self.has_read_store = true;
                 self.mod_revision = Revision::NONE;
             }
-            _ => self.not_before = retry_at,
+            _ => self.next_call_at = retry_at,
         }
     }
 
-    /// The types were stored, or were not; then what is stored is read.
-    pub fn written(&mut self, reply: &StoreReply) {
+    /// Applies the reply to a write of the types. If it was not committed, the store is read again.
+    pub fn apply_write_reply(&mut self, reply: &StoreReply) {
         self.in_flight = false;
-        self.changed = false;
+        self.write_due = false;
         if !matches!(reply, StoreReply::Committed { .. }) {
-            self.stored_read = false;
+            self.has_read_store = false;
         }
     }
 
-    /// The cloud answered: it is asked again no sooner than `next_at`, or `retry_at` if it gave no
-    /// types.
-    pub fn cloud_replied(&mut self, reply: CloudReply, retry_at: Ms, next_at: Ms) {
+    /// Applies the reply of the cloud. The next request is made no sooner than `next_at`, or
+    /// `retry_at` if the reply holds no types.
+    pub fn apply_cloud_reply(&mut self, reply: CloudReply, retry_at: Ms, next_at: Ms) {
         self.in_flight = false;
-        self.not_before = retry_at;
+        self.next_call_at = retry_at;
         let CloudReply::Types(types) = reply else { return };
-        self.not_before = next_at;
+        self.next_call_at = next_at;
         if types.is_empty() {
             return;
         }
-        let same = types.iter().map(Shape::of).eq(self.known.iter().map(Shape::of));
-        self.changed |= !same || self.mod_revision == Revision::NONE;
+        let unchanged =
+            types.iter().map(SubmissionFields::of).eq(self.known.iter().map(SubmissionFields::of));
+        self.write_due |= !unchanged || self.mod_revision == Revision::NONE;
         self.known = types;
     }
 }
 
-/// What of a machine type decides whether a submission can run. Only a change of this is stored:
-/// prices move all the time.
+/// The fields of a machine type that decide whether a submission can run. The types are stored only
+/// when one of these changes, since prices change all the time.
 #[derive(PartialEq)]
-struct Shape<'a> {
+struct SubmissionFields<'a> {
     name: &'a str,
     cpus: f64,
     gpus: f64,
@@ -129,9 +139,9 @@
     zones: &'a [String],
 }
 
-impl<'a> Shape<'a> {
+impl<'a> SubmissionFields<'a> {
     fn of(machine_type: &'a MachineType) -> Self {
-        Shape {
+        SubmissionFields {
             name: &machine_type.name,
             cpus: machine_type.cpus,
             gpus: machine_type.gpus,
--- a/crates/basaltrail-core/src/machines/types_tests.rs
+++ b/crates/basaltrail-core/src/machines/types_tests.rs
@@ -15,41 +15,44 @@
     })
 }
 
-/// A controller that does not lead asks the cloud only as long as it knows no types.
+/// A follower requests the types from the cloud only while it knows none.
 #[test]
 fn stored_types_are_read_before_the_cloud_is_asked() {
     let mut types = MachineTypes::default();
-    assert_eq!(types.call_due(0, VALUE_BYTES, false), Some(TypesCall::Read));
-    types.sent();
+    assert_eq!(types.call_due(0, VALUE_BYTES, false), Some(MachineTypesCall::Read));
+    types.record_sent();
     assert_eq!(types.call_due(0, VALUE_BYTES, false), None);
-    types.read(StoreReply::Unknown, 50);
+    types.apply_read_reply(StoreReply::Unknown, 50);
     assert_eq!((types.call_due(49, VALUE_BYTES, false), types.known().len()), (None, 0));
-    types.read(stored(&[a_type()]), 0);
+    types.apply_read_reply(stored(&[a_type()]), 0);
     assert_eq!(types.known().len(), 1);
     assert_eq!(types.call_due(100, VALUE_BYTES, false), None);
-    assert_eq!(types.call_due(100, VALUE_BYTES, true), Some(TypesCall::AskCloud));
+    assert_eq!(types.call_due(100, VALUE_BYTES, true), Some(MachineTypesCall::RequestFromCloud));
 }
 
-/// Prices move all the time: only a change of what decides a submission is stored, and only if it
-/// fits into a value.
+/// Prices change all the time: types are stored only if a field that matters for submissions has
+/// changed, and only if they fit into a value.
 #[test]
-fn types_that_the_cloud_tells_are_stored_if_they_are_new() {
+fn types_from_the_cloud_are_stored_if_they_matter_for_submissions() {
     let mut types = MachineTypes::default();
-    types.read(stored(&[a_type()]), 0);
+    types.apply_read_reply(stored(&[a_type()]), 0);
     let dearer = MachineType { price: 9.0, ..a_type() };
-    types.cloud_replied(CloudReply::Types(vec![dearer]), 10, 60);
+    types.apply_cloud_reply(CloudReply::Types(vec![dearer]), 10, 60);
     assert_eq!((types.call_due(59, VALUE_BYTES, true), types.known()[0].price), (None, 9.0));
-    assert_eq!(types.call_due(60, VALUE_BYTES, true), Some(TypesCall::AskCloud));
+    assert_eq!(types.call_due(60, VALUE_BYTES, true), Some(MachineTypesCall::RequestFromCloud));
     let wider = MachineType { cpus: 64.0, ..a_type() };
-    types.cloud_replied(CloudReply::Types(vec![wider]), 70, 80);
+    types.apply_cloud_reply(CloudReply::Types(vec![wider]), 70, 80);
     let due = types.call_due(80, VALUE_BYTES, true);
-    assert!(matches!(due, Some(TypesCall::Write { mod_revision: Revision(3), .. })), "{due:?}");
-    types.written(&StoreReply::Conflict { failed: vec![MACHINE_TYPES_KEY.into()] });
-    assert_eq!(types.call_due(80, VALUE_BYTES, true), Some(TypesCall::Read));
-    types.read(StoreReply::NotFound, 0);
-    types.cloud_replied(CloudReply::Types(vec![a_type()]), 90, 90);
+    assert!(
+        matches!(due, Some(MachineTypesCall::Write { mod_revision: Revision(3), .. })),
+        "{due:?}"
+    );
+    types.apply_write_reply(&StoreReply::Conflict { failed: vec![MACHINE_TYPES_KEY.into()] });
+    assert_eq!(types.call_due(80, VALUE_BYTES, true), Some(MachineTypesCall::Read));
+    types.apply_read_reply(StoreReply::NotFound, 0);
+    types.apply_cloud_reply(CloudReply::Types(vec![a_type()]), 90, 90);
     assert_eq!(types.call_due(90, 8, true), None, "too long to store");
-    assert_eq!(types.call_due(90, 8, true), Some(TypesCall::AskCloud));
-    types.cloud_replied(CloudReply::Failed, 95, 200);
-    assert_eq!(types.call_due(95, VALUE_BYTES, true), Some(TypesCall::AskCloud));
+    assert_eq!(types.call_due(90, 8, true), Some(MachineTypesCall::RequestFromCloud));
+    types.apply_cloud_reply(CloudReply::Failed, 95, 200);
+    assert_eq!(types.call_due(95, VALUE_BYTES, true), Some(MachineTypesCall::RequestFromCloud));
 }
