--- a/crates/basaltrail-core/src/controller/cloud_replies.rs
+++ b/crates/basaltrail-core/src/controller/cloud_replies.rs
@@ -13,17 +13,17 @@
             CloudPurpose::MachineTypes => self.machine_types_told(reply),
             CloudPurpose::Provision { token, requisition } => {
                 self.with_leader_of(token, |leader, ctx, calls| {
-                    leader.provisioning_answer(ctx, calls, &requisition, reply);
+                    leader.apply_provisioning_reply(ctx, calls, &requisition, reply);
                 });
             }
             CloudPurpose::Terminate { token, machines } => {
                 self.with_leader_of(token, |leader, ctx, calls| {
-                    leader.termination_answer(ctx, calls, machines, reply);
+                    leader.apply_termination_reply(ctx, calls, machines, reply);
                 });
             }
             CloudPurpose::List { token } => {
                 self.with_leader_of(token, |leader, ctx, calls| {
-                    leader.inventory_answer(ctx, calls, reply);
+                    leader.apply_inventory_page(ctx, calls, reply);
                 });
             }
         }
--- a/crates/basaltrail-core/src/leader/autoscaler/demand_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/demand_tests.rs
@@ -3,8 +3,8 @@
 use crate::model::{JobId, MachineId};
 use crate::settings::sample::a_job;
 
-/// A job that met faulty machines twice is held back to one task. No other job wanted machines of
-/// its kind, and it waited without end.
+/// A job that failed on two faulty machines is limited to one task. If that task does not count as
+/// demand, no machine of the kind is provisioned and the job waits forever.
 #[test]
 fn a_crash_looping_job_still_gets_a_machine_of_its_kind() {
     let test = TestCluster::new(8.0, &[a_job(9, false)]);
@@ -12,7 +12,7 @@
     let mut leader = test.leader(500);
     let kind = MachineKind { machine_type: "x".into(), zone: "a".into(), spot: false };
     assert_eq!(missing_for_constrained_jobs(&ctx, &leader.cluster, &[], &kind), 5);
-    // Machines beyond the team's limit would come and go idle.
+    // Machines beyond the team's limit would be provisioned and terminated idle.
     let mut narrow = test.settings.clone();
     narrow.teams[0].cpus_max = 16.0;
     let limited = Context { cfg: &narrow, ..ctx };
--- a/crates/basaltrail-core/src/leader/autoscaler/drain.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/drain.rs
@@ -1,4 +1,4 @@
-//! Which machines take no more work, because they are idle or cost more than they are worth.
+//! Draining of machines that are idle or cost more than the work on them justifies.
 
 use super::capacity_target::CapacityTarget;
 use super::fleet::Fleet;
@@ -13,28 +13,34 @@
 use crate::model::Ms;
 use crate::store::calls::Calls;
 
-/// How many machines of a kind may be drained in a plan.
+/// Number of machines of one type, spot or on-demand, that a plan may drain.
 struct DrainBudget {
     /// Machines beyond those that could be used.
     idle: usize,
-    /// Machines that have cost more than they are worth for long enough.
+    /// Machines that have been too expensive for longer than a machine takes to boot.
     too_expensive: usize,
-    /// How long a machine may be idle.
+    /// Milliseconds for which a machine may be idle.
     idle_ms: Ms,
 }
 
 impl DrainBudget {
-    /// Why a machine is drained, if it is; takes it off the budget. Also notes since when it is
-    /// idle.
-    fn drain_reason(&mut self, now: Ms, machine: &mut Machine, kept: bool) -> Option<DrainReason> {
-        let up =
-            machine.last_heartbeat.is_some() && machine.decommission == Decommission::No && !kept;
-        let idle = up
+    /// Returns the reason to drain the machine, if there is one, and deducts it from the budget.
+    /// Also records since when the machine is idle.
+    fn claim_drain(
+        &mut self,
+        now: Ms,
+        machine: &mut Machine,
+        must_stay: bool,
+    ) -> Option<DrainReason> {
+        let can_drain = machine.last_heartbeat.is_some()
+            && machine.decommission == Decommission::No
+            && !must_stay;
+        let is_idle = can_drain
             && machine.is_empty()
             && now >= *machine.idle_since.get_or_insert(now) + self.idle_ms;
-        let reason = if idle && self.idle > 0 {
+        let reason = if is_idle && self.idle > 0 {
             DrainReason::Idle
-        } else if up && self.too_expensive > 0 {
+        } else if can_drain && self.too_expensive > 0 {
             DrainReason::TooExpensive
         } else {
             return None;
@@ -46,8 +52,8 @@
 }
 
 impl Autoscaler {
-    /// Drains idle machines, the expensive ones first and sooner, and expensive ones that the
-    /// work does not pay for. Machines that services need are kept.
+    /// Drains idle machines, the expensive ones sooner, and expensive machines that the jobs do not
+    /// justify. Machines that services need are kept.
     pub(in crate::leader) fn drain_surplus(
         &mut self,
         ctx: &Context,
@@ -56,35 +62,38 @@
         calls: &mut Calls,
     ) {
         let FleetPlan { targets, mut fleet, needs } = plan;
-        let surplus_since = self.note_surplus(ctx.now, &targets, &fleet);
+        let surplus_since = self.update_surplus(ctx.now, &targets, &fleet);
         let with_replicas = machines_with_replicas(cluster);
         for target in &targets {
             let mut budget = drain_budget(ctx, target, &fleet, surplus_since);
-            let of_target = |machine: &&mut Machine| {
+            let is_of_target = |machine: &&mut Machine| {
                 machine.machine_type == target.machine_type && machine.spot == target.spot
             };
-            for machine in cluster.machines.values_mut().filter(of_target) {
+            for machine in cluster.machines.values_mut().filter(is_of_target) {
                 if !machine.is_empty() || machine.last_heartbeat.is_none() {
                     machine.idle_since = None;
                 }
                 let kind = machine.kind();
                 let for_services = needs.for_services(&kind);
-                let have = fleet.of_kind_mut(kind);
-                let kept = *have <= for_services || with_replicas.contains(&machine.id);
-                let Some(reason) = budget.drain_reason(ctx.now, machine, kept) else { continue };
-                *have -= 1;
+                let machines_of_kind = fleet.of_kind_mut(kind);
+                let must_stay =
+                    *machines_of_kind <= for_services || with_replicas.contains(&machine.id);
+                let Some(reason) = budget.claim_drain(ctx.now, machine, must_stay) else {
+                    continue;
+                };
+                *machines_of_kind -= 1;
                 machine.decommission = Decommission::Draining;
                 calls.log(MachineEvent::Draining { machine: machine.id.clone(), reason });
             }
         }
     }
 
-    /// Since when there are more machines than the work pays for.
-    fn note_surplus(&mut self, now: Ms, targets: &[CapacityTarget], fleet: &Fleet) -> Ms {
-        let surplus = targets
+    /// Updates and returns the time since when there are more machines than the jobs justify.
+    fn update_surplus(&mut self, now: Ms, targets: &[CapacityTarget], fleet: &Fleet) -> Ms {
+        let has_surplus = targets
             .iter()
-            .any(|target| target.too_expensive(fleet.of_type(&target.machine_type)) > 0);
-        if surplus {
+            .any(|target| target.excess_machines(fleet.of_type(&target.machine_type)) > 0);
+        if has_surplus {
             return *self.surplus_since.get_or_insert(now);
         }
         self.surplus_since = None;
@@ -92,8 +101,8 @@
     }
 }
 
-/// How many machines of a kind may be drained. Work comes in waves: only what was too much for
-/// longer than a machine takes to boot is.
+/// Returns how many machines of the target's kind may be drained. Demand fluctuates, so machines
+/// count as too expensive only if the surplus has lasted longer than a machine takes to boot.
 fn drain_budget(
     ctx: &Context,
     target: &CapacityTarget,
@@ -102,10 +111,10 @@
 ) -> DrainBudget {
     let machines = fleet.of_type(&target.machine_type);
     let boot_ms = machine_type(ctx.types, &target.machine_type).map_or(0.0, |t| t.boot_s) * 1000.0;
-    let lasting = (ctx.now - surplus_since) as f64 >= boot_ms;
+    let is_lasting = (ctx.now - surplus_since) as f64 >= boot_ms;
     DrainBudget {
         idle: machines.saturating_sub(target.usable),
-        too_expensive: if lasting { target.too_expensive(machines) } else { 0 },
+        too_expensive: if is_lasting { target.excess_machines(machines) } else { 0 },
         idle_ms: (ctx.cfg.policy.idle_s * 1000.0 / target.price_ratio) as Ms,
     }
 }
--- a/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
@@ -1,4 +1,4 @@
-//! The machines that a plan counts on, and how many each kind needs.
+//! The machines that count as capacity in a plan, and the number that each kind needs.
 
 use super::demand::missing_for_constrained_jobs;
 use super::provisioning::kinds_by_price;
@@ -8,14 +8,14 @@
 use crate::machines::{Decommission, Machine, MachineKind};
 use std::collections::BTreeMap;
 
-/// Machines that are counted on, those on their way included.
+/// Numbers of machines that count as capacity, including those that have not come up yet.
 pub(in crate::leader) struct Fleet {
     by_type: BTreeMap<String, usize>,
     by_kind: BTreeMap<MachineKind, usize>,
 }
 
 impl Fleet {
-    /// Counts these machines.
+    /// Counts the machines by type and by kind.
     pub(in crate::leader) fn count(live: &[&Machine]) -> Self {
         let mut fleet = Fleet { by_type: BTreeMap::new(), by_kind: BTreeMap::new() };
         for machine in live {
@@ -25,23 +25,24 @@
         fleet
     }
 
-    /// Machines of a type.
+    /// Returns the number of machines of a type.
     pub(in crate::leader) fn of_type(&self, name: &str) -> usize {
         self.by_type.get(name).copied().unwrap_or(0)
     }
 
-    /// Machines of a kind.
+    /// Returns the number of machines of a kind.
     pub(in crate::leader) fn of_kind(&self, kind: &MachineKind) -> usize {
         self.by_kind.get(kind).copied().unwrap_or(0)
     }
 
-    /// Machines of a kind, to be changed.
+    /// Returns a mutable reference to the number of machines of a kind.
     pub(in crate::leader) fn of_kind_mut(&mut self, kind: MachineKind) -> &mut usize {
         self.by_kind.entry(kind).or_default()
     }
 }
 
-/// The machines that are counted on: neither going, nor overdue, nor quarantined.
+/// Returns the machines that count as capacity: neither draining, terminating, overdue, quarantined
+/// nor under a reclaim notice.
 pub(in crate::leader) fn live_machines<'a>(
     ctx: &Context,
     cluster: &'a Cluster,
@@ -56,15 +57,16 @@
         .collect()
 }
 
-/// Machines that each kind needs whatever they cost.
+/// Numbers of machines that each kind needs regardless of price.
 pub(in crate::leader) struct KindNeeds {
     for_services: BTreeMap<MachineKind, usize>,
     missing: BTreeMap<MachineKind, usize>,
 }
 
 impl KindNeeds {
-    /// What services and constrained jobs need, beside the live machines.
-    pub(in crate::leader) fn find(
+    /// Determines the machines that services need, and those that services and constrained jobs
+    /// lack given the live ones.
+    pub(in crate::leader) fn determine(
         ctx: &Context,
         cluster: &Cluster,
         sizes: &ReplicaSizes,
@@ -82,12 +84,12 @@
         needs
     }
 
-    /// Machines of a kind that services need, in all.
+    /// Returns the total number of machines of a kind that services need.
     pub(in crate::leader) fn for_services(&self, kind: &MachineKind) -> usize {
         self.for_services.get(kind).copied().unwrap_or(0)
     }
 
-    /// Machines of a kind that services or constrained jobs lack.
+    /// Returns the number of machines of a kind that services or constrained jobs lack.
     pub(in crate::leader) fn missing(&self, kind: &MachineKind) -> usize {
         self.missing.get(kind).copied().unwrap_or(0)
     }
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -1,5 +1,4 @@
-//! Reconciliation of the known machines with the cloud's list of them (PROTOCOL,
-//! `GET /rentals`).
+//! Reconciliation of the known machines with the cloud's list (PROTOCOL, `GET /rentals`).
 
 use super::terminated::TerminatedMachines;
 use crate::io::{CloudReply, CloudRequest};
@@ -11,37 +10,37 @@
 use crate::store::rate_limiter::CallPriority;
 use std::collections::HashSet;
 
-/// Machines of one list at the most; the rest is dropped.
+/// Maximum number of machines read from one list; the rest is dropped.
 const MAX_LISTED: usize = 20_000;
-/// The least time between two lists.
+/// Minimum time between two lists.
 const MIN_LIST_INTERVAL_MS: Ms = 1000;
-/// Milliseconds by which a list may be older than its lags tell.
+/// Milliseconds by which a list may be older than the cloud's stated lag implies.
 const LIST_AGE_MARGIN_MS: Ms = 1000;
-/// The greatest age in seconds that is taken from a list.
+/// Longest machine age in seconds that is accepted from a list; longer ones are shortened to it.
 const MAX_AGE_S: f64 = 1e6;
 
-/// A list that was read.
+/// A list that has been read.
 pub(in crate::leader) struct Listing {
-    /// The machines.
+    /// The machines listed.
     pub(in crate::leader) machines: Vec<ListedMachine>,
-    /// Whether it names all machines.
+    /// Whether the list names all machines.
     pub(in crate::leader) complete: bool,
 }
 
-/// The list that is being read, page by page.
+/// The list that is being read page by page.
 #[derive(Default)]
 pub(in crate::leader) struct Inventory {
-    /// No page is requested before.
+    /// Time before which no page is requested.
     next_page_at: Ms,
-    /// The pages read so far, if it is not the first that is read next.
-    pages: Option<Vec<ListedMachine>>,
+    /// Machines on the pages read so far; `None` if the first page is read next.
+    partial_list: Option<Vec<ListedMachine>>,
     /// When the first page was requested.
     requested_at: Ms,
     in_flight: bool,
 }
 
 impl Inventory {
-    /// Requests the next page, if it is due and the rate of calls allows it.
+    /// Requests the next page if it is due and the call rate allows it.
     pub(in crate::leader) fn request_page(
         &mut self,
         ctx: &Context,
@@ -54,8 +53,8 @@
         {
             return;
         }
-        let last = self.pages.as_ref().and_then(|machines| machines.last());
-        let after = last.map(|listed| listed.machine.to_string());
+        let last_listed = self.partial_list.as_ref().and_then(|machines| machines.last());
+        let after = last_listed.map(|listed| listed.machine.to_string());
         if after.is_none() {
             self.requested_at = ctx.now;
         }
@@ -67,8 +66,8 @@
         );
     }
 
-    /// Takes a page; returns the list once all pages are read.
-    pub(in crate::leader) fn take_page(
+    /// Applies a page; returns the list once all pages have been read.
+    pub(in crate::leader) fn apply_page(
         &mut self,
         ctx: &Context,
         reply: CloudReply,
@@ -76,13 +75,13 @@
         self.in_flight = false;
         let CloudReply::Listed { machines: page, more } = reply else {
             self.next_page_at = ctx.now + ctx.cfg.lease_ms / 10;
-            self.pages = None;
+            self.partial_list = None;
             return None;
         };
-        let mut machines = self.pages.take().unwrap_or_default();
+        let mut machines = self.partial_list.take().unwrap_or_default();
         machines.extend(page);
         if more && machines.len() < MAX_LISTED {
-            self.pages = Some(machines);
+            self.partial_list = Some(machines);
             self.next_page_at = ctx.now;
             return None;
         }
@@ -90,34 +89,36 @@
         Some(Listing { machines, complete: !more })
     }
 
-    /// Machines that a complete list shows to be gone: one that was listed stays listed until it
-    /// is gone, and a list is at most two lags old. What ran there need not wait for its lease.
+    /// Returns the machines that a complete list proves to be gone.
+    ///
+    /// A machine that has been listed stays listed until it is gone, and a list is at most two lags
+    /// old. The tasks of such a machine need not wait until its lease expires.
     pub(in crate::leader) fn find_gone(
         &self,
         ctx: &Context,
         cluster: &Cluster,
         listed: &[ListedMachine],
     ) -> Vec<MachineId> {
-        let oldest_ms = ctx.cfg.list_lag_ms * 5 / 2 + LIST_AGE_MARGIN_MS;
+        let max_list_age_ms = ctx.cfg.list_lag_ms * 5 / 2 + LIST_AGE_MARGIN_MS;
         let listed: HashSet<&MachineId> = listed.iter().map(|listed| &listed.machine).collect();
-        let listed_before = |machine: &Machine| {
-            machine.first_listed_at.is_some_and(|at| self.requested_at > at + oldest_ms)
+        let was_listed_before = |machine: &Machine| {
+            machine.first_listed_at.is_some_and(|at| self.requested_at > at + max_list_age_ms)
         };
-        let silent = |machine: &Machine| {
+        let is_silent = |machine: &Machine| {
             machine.last_heartbeat.is_none_or(|at| ctx.now > at + ctx.cfg.heartbeat_interval_ms)
         };
         cluster
             .machines
             .values()
-            .filter(|machine| listed_before(machine) && silent(machine))
+            .filter(|machine| was_listed_before(machine) && is_silent(machine))
             .filter(|m| m.decommission != Decommission::Terminating && !listed.contains(&m.id))
             .map(|machine| machine.id.clone())
             .collect()
     }
 }
 
-/// Takes what the list says of a machine; returns the machine if it was not known: one that an
-/// earlier leader requested, or a request that was carried out with a delay.
+/// Applies the entry of one machine in the list. Returns the machine if it is unknown, because an
+/// earlier leader requested it or the cloud executed a request late.
 pub(in crate::leader) fn reconcile(
     ctx: &Context,
     cluster: &mut Cluster,
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -1,8 +1,8 @@
-//! The autoscaler of a leader: how many machines there are, of which kinds, and in which zones.
+//! The autoscaler of a leader, which controls the number of machines of each kind and zone.
 //!
-//! A plan (`scale_out`, `drain`) is made twice a heartbeat interval: it compares the machines
-//! that are counted on (`fleet`) with those that the work at hand pays for
-//! (`capacity_target`). `scale_in` terminates what is drained, failed or lost, and
+//! A plan (`scale_out`, `drain`) is made twice in a heartbeat interval. It compares the machines
+//! that count as capacity (`fleet`) with the number that the unfinished jobs justify
+//! (`capacity_target`). `scale_in` terminates machines that are drained, failed or lost, and
 //! `inventory` reconciles the known machines with the cloud's list.
 
 pub mod provisioning;
@@ -36,11 +36,11 @@
 use std::collections::BTreeMap;
 use terminated::TerminatedMachines;
 
-/// The state of the autoscaler.
+/// State of the autoscaler.
 pub struct Autoscaler {
-    /// Requests to the cloud that were not answered yet.
+    /// Provisioning requests that the cloud has not answered yet.
     pub(in crate::leader) provisioning: ProvisioningQueue,
-    /// How long machines take to come up.
+    /// Observed times that machines take to come up.
     pub(in crate::leader) provisioning_times: ProvisioningTimes,
     /// The cloud's list of machines.
     pub(in crate::leader) inventory: Inventory,
@@ -48,20 +48,20 @@
     termination: TerminationCall,
     /// Recently terminated machines.
     pub(in crate::leader) terminated: TerminatedMachines,
-    /// Since when there are more machines than the work pays for.
+    /// Since when there are more machines than the jobs justify.
     surplus_since: Option<Ms>,
-    /// Machines that recent work could use.
+    /// Recent peak of the machines that the jobs could use.
     peak: DemandPeak,
-    /// No plan is made before.
+    /// Time of the next plan.
     next_plan_at: Ms,
     /// The zone with the most machines.
     pub(in crate::leader) primary_zone: Option<String>,
-    /// Zones that count as partitioned.
+    /// Zones that are considered partitioned.
     partitions: ZonePartitions,
 }
 
 impl Autoscaler {
-    /// As of the election.
+    /// Creates the state of a newly elected leader.
     pub fn new(settings: &Settings, now: Ms) -> Self {
         Autoscaler {
             provisioning: ProvisioningQueue::default(),
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Finds the zone with the most machines; true if it is another one than before.
+    /// Updates the zone with the most machines; returns true if it has changed.
     fn update_primary_zone(&mut self, cluster: &Cluster) -> bool {
         let mut machines: BTreeMap<&str, usize> = BTreeMap::new();
         for machine in cluster.machines.values() {
             *machines.entry(&machine.zone).or_default() += 1;
         }
-        let most = machines.into_iter().max_by_key(|(_, machines)| *machines);
-        let primary_zone = most.map(|(zone, _)| zone.to_string());
+        let largest = machines.into_iter().max_by_key(|(_, machines)| *machines);
+        let primary_zone = largest.map(|(zone, _)| zone.to_string());
         if primary_zone.is_none() || primary_zone == self.primary_zone {
             return false;
         }
@@ -94,8 +94,8 @@
 }
 
 impl Leader {
-    /// Makes the calls to the cloud that are due: the list of machines, and provisioning
-    /// requests by a new plan.
+    /// Sends the calls to the cloud that are due: the next page of the list of machines, and the
+    /// provisioning requests of a new plan.
     pub(in crate::leader) fn call_cloud(&mut self, ctx: &Context, calls: &mut Calls) {
         if !ctx.holds_valid_lease || ctx.types.is_empty() {
             return;
@@ -123,22 +123,22 @@
         self.autoscaler.scale_in(ctx, &mut self.cluster, leader, calls);
     }
 
-    /// Has the zone with the most machines written, if it is another one than before.
-    pub(in crate::leader) fn note_primary_zone(&mut self) {
+    /// Updates the zone with the most machines, and schedules a write of it if it has changed.
+    pub(in crate::leader) fn update_primary_zone(&mut self) {
         if self.autoscaler.update_primary_zone(&self.cluster) {
             self.writer.primary_zone_due = true;
         }
     }
 
-    /// Takes the cloud's answer to a provisioning request.
-    pub fn provisioning_answer(
+    /// Applies the cloud's reply to a provisioning request.
+    pub fn apply_provisioning_reply(
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
         requisition: &str,
         reply: CloudReply,
     ) {
-        let provisioned = self.autoscaler.take_provisioning_answer(ctx, requisition, reply, calls);
+        let provisioned = self.autoscaler.apply_provisioning_reply(ctx, requisition, reply, calls);
         for machine in provisioned {
             if !self.cluster.machines.contains_key(&machine.id) {
                 self.add_machine(ctx, machine);
@@ -146,24 +146,24 @@
         }
     }
 
-    /// Takes the cloud's answer to a termination of machines.
-    pub fn termination_answer(
+    /// Applies the cloud's reply to a termination request.
+    pub fn apply_termination_reply(
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
         machines: Vec<MachineId>,
         reply: CloudReply,
     ) {
-        if self.autoscaler.take_termination_answer(ctx, &reply) {
+        if self.autoscaler.apply_termination_reply(ctx, &reply) {
             for id in machines {
                 self.remove_gone(ctx, calls, &id);
             }
         }
     }
 
-    /// Takes a page of the cloud's list of machines.
-    pub fn inventory_answer(&mut self, ctx: &Context, calls: &mut Calls, reply: CloudReply) {
-        let Some(listing) = self.autoscaler.inventory.take_page(ctx, reply) else { return };
+    /// Applies a page of the cloud's list of machines.
+    pub fn apply_inventory_page(&mut self, ctx: &Context, calls: &mut Calls, reply: CloudReply) {
+        let Some(listing) = self.autoscaler.inventory.apply_page(ctx, reply) else { return };
         if listing.complete {
             let inventory = &self.autoscaler.inventory;
             for id in inventory.find_gone(ctx, &self.cluster, &listing.machines) {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Adds a machine that was not known, also to the machine registry.
+    /// Adds an unknown machine to the cluster and to the machine registry.
     fn add_machine(&mut self, ctx: &Context, machine: Machine) {
         let id = machine.id.clone();
         self.cluster.machines.insert(id.clone(), machine);
--- a/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
@@ -1,4 +1,4 @@
-//! Network partitions, as silence of many machines shows them.
+//! Detection of network partitions from the silence of many machines.
 
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::services::{any_service, has_replicas};
@@ -7,17 +7,18 @@
 use crate::model::{MachineId, Ms};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines in a zone, or anywhere, below which their silence tells nothing of the network.
+/// Minimum number of machines, in a zone or in all zones, whose silence says anything about the
+/// network.
 const MIN_MACHINES: usize = 3;
-/// One in so many machines of a zone is few: that many may be silent in a zone that is reachable.
-const FEW_OF_ZONE: usize = 8;
-/// Half heartbeat intervals of silence after which a machine with replicas is terminated: three
-/// missed heartbeats and a half.
+/// At most one in this many machines of a zone may be silent if the zone is reachable.
+const FEW_SILENT_DIVISOR: usize = 8;
+/// Silence, in half heartbeat intervals, after which a machine with replicas is terminated: three
+/// and a half missed heartbeats.
 const SILENT_HALF_INTERVALS: Ms = 7;
 /// Heartbeat intervals after which a machine counts as silent when its zone is judged.
 const SILENT_INTERVALS: Ms = 2;
 
-/// The machines of a zone, and how many of them are silent.
+/// Number of machines in a zone, and of the silent ones among them.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneSilence {
     machines: usize,
@@ -25,50 +26,51 @@
 }
 
 impl ZoneSilence {
-    fn count(&mut self, silent: bool) {
+    fn record(&mut self, is_silent: bool) {
         self.machines += 1;
-        self.silent += silent as usize;
+        self.silent += is_silent as usize;
     }
 
-    fn few_silent(&self) -> bool {
-        self.silent * FEW_OF_ZONE <= self.machines
+    fn has_few_silent(&self) -> bool {
+        self.silent * FEW_SILENT_DIVISOR <= self.machines
     }
 
-    fn most_silent(&self) -> bool {
+    fn has_mostly_silent(&self) -> bool {
         self.machines >= MIN_MACHINES && self.silent * 2 > self.machines
     }
 }
 
-/// Counts machines, and the silent ones among them, by zone.
+/// Counts the machines and the silent ones among them by zone.
 fn silence_by_zone<'a>(
     machines: impl Iterator<Item = &'a Machine>,
-    silent: impl Fn(&Machine) -> bool,
+    is_silent: impl Fn(&Machine) -> bool,
 ) -> BTreeMap<&'a str, ZoneSilence> {
     let mut zones: BTreeMap<&str, ZoneSilence> = BTreeMap::new();
     for machine in machines {
-        zones.entry(&machine.zone).or_default().count(silent(machine));
+        zones.entry(&machine.zone).or_default().record(is_silent(machine));
     }
     zones
 }
 
-/// Zones beyond a network partition, and until when they count as such.
+/// Zones behind a network partition, with the time until which each counts as partitioned.
 #[derive(Default)]
 pub(in crate::leader) struct ZonePartitions {
     until: BTreeMap<String, Ms>,
 }
 
 impl ZonePartitions {
-    /// Whether a zone counts as partitioned.
+    /// Returns whether the zone counts as partitioned.
     pub(in crate::leader) fn contains(&self, zone: &str) -> bool {
         self.until.contains_key(zone)
     }
 
-    /// Notes zones most of whose machines lost their lease: partitioned rather than broken. They
-    /// count as such for a lease after, since their machines come back one by one.
-    pub(in crate::leader) fn note(&mut self, ctx: &Context, cluster: &Cluster) {
-        let heard = cluster.machines.values().filter(|m| m.last_heartbeat.is_some());
-        for (zone, silence) in silence_by_zone(heard, |machine| machine.lease_expired) {
-            if silence.most_silent() {
+    /// Adds zones in which most machines lost their lease, which suggests a partition rather than
+    /// broken machines. A zone counts as partitioned for one more lease after that, since its
+    /// machines come back one by one.
+    pub(in crate::leader) fn update(&mut self, ctx: &Context, cluster: &Cluster) {
+        let reporting = cluster.machines.values().filter(|m| m.last_heartbeat.is_some());
+        for (zone, silence) in silence_by_zone(reporting, |machine| machine.lease_expired) {
+            if silence.has_mostly_silent() {
                 self.until.insert(zone.to_string(), ctx.now + ctx.cfg.lease_ms);
             }
         }
@@ -76,38 +78,42 @@
     }
 }
 
-/// Whether most machines of a zone that were in use under an earlier leader have sent no
-/// heartbeat yet: that leader may have ended within a network partition.
-pub(in crate::leader) fn unheard_since_failover(cluster: &Cluster, zone: &str) -> bool {
+/// Returns whether most machines of a zone that were in use under an earlier leader have sent no
+/// heartbeat yet. That leader may have ended because of a network partition.
+pub(in crate::leader) fn is_zone_unheard_since_failover(cluster: &Cluster, zone: &str) -> bool {
     let mut silence = ZoneSilence::default();
     for machine in cluster.machines.values().filter(|m| m.in_use_before_failover && m.zone == zone)
     {
-        silence.count(machine.last_heartbeat.is_none());
+        silence.record(machine.last_heartbeat.is_none());
     }
-    silence.most_silent()
+    silence.has_mostly_silent()
 }
 
-/// Zones in which few machines have not been heard since the failover. Until they are heard,
-/// work of earlier leaders waits for them; when the others have been heard these are most likely
-/// dead, and the answer to their termination proves it sooner than their lease does. Many of a
-/// zone are partitioned, and come back.
+/// Returns the zones in which few machines are unheard since the failover.
+///
+/// Work of earlier leaders waits until these machines are heard. Once the others have been heard,
+/// they are most likely dead, and the answer to their termination proves it sooner than the expiry
+/// of their lease. If many machines of a zone are unheard, the zone is partitioned and they will
+/// come back.
 pub(in crate::leader) fn zones_with_few_unheard(cluster: &Cluster) -> BTreeSet<&str> {
     silence_by_zone(cluster.machines.values(), is_unheard)
         .into_iter()
-        .filter(|(_, silence)| silence.few_silent())
+        .filter(|(_, silence)| silence.has_few_silent())
         .map(|(zone, _)| zone)
         .collect()
 }
 
-/// Whether a machine of an earlier leader has not been heard since the failover.
+/// Returns whether a machine of an earlier leader is unheard since the failover.
 pub(in crate::leader) fn is_unheard(machine: &Machine) -> bool {
     !machine.reconciled && machine.answers_without_token == 0 && machine.last_heartbeat.is_none()
 }
 
-/// Machines with replicas that have missed some heartbeats, of zones where nearly all others are
-/// heard: more is a network partition, of theirs or of ours. The answer to their termination
-/// proves that they are gone, long before their lease would. `reachable_since` is when this
-/// process was last able to answer workers again.
+/// Returns the machines with replicas that have missed several heartbeats, in zones from which
+/// nearly all other machines are heard.
+///
+/// If more machines are silent, either their zone or this controller is partitioned. The answer to
+/// their termination proves that the machines are gone, long before their lease would expire.
+/// `reachable_since` is when this process last became able to answer workers.
 pub(in crate::leader) fn silent_machines_with_replicas(
     ctx: &Context,
     cluster: &Cluster,
@@ -116,50 +122,53 @@
     if !any_service(cluster) {
         return BTreeSet::new();
     }
-    let silent = |machine: &Machine, after: Ms| {
+    let is_silent = |machine: &Machine, after: Ms| {
         machine.last_heartbeat.is_some_and(|at| ctx.now > at.max(reachable_since) + after)
     };
-    let up = cluster.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired);
+    let machines_up =
+        cluster.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired);
     let silent_after = ctx.cfg.heartbeat_interval_ms * SILENT_INTERVALS;
-    let zones = silence_by_zone(up, |machine| silent(machine, silent_after));
-    // In a zone of fewer than eight machines one of several may be silent.
-    let reachable = |zone: &str| {
+    let zones = silence_by_zone(machines_up, |machine| is_silent(machine, silent_after));
+    // In a zone of fewer than `FEW_SILENT_DIVISOR` machines, one machine may be silent if there are
+    // others.
+    let is_reachable = |zone: &str| {
         zones.get(zone).is_some_and(|zone| {
-            let machines = zone.machines.max(FEW_OF_ZONE);
-            zone.silent < zone.machines && ZoneSilence { machines, ..*zone }.few_silent()
+            let machines = zone.machines.max(FEW_SILENT_DIVISOR);
+            zone.silent < zone.machines && ZoneSilence { machines, ..*zone }.has_few_silent()
         })
     };
     let lost_after = ctx.cfg.heartbeat_interval_ms * SILENT_HALF_INTERVALS / 2;
-    let lost = |machine: &&Machine| {
+    let is_lost = |machine: &&Machine| {
         !machine.lease_expired
-            && silent(machine, lost_after)
-            && reachable(&machine.zone)
+            && is_silent(machine, lost_after)
+            && is_reachable(&machine.zone)
             && has_replicas(cluster, machine)
     };
-    cluster.machines.values().filter(lost).map(|machine| machine.id.clone()).collect()
+    cluster.machines.values().filter(is_lost).map(|machine| machine.id.clone()).collect()
 }
 
-/// Whether this controller seems to be partitioned from the workers: two thirds of those that
-/// reported to it are silent, in its own zone too, well before their leases expire.
-/// `reachable_since` is when it was last able to answer workers again.
+/// Returns whether this controller seems to be partitioned from the workers: more than two thirds
+/// of those that reported to it are silent, and at least two thirds of those in its own zone, well
+/// before their leases expire. `reachable_since` is when this process last became able to answer
+/// workers.
 pub(in crate::leader) fn workers_unreachable(
     ctx: &Context,
     cluster: &Cluster,
     reachable_since: Ms,
 ) -> bool {
     let silent_after = ctx.cfg.lease_ms * 2 / 5;
-    let (mut all, mut silent, mut near, mut near_silent) = (0, 0, 0, 0);
+    let (mut all, mut silent, mut in_zone, mut silent_in_zone) = (0, 0, 0, 0);
     for machine in cluster.machines.values().filter(|m| m.decommission == Decommission::No) {
         let Some(at) = machine.last_heartbeat else { continue };
         let is_silent = (ctx.now > at.max(reachable_since) + silent_after) as usize;
         all += 1;
         silent += is_silent;
         if machine.zone == ctx.cfg.zone {
-            near += 1;
-            near_silent += is_silent;
+            in_zone += 1;
+            silent_in_zone += is_silent;
         }
     }
-    all >= MIN_MACHINES && silent * 3 > all * 2 && near_silent * 3 >= near * 2
+    all >= MIN_MACHINES && silent * 3 > all * 2 && silent_in_zone * 3 >= in_zone * 2
 }
 
 #[cfg(test)]
--- a/crates/basaltrail-core/src/leader/autoscaler/partitions_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/partitions_tests.rs
@@ -4,26 +4,26 @@
 use crate::machines::Machine;
 use crate::model::MachineId;
 
-/// A leader that ended within a network partition leaves a successor that has heard nothing of
-/// the zone beyond it: machines that it requests there are paid for and cannot be reached.
+/// A leader that ends within a network partition leaves a successor that has heard nothing from the
+/// zone behind it. Machines that it requested there would be paid for and unreachable.
 #[test]
-fn a_zone_where_an_earlier_leaders_machines_are_silent_counts_as_unheard() {
+fn a_zone_counts_as_unheard_while_most_machines_of_the_earlier_leader_are_silent() {
     let mut leader = TestCluster::new(0.0, &[]).leader(500);
     for index in 0..8 {
         let zone = if index < 4 { "a" } else { "b" };
         let id = MachineId(format!("m-{index}").into());
         let mut machine = Machine::new(id.clone(), "x", zone, false, 0);
         machine.in_use_before_failover = true;
-        // Zone a was heard, but for one; of zone b one was requested since.
+        // All but one machine of zone a were heard, and none of zone b.
         machine.last_heartbeat = (index < 3).then_some(400);
         leader.cluster.machines.insert(id, machine);
     }
     let new = MachineId("m-9".into());
     leader.cluster.machines.insert(new.clone(), Machine::new(new, "x", "b", false, 400));
-    let unheard = |leader: &Leader, zone| unheard_since_failover(&leader.cluster, zone);
+    let unheard = |leader: &Leader, zone| is_zone_unheard_since_failover(&leader.cluster, zone);
     assert!(!unheard(&leader, "a") && unheard(&leader, "b"));
     for machine in leader.cluster.machines.values_mut().filter(|m| m.zone == "b").take(2) {
         machine.last_heartbeat = Some(500);
     }
-    assert!(!unheard(&leader, "b"), "half of its machines were heard");
+    assert!(!unheard(&leader, "b"), "half of the machines of the zone were heard");
 }
--- a/crates/basaltrail-core/src/leader/autoscaler/provisioning.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning.rs
@@ -1,104 +1,106 @@
-//! Provisioning requests to the cloud: what was requested and not answered yet, and which
-//! kinds were refused recently.
+//! Provisioning requests that the cloud has not answered yet, and the kinds that it refused
+//! recently.
 
 use crate::machines::MachineKind;
 use crate::model::{FencingToken, MachineType, Ms};
 
-/// Machines that one request asks for at the most (PROTOCOL, `POST /rentals`).
+/// Maximum number of machines per request (PROTOCOL, `POST /rentals`).
 const MAX_MACHINES_PER_REQUEST: usize = 50;
-/// Requests in flight at once: one after the other, a fleet that begins with no machine would
-/// come up by one response time for each.
+/// Maximum number of unanswered requests. With one request at a time, each request of a fleet that
+/// starts with no machines would add a response time.
 const MAX_PENDING_REQUESTS: usize = 8;
-/// Attempts of one request before it is abandoned.
+/// Attempts after which a request is abandoned.
 const MAX_ATTEMPTS: u32 = 30;
 
-/// A request whose outcome is not known yet. It is repeated under the same name until it is, so
-/// that nothing is provisioned twice (PROTOCOL, `POST /rentals`).
+/// A request whose outcome is not known yet.
+///
+/// It is repeated under the same requisition until the outcome is known, so that no machine is
+/// provisioned twice (PROTOCOL, `POST /rentals`).
 #[derive(Clone, Debug)]
 pub struct ProvisioningRequest {
-    /// Its name; no other request of any leader has the same.
+    /// Idempotency key of the request; no other request of any leader has the same.
     pub requisition: String,
-    /// The kind of machine.
+    /// Requested kind of machine.
     pub kind: MachineKind,
-    /// Machines that it asks for.
+    /// Number of machines requested.
     pub count: u32,
-    /// Attempts without a response.
+    /// Number of attempts whose outcome is unknown.
     pub attempts: u32,
     /// Whether an attempt is in flight.
     pub in_flight: bool,
-    /// No attempt is made before.
-    pub not_before: Ms,
+    /// Time before which no attempt is made.
+    pub next_attempt_at: Ms,
 }
 
-/// Requests that were not answered yet, and kinds that were refused.
+/// Unanswered requests and recently refused kinds.
 #[derive(Default)]
 pub struct ProvisioningQueue {
-    /// Requests that were not answered yet.
+    /// Requests that the cloud has not answered yet.
     pub pending: Vec<ProvisioningRequest>,
-    /// Kinds without capacity, and until when they are not requested.
+    /// Kinds without capacity, and the time before which each is not requested.
     refused: Vec<(MachineKind, Ms)>,
-    /// Requests so far.
-    counter: u64,
+    /// Number of requests added so far.
+    requests_added: u64,
 }
 
 impl ProvisioningQueue {
-    /// Whether no more requests may be in flight.
+    /// Returns whether the maximum number of requests is unanswered.
     pub fn is_full(&self) -> bool {
         self.pending.len() >= MAX_PENDING_REQUESTS
     }
 
-    /// Adds a request for up to so many machines.
-    pub fn add(&mut self, token: FencingToken, kind: MachineKind, machines: usize) {
-        self.counter += 1;
+    /// Adds a request for at most this number of machines.
+    pub fn add(&mut self, token: FencingToken, kind: MachineKind, max_machines: usize) {
+        self.requests_added += 1;
         self.pending.push(ProvisioningRequest {
-            // Never used again: the token is this leader's alone.
-            requisition: format!("r-{}-{}", token.0, self.counter),
+            // Unique: only this leader has the token.
+            requisition: format!("r-{}-{}", token.0, self.requests_added),
             kind,
-            count: machines.min(MAX_MACHINES_PER_REQUEST) as u32,
+            count: max_machines.min(MAX_MACHINES_PER_REQUEST) as u32,
             attempts: 0,
             in_flight: false,
-            not_before: 0,
+            next_attempt_at: 0,
         });
     }
 
-    /// Takes out the request of this name.
-    pub fn take(&mut self, requisition: &str) -> Option<ProvisioningRequest> {
+    /// Removes and returns the request with this requisition.
+    pub fn remove(&mut self, requisition: &str) -> Option<ProvisioningRequest> {
         let index = self.pending.iter().position(|r| r.requisition == requisition)?;
         Some(self.pending.remove(index))
     }
 
-    /// Puts back a request whose outcome is unknown, unless it was attempted too often.
-    pub fn retry(&mut self, mut request: ProvisioningRequest, not_before: Ms) {
+    /// Adds a request with unknown outcome again, unless its attempts are used up.
+    pub fn retry(&mut self, mut request: ProvisioningRequest, next_attempt_at: Ms) {
         request.in_flight = false;
         request.attempts += 1;
-        request.not_before = not_before;
+        request.next_attempt_at = next_attempt_at;
         if request.attempts < MAX_ATTEMPTS {
             self.pending.push(request);
         }
     }
 
-    /// Notes that the cloud has no capacity of a kind; it is not requested before `until`.
-    pub fn refuse(&mut self, kind: MachineKind, until: Ms) {
+    /// Records that the cloud has no capacity of a kind, which is not requested before `until`.
+    pub fn record_refusal(&mut self, kind: MachineKind, until: Ms) {
         self.refused.retain(|(refused, _)| *refused != kind);
         self.refused.push((kind, until));
     }
 
-    /// Whether a kind may be requested.
-    pub fn is_open(&self, kind: &MachineKind, now: Ms) -> bool {
+    /// Returns whether the kind may be requested.
+    pub fn may_request(&self, kind: &MachineKind, now: Ms) -> bool {
         !self.refused.iter().any(|(refused, until)| refused == kind && *until > now)
     }
 
-    /// Machines of such kinds that were requested and not answered yet.
-    pub fn requested(&self, counted: impl Fn(&MachineKind) -> bool) -> usize {
-        self.pending.iter().filter(|r| counted(&r.kind)).map(|r| r.count as usize).sum()
+    /// Returns the number of machines in unanswered requests for matching kinds.
+    pub fn requested_machines(&self, matches: impl Fn(&MachineKind) -> bool) -> usize {
+        self.pending.iter().filter(|r| matches(&r.kind)).map(|r| r.count as usize).sum()
     }
 }
 
-/// All kinds of machines, the cheapest per CPU first; among those of one price the ones of which
-/// the fleet has the fewest, so that it spreads over zones.
+/// Returns all kinds of machines, the cheapest per CPU first. Kinds of the same price are ordered
+/// by their number in the fleet, the rarest first, so that the fleet spreads over zones.
 pub fn kinds_by_price(
     types: &[MachineType],
-    fleet: impl Fn(&MachineKind) -> usize,
+    machines_of_kind: impl Fn(&MachineKind) -> usize,
 ) -> Vec<MachineKind> {
     let mut kinds: Vec<(f64, usize, MachineKind)> = Vec::new();
     for machine_type in types {
@@ -107,7 +109,7 @@
                 let name = machine_type.name.clone();
                 let kind = MachineKind { machine_type: name, zone: zone.clone(), spot };
                 let price = if spot { machine_type.spot_price } else { machine_type.price };
-                kinds.push((price / machine_type.cpus.max(1e-9), fleet(&kind), kind));
+                kinds.push((price / machine_type.cpus.max(1e-9), machines_of_kind(&kind), kind));
             }
         }
     }
--- a/crates/basaltrail-core/src/leader/autoscaler/provisioning_time.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning_time.rs
@@ -1,48 +1,49 @@
-//! How long new machines take to come up, and which are not counted on any more.
+//! The time that new machines take to come up, and the age from which they no longer count as
+//! capacity.
 //!
-//! A provisioned machine counts as capacity while work waits. One that is overdue by what was
-//! observed recently may never come, so other machines are requested instead; in a zone where
-//! most are overdue, only a few are tried until machines come up.
+//! A provisioned machine counts as capacity for pending tasks. A machine that is overdue, judged by
+//! recent observations, may never come up, so other machines are requested in its place. In a zone
+//! where most machines are overdue, only a few are tried until machines come up again.
 //!
-//! Times are measured in nominal ones: those that the cloud states of the type.
+//! Times are multiples of the nominal boot time, which the cloud states for the machine type.
 
 use crate::model::{MachineType, Ms};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Nominal times after which a machine is overdue, where nothing longer was observed.
-const OVERDUE: f64 = 2.5;
-/// The same, as a multiple of what all but a few took recently.
-const OVERDUE_OBSERVED: f64 = 1.5;
-/// Nominal times after which a machine is abandoned, where nothing longer was observed.
-pub const ABANDONED: f64 = 4.0;
-/// Nominal times after which no machine is counted on, whatever was observed.
-const MAX_OVERDUE: f64 = 6.0;
-/// One in so many machines is few.
-const FEW: usize = 8;
-/// Observations kept by type and zone.
+/// Nominal boot times after which a machine is overdue, unless longer times were observed.
+const OVERDUE_BOOT_TIMES: f64 = 2.5;
+/// Multiple of the recently observed time, stragglers excluded, after which a machine is overdue.
+const OVERDUE_OBSERVED_FACTOR: f64 = 1.5;
+/// Nominal boot times after which a machine is abandoned, unless longer times were observed.
+pub const ABANDONED_BOOT_TIMES: f64 = 4.0;
+/// Nominal boot times after which a machine is overdue no matter what was observed.
+const MAX_OVERDUE_BOOT_TIMES: f64 = 6.0;
+/// One in this many observations may be a straggler.
+const STRAGGLER_DIVISOR: usize = 8;
+/// Maximum number of observations kept per type and zone.
 const MAX_OBSERVATIONS: usize = 16;
-/// Nominal times for which an observation counts.
-const OBSERVATION_LIFETIME: f64 = 20.0;
-/// Machines that may be on their way at once in a zone where most are overdue.
-const TRIAL_MACHINES: usize = 2;
+/// Nominal boot times for which an observation counts.
+const OBSERVATION_LIFETIME_BOOT_TIMES: f64 = 20.0;
+/// Maximum number of booting machines in a zone where most are overdue.
+const MAX_TRIAL_MACHINES: usize = 2;
 
-/// Observations of a type in a zone.
+/// Observations for a type in a zone.
 #[derive(Debug, Default)]
 struct ZoneObservations {
-    /// When machines came up, and after how many nominal times.
+    /// Times at which machines came up, with the nominal boot times that they took.
     arrivals: VecDeque<(Ms, f64)>,
-    /// When machines were abandoned.
+    /// Times at which machines were abandoned.
     abandoned: VecDeque<Ms>,
-    /// Machines on their way that are in time.
-    in_time: usize,
-    /// Machines on their way that are overdue.
+    /// Number of booting machines that are not overdue.
+    on_time: usize,
+    /// Number of booting machines that are overdue.
     overdue: usize,
 }
 
-/// A machine on its way.
+/// A machine that was requested and has not come up yet.
 #[derive(Clone, Copy, Debug)]
-pub struct MachineOnItsWay<'a> {
-    /// Its type.
+pub struct BootingMachine<'a> {
+    /// Its machine type.
     pub machine_type: &'a MachineType,
     /// Its zone.
     pub zone: &'a str,
@@ -50,7 +51,7 @@
     pub overdue: bool,
 }
 
-/// What was observed of the time that machines take to come up, by type and zone.
+/// Observed times that machines take to come up, by type and zone.
 #[derive(Debug, Default)]
 pub struct ProvisioningTimes {
     zones: BTreeMap<(String, String), ZoneObservations>,
@@ -65,18 +66,18 @@
         self.zones.entry((machine_type.name.clone(), zone.to_string())).or_default()
     }
 
-    /// Notes that a machine came up `took` milliseconds after it was requested.
-    pub fn note_arrival(&mut self, machine_type: &MachineType, zone: &str, now: Ms, took: Ms) {
+    /// Records that a machine came up `took_ms` after it was requested.
+    pub fn record_arrival(&mut self, machine_type: &MachineType, zone: &str, now: Ms, took_ms: Ms) {
         let observations = self.entry(machine_type, zone);
         if observations.arrivals.len() >= MAX_OBSERVATIONS {
             observations.arrivals.pop_front();
         }
-        observations.arrivals.push_back((now, took as f64 / nominal_ms(machine_type)));
+        observations.arrivals.push_back((now, took_ms as f64 / nominal_boot_ms(machine_type)));
     }
 
-    /// Notes that a machine was abandoned. Were that forgotten, a zone in trouble would be
-    /// trusted as soon as the last of its machines is terminated.
-    pub fn note_abandoned(&mut self, machine_type: &MachineType, zone: &str, now: Ms) {
+    /// Records that a machine was abandoned. Without this record, a zone with a fault would be
+    /// trusted again as soon as the last of its overdue machines is terminated.
+    pub fn record_abandonment(&mut self, machine_type: &MachineType, zone: &str, now: Ms) {
         let observations = self.entry(machine_type, zone);
         if observations.abandoned.len() >= MAX_OBSERVATIONS {
             observations.abandoned.pop_front();
@@ -84,11 +85,12 @@
         observations.abandoned.push_back(now);
     }
 
-    /// How long all but a few machines took recently, in nominal times. A single one that takes
-    /// several times as long is no reason to wait so long for all.
-    fn observed(&self, machine_type: &MachineType, zone: &str, now: Ms) -> f64 {
+    /// Returns the time in nominal boot times within which machines came up recently, stragglers
+    /// excluded. A single machine that takes several times as long is no reason to wait as long for
+    /// all.
+    fn observed_boot_times(&self, machine_type: &MachineType, zone: &str, now: Ms) -> f64 {
         let Some(observations) = self.get(machine_type, zone) else { return 0.0 };
-        let lifetime_ms = OBSERVATION_LIFETIME * nominal_ms(machine_type);
+        let lifetime_ms = OBSERVATION_LIFETIME_BOOT_TIMES * nominal_boot_ms(machine_type);
         let mut times: Vec<f64> = observations
             .arrivals
             .iter()
@@ -96,41 +98,44 @@
             .map(|(_, took)| *took)
             .collect();
         times.sort_by(f64::total_cmp);
-        let few = times.len() / FEW;
-        times.iter().rev().nth(few).copied().unwrap_or(0.0)
+        let stragglers = times.len() / STRAGGLER_DIVISOR;
+        times.iter().rev().nth(stragglers).copied().unwrap_or(0.0)
     }
 
-    /// The age in milliseconds from which a machine on its way is overdue: not counted on.
+    /// Returns the age in milliseconds from which a booting machine is overdue and no longer counts
+    /// as capacity.
     pub fn overdue_after(&self, machine_type: &MachineType, zone: &str, now: Ms) -> Ms {
-        let observed = self.observed(machine_type, zone, now);
-        let nominal_times = (OVERDUE_OBSERVED * observed).clamp(OVERDUE, MAX_OVERDUE);
-        (nominal_times * nominal_ms(machine_type)) as Ms
+        let observed_boot_times = self.observed_boot_times(machine_type, zone, now);
+        let boot_times = (OVERDUE_OBSERVED_FACTOR * observed_boot_times)
+            .clamp(OVERDUE_BOOT_TIMES, MAX_OVERDUE_BOOT_TIMES);
+        (boot_times * nominal_boot_ms(machine_type)) as Ms
     }
 
-    /// The age in milliseconds at which it is abandoned: terminated. Where machines are seen to
-    /// be overdue, later: else each would be terminated just before it comes up, and another
-    /// paid for in its place.
+    /// Returns the age in milliseconds at which a booting machine is abandoned, that is,
+    /// terminated. The age is higher where machines were observed to be late: otherwise each of
+    /// them would be terminated just before it comes up, and another one paid for in its place.
     pub fn abandoned_after(&self, machine_type: &MachineType, zone: &str, now: Ms) -> Ms {
-        let observed = self.observed(machine_type, zone, now);
-        let nominal_times = (OVERDUE_OBSERVED * observed + 1.0).clamp(ABANDONED, MAX_OVERDUE + 1.0);
-        (nominal_times * nominal_ms(machine_type)) as Ms
+        let observed_boot_times = self.observed_boot_times(machine_type, zone, now);
+        let boot_times = (OVERDUE_OBSERVED_FACTOR * observed_boot_times + 1.0)
+            .clamp(ABANDONED_BOOT_TIMES, MAX_OVERDUE_BOOT_TIMES + 1.0);
+        (boot_times * nominal_boot_ms(machine_type)) as Ms
     }
 
-    /// Counts the machines on their way anew.
-    pub fn count<'a>(&mut self, on_their_way: impl Iterator<Item = MachineOnItsWay<'a>>) {
+    /// Replaces the numbers of booting machines.
+    pub fn count_booting<'a>(&mut self, booting: impl Iterator<Item = BootingMachine<'a>>) {
         for observations in self.zones.values_mut() {
-            (observations.in_time, observations.overdue) = (0, 0);
+            (observations.on_time, observations.overdue) = (0, 0);
         }
-        for machine in on_their_way {
+        for machine in booting {
             let observations = self.entry(machine.machine_type, machine.zone);
-            observations.in_time += !machine.overdue as usize;
+            observations.on_time += !machine.overdue as usize;
             observations.overdue += machine.overdue as usize;
         }
     }
 
-    /// How many more machines may be requested in a zone, beside those that were requested and
-    /// not answered yet.
-    pub fn allowance(
+    /// Returns how many more machines may be requested in a zone. `requested` is the number in
+    /// requests that are not answered yet.
+    pub fn request_allowance(
         &self,
         machine_type: &MachineType,
         zone: &str,
@@ -138,22 +143,22 @@
         now: Ms,
     ) -> usize {
         let Some(observations) = self.get(machine_type, zone) else { return usize::MAX };
-        // What came up since the overdue ones were requested shows that machines come up.
-        let window_ms = ABANDONED * nominal_ms(machine_type);
-        let recent = |at: &Ms| now.saturating_sub(*at) as f64 <= window_ms;
-        let arrived = observations.arrivals.iter().filter(|(at, _)| recent(at)).count();
-        let abandoned = observations.abandoned.iter().filter(|at| recent(at)).count();
+        // Machines that came up after the overdue ones were requested show that the zone works.
+        let window_ms = ABANDONED_BOOT_TIMES * nominal_boot_ms(machine_type);
+        let is_recent = |at: &Ms| now.saturating_sub(*at) as f64 <= window_ms;
+        let arrived = observations.arrivals.iter().filter(|(at, _)| is_recent(at)).count();
+        let abandoned = observations.abandoned.iter().filter(|at| is_recent(at)).count();
         let missing = observations.overdue + abandoned;
-        match missing >= TRIAL_MACHINES && missing > arrived {
-            true => TRIAL_MACHINES.saturating_sub(observations.in_time + requested),
+        match missing >= MAX_TRIAL_MACHINES && missing > arrived {
+            true => MAX_TRIAL_MACHINES.saturating_sub(observations.on_time + requested),
             false => usize::MAX,
         }
     }
 }
 
-/// The nominal time of a type. One of 0 is taken for a second, and a senseless one for some
-/// days.
-fn nominal_ms(machine_type: &MachineType) -> f64 {
+/// Returns the nominal boot time of a type. A time of 0 is raised to a second, and an absurdly long
+/// one lowered to 1e6 seconds.
+fn nominal_boot_ms(machine_type: &MachineType) -> f64 {
     machine_type.boot_s.clamp(1.0, 1e6) * 1000.0
 }
 
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -1,11 +1,11 @@
-//! Scale-out: which machines are requested, and what the cloud answers.
+//! Scale-out: selection of the machines to request, and handling of the cloud's replies.
 
 use super::capacity_target::{capacity_targets, CapacityTarget};
 use super::demand::demand_by_type;
 use super::fleet::{live_machines, Fleet, KindNeeds};
-use super::partitions::unheard_since_failover;
+use super::partitions::is_zone_unheard_since_failover;
 use super::provisioning::{kinds_by_price, ProvisioningRequest};
-use super::provisioning_time::MachineOnItsWay;
+use super::provisioning_time::BootingMachine;
 use super::Autoscaler;
 use crate::events::MachineEvent;
 use crate::io::{CloudReply, CloudRequest};
@@ -18,19 +18,19 @@
 use crate::store::calls::{Calls, CloudPurpose};
 use crate::store::rate_limiter::CallPriority;
 
-/// What the fleet is, and what it should be.
+/// The present fleet and its targets.
 pub(in crate::leader) struct FleetPlan {
-    /// How many machines of each type pay.
+    /// Numbers of machines that are worth their price, by type.
     pub(in crate::leader) targets: Vec<CapacityTarget>,
-    /// The machines that are counted on.
+    /// The machines that count as capacity.
     pub(in crate::leader) fleet: Fleet,
-    /// The machines that are needed whatever they cost.
+    /// The machines that are needed regardless of price.
     pub(in crate::leader) needs: KindNeeds,
 }
 
 impl FleetPlan {
-    /// Machines of a kind that are worth requesting. `requested` of the type and
-    /// `requested_of_kind` of the kind were requested and not answered yet.
+    /// Returns how many more machines of a kind are worth requesting. `requested` and
+    /// `requested_of_kind` are the numbers of the type and of the kind in unanswered requests.
     fn shortage(&self, kind: &MachineKind, requested: usize, requested_of_kind: usize) -> usize {
         let target = self
             .targets
@@ -43,7 +43,7 @@
 }
 
 impl Autoscaler {
-    /// Plans the fleet: requests machines that are worth it, and drains those that are not.
+    /// Plans the fleet: requests machines that are worth their price, and drains surplus ones.
     pub(in crate::leader) fn plan(
         &mut self,
         ctx: &Context,
@@ -54,10 +54,10 @@
     ) {
         let demand = demand_by_type(ctx, cluster);
         let targets = capacity_targets(ctx, &demand, &mut self.peak);
-        self.note_overdue(ctx, cluster);
+        self.update_overdue(ctx, cluster);
         let live = live_machines(ctx, cluster);
         let fleet = Fleet::count(&live);
-        let needs = KindNeeds::find(ctx, cluster, sizes, &live, &fleet);
+        let needs = KindNeeds::determine(ctx, cluster, sizes, &live, &fleet);
         let plan = FleetPlan { targets, fleet, needs };
         while !self.provisioning.is_full() {
             let Some((kind, machines)) = self.next_request(ctx, cluster, &plan) else { break };
@@ -66,7 +66,7 @@
         self.drain_surplus(ctx, cluster, plan, calls);
     }
 
-    /// The cheapest kind that is worth requesting, and how many of it.
+    /// Returns the cheapest kind that is worth requesting, and the number to request.
     fn next_request(
         &self,
         ctx: &Context,
@@ -74,42 +74,45 @@
         plan: &FleetPlan,
     ) -> Option<(MachineKind, usize)> {
         let queue = &self.provisioning;
-        let requested_of_kind = |kind: &MachineKind| queue.requested(|other| other == kind);
-        // A team without a limit may have work for more machines than can report to a leader.
-        let known = cluster.machines.len() + queue.requested(|_| true);
-        let left = ctx.cfg.max_machines.saturating_sub(known);
-        // Machines beyond a network partition could not be reached.
-        let reachable =
-            |zone: &str| !self.partitions.contains(zone) && !unheard_since_failover(cluster, zone);
+        let requested_of_kind =
+            |kind: &MachineKind| queue.requested_machines(|other| other == kind);
+        // A team without a limit may have tasks for more machines than can report to one leader.
+        let known = cluster.machines.len() + queue.requested_machines(|_| true);
+        let remaining = ctx.cfg.max_machines.saturating_sub(known);
+        // Machines behind a network partition could not be reached.
+        let is_reachable = |zone: &str| {
+            !self.partitions.contains(zone) && !is_zone_unheard_since_failover(cluster, zone)
+        };
         let kinds =
             kinds_by_price(ctx.types, |kind| plan.fleet.of_kind(kind) + requested_of_kind(kind));
         kinds
             .into_iter()
-            .filter(|kind| queue.is_open(kind, ctx.now) && reachable(&kind.zone))
+            .filter(|kind| queue.may_request(kind, ctx.now) && is_reachable(&kind.zone))
             .find_map(|kind| {
-                let requested = queue.requested(|other| other.machine_type == kind.machine_type);
+                let requested =
+                    queue.requested_machines(|other| other.machine_type == kind.machine_type);
                 let machines = plan
                     .shortage(&kind, requested, requested_of_kind(&kind))
-                    .min(self.allowance(ctx, &kind))
-                    .min(left);
+                    .min(self.request_allowance(ctx, &kind))
+                    .min(remaining);
                 (machines > 0).then_some((kind, machines))
             })
     }
 
-    /// Machines that may be requested where others of the type are overdue.
-    fn allowance(&self, ctx: &Context, kind: &MachineKind) -> usize {
-        let requested = self.provisioning.requested(|other| {
+    /// Returns how many machines may be requested, given the overdue ones of the type in the zone.
+    fn request_allowance(&self, ctx: &Context, kind: &MachineKind) -> usize {
+        let requested = self.provisioning.requested_machines(|other| {
             (&other.machine_type, &other.zone) == (&kind.machine_type, &kind.zone)
         });
         machine_type(ctx.types, &kind.machine_type).map_or(0, |machine_type| {
-            self.provisioning_times.allowance(machine_type, &kind.zone, requested, ctx.now)
+            self.provisioning_times.request_allowance(machine_type, &kind.zone, requested, ctx.now)
         })
     }
 
-    /// Marks the machines on their way that are not counted on any more.
-    fn note_overdue(&mut self, ctx: &Context, cluster: &mut Cluster) {
+    /// Marks booting machines that are overdue or abandoned.
+    fn update_overdue(&mut self, ctx: &Context, cluster: &mut Cluster) {
         let times = &self.provisioning_times;
-        let mut on_their_way = Vec::new();
+        let mut booting = Vec::new();
         for machine in cluster.machines.values_mut() {
             let requested_at = machine
                 .requested_at
@@ -123,26 +126,26 @@
                 machine.overdue = ctx.now > at + times.overdue_after(machine_type, zone, ctx.now);
                 machine.abandoned =
                     ctx.now > at + times.abandoned_after(machine_type, zone, ctx.now);
-                on_their_way.push((machine_type, zone.clone(), machine.overdue));
+                booting.push((machine_type, zone.clone(), machine.overdue));
             }
         }
-        let machines = on_their_way.iter().map(|(machine_type, zone, overdue)| MachineOnItsWay {
+        let machines = booting.iter().map(|(machine_type, zone, overdue)| BootingMachine {
             machine_type,
             zone,
             overdue: *overdue,
         });
-        self.provisioning_times.count(machines);
+        self.provisioning_times.count_booting(machines);
     }
 
-    /// Sends the requests that are due, as far as the rate of calls allows.
+    /// Sends the requests that are due, as far as the call rate allows.
     pub(in crate::leader) fn send_requests(
         &mut self,
         ctx: &Context,
         token: FencingToken,
         calls: &mut Calls,
     ) {
-        let due = |r: &&mut ProvisioningRequest| !r.in_flight && ctx.now >= r.not_before;
-        for request in self.provisioning.pending.iter_mut().filter(due) {
+        let is_due = |r: &&mut ProvisioningRequest| !r.in_flight && ctx.now >= r.next_attempt_at;
+        for request in self.provisioning.pending.iter_mut().filter(is_due) {
             if !calls.cloud_rate.try_acquire(ctx.now, 1.0, CallPriority::Request) {
                 break;
             }
@@ -163,20 +166,20 @@
         }
     }
 
-    /// Takes the answer to a request; returns the machines that it names.
-    pub(in crate::leader) fn take_provisioning_answer(
+    /// Applies the reply to a request; returns the machines that it names.
+    pub(in crate::leader) fn apply_provisioning_reply(
         &mut self,
         ctx: &Context,
         requisition: &str,
         reply: CloudReply,
         calls: &mut Calls,
     ) -> Vec<Machine> {
-        let Some(request) = self.provisioning.take(requisition) else { return Vec::new() };
+        let Some(request) = self.provisioning.remove(requisition) else { return Vec::new() };
         let refused_until = ctx.now + ctx.cfg.lease_ms;
         let ids = match reply {
             CloudReply::Provisioned(ids) => ids,
             CloudReply::NoCapacity => {
-                self.provisioning.refuse(request.kind, refused_until);
+                self.provisioning.record_refusal(request.kind, refused_until);
                 self.next_plan_at = ctx.now;
                 return Vec::new();
             }
@@ -193,9 +196,9 @@
             provisioned: ids.len(),
         });
         if ids.len() < request.count as usize {
-            self.provisioning.refuse(request.kind.clone(), refused_until);
+            self.provisioning.record_refusal(request.kind.clone(), refused_until);
         }
-        // What is still wanted is requested at once.
+        // Machines that are still missing are requested at once.
         self.next_plan_at = ctx.now;
         ids.into_iter()
             .filter(|id| !self.terminated.contains(id))
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -126,7 +126,7 @@
         if let (Some(at), Some(machine_type)) = (machine.requested_at, machine_type) {
             let took_ms = ctx.now - at;
             let times = &mut self.autoscaler.provisioning_times;
-            times.note_arrival(machine_type, &machine.zone, ctx.now, took_ms);
+            times.record_arrival(machine_type, &machine.zone, ctx.now, took_ms);
         }
     }
 
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -164,7 +164,7 @@
             job.account.granted = 0.0;
         }
         self.writer.ledger_due = true;
-        self.note_primary_zone();
+        self.update_primary_zone();
         calls.log(LeadershipEvent::Round(self.cluster.round_summary(ctx.cfg)));
         self.plan_quotas(ctx, calls);
         self.scheduler.changed = true;
--- a/crates/basaltrail-core/src/machines/types_tests.rs
+++ b/crates/basaltrail-core/src/machines/types_tests.rs
@@ -17,7 +17,7 @@
 
 /// A follower requests the types from the cloud only while it knows none.
 #[test]
-fn stored_types_are_read_before_the_cloud_is_asked() {
+fn stored_types_are_read_before_types_are_requested_from_the_cloud() {
     let mut types = MachineTypes::default();
     assert_eq!(types.call_due(0, VALUE_BYTES, false), Some(MachineTypesCall::Read));
     types.record_sent();
