--- a/crates/basaltrail-core/src/leader/scheduler/victims.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/victims.rs
@@ -56,7 +56,7 @@
             let slack_s = feasible_slack_s.get(&key.0.job);
             let slack_rank = slack_s.map_or(i64::MIN, |slack_s| -slack_s as i64 / SLACK_STEP_S);
             let victim = Victim { machine: machine.id.clone(), key: *key, demand };
-            ranked.push(((demand.priority, slack_rank, Ms::MAX - slot.since), victim));
+            ranked.push(((demand.priority, slack_rank, Ms::MAX - slot.known_since), victim));
         }
     }
     sort_by_rank(ranked)
@@ -82,7 +82,7 @@
                 slot.demand.filter(|_| slot.holds_resources() && slot.stop_grace_s.is_none());
             let Some(demand) = demand else { continue };
             let is_service = cluster.jobs.get(&key.0.job).is_some_and(|job| job.spec.is_service());
-            let rank = (demand.priority, 0, Ms::MAX - slot.since);
+            let rank = (demand.priority, 0, Ms::MAX - slot.known_since);
             let victim = Victim { machine: machine.id.clone(), key: *key, demand };
             ranked.push(((is_service, rank), victim));
         }
