--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -49,7 +49,7 @@
                 self.leader_transaction_replied(token, *pending, reply);
             }
             StorePurpose::RefreshRevision { token, key } => {
-                self.with_leader_of(token, |leader, _, _| leader.refresh_reply(key, reply));
+                self.with_leader_of(token, |leader, _, _| leader.handle_refresh_reply(key, reply));
             }
             StorePurpose::WriteQuotas { token, writes } => {
                 self.quotas_written(token, &writes, &reply);
@@ -78,8 +78,9 @@
         pending: PendingTransaction,
         reply: StoreReply,
     ) {
-        let outcome = self
-            .with_leader_of(token, |leader, ctx, _| leader.transaction_reply(ctx, pending, reply));
+        let outcome = self.with_leader_of(token, |leader, ctx, _| {
+            leader.handle_transaction_reply(ctx, pending, reply)
+        });
         let Some(WriteOutcome { deposed, completed_jobs, jobs_to_read, rejected_keys }) = outcome
         else {
             return;
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -156,7 +156,7 @@
     ) {
         if self.autoscaler.take_termination_answer(ctx, &reply) {
             for id in machines {
-                self.remove_gone(ctx, calls, &id);
+                self.remove_terminated(ctx, calls, &id);
             }
         }
     }
@@ -168,7 +168,7 @@
             let inventory = &self.autoscaler.inventory;
             for id in inventory.find_gone(ctx, &self.cluster, &listing.machines) {
                 calls.log(MachineEvent::Gone { machine: id.clone() });
-                self.remove_gone(ctx, calls, &id);
+                self.remove_terminated(ctx, calls, &id);
             }
         }
         for listed in listing.machines {
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -136,7 +136,7 @@
             let reachable_since = self.liveness.reachable_since;
             self.liveness.lost_workers = workers_unreachable(ctx, &self.cluster, reachable_since);
             for job in self.cluster.remove_finished_jobs() {
-                self.writer.forget_job(&job);
+                self.writer.remove_job(&job);
             }
             self.scale_in(ctx, calls);
         }
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -1,4 +1,4 @@
-//! Fills a transaction with what has to be written, the most urgent first.
+//! Fills transactions with pending writes in the order of their urgency.
 
 use crate::fairness::Ledger;
 use crate::io::{Precondition, StoreRequest};
@@ -19,16 +19,16 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Changes in one transaction, however few the settings allow: an outcome takes two.
+/// Lower bound of the limit of changes in one transaction, since a job's outcome takes two.
 const MIN_TRANSACTION_OPS: usize = 2;
-/// Bytes of the ledger record at the most.
-const LEDGER_BYTES: usize = 4096;
-/// Bytes of a zone's name at the most.
-const ZONE_BYTES: usize = 256;
-/// Milliseconds until a transaction for which no call was left is made again.
+/// Upper bound of the size of the ledger record, in bytes.
+const MAX_LEDGER_BYTES: usize = 4096;
+/// Upper bound of the size of a zone name, in bytes.
+const MAX_ZONE_BYTES: usize = 256;
+/// Delay before a rate-limited transaction is retried, in milliseconds.
 const RATE_LIMITED_RETRY_MS: Ms = 20;
 
-/// The parts of a leader that a transaction is filled from.
+/// The parts of the leader's state that transactions are filled from.
 struct WriteSources<'a> {
     cluster: &'a mut Cluster,
     registry: &'a mut MachineRegistry,
@@ -36,12 +36,12 @@
     primary_zone: Option<&'a str>,
     unknown_jobs: &'a BTreeSet<JobId>,
     token: FencingToken,
-    /// Mod revision of the leader's record: a transaction succeeds only while it leads.
+    /// Mod revision of the leader's record; transactions commit only while it is unchanged.
     leader_revision: Revision,
 }
 
 impl Leader {
-    /// Writes what has to be written, if a transaction may go out.
+    /// Sends a transaction with pending writes, if one may be sent.
     pub(in crate::leader) fn flush(&mut self, ctx: &Context, calls: &mut Calls) {
         if !self.writer.is_ready(ctx.now) || !self.loaded() || !ctx.holds_valid_lease {
             return;
@@ -75,9 +75,9 @@
         self.add_deletions(&mut transaction, &mut budget);
         let Some((request, pending)) = transaction.finish() else { return };
         if !calls.try_acquire(ctx.now, CallPriority::Completion) {
-            let completions_by = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
-            self.restore(&mut sources.cluster.jobs, sources.registry, pending, completions_by);
-            self.not_before = ctx.now + RATE_LIMITED_RETRY_MS;
+            let completions_due_at = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
+            self.requeue(&mut sources.cluster.jobs, sources.registry, pending, completions_due_at);
+            self.next_transaction_at = ctx.now + RATE_LIMITED_RETRY_MS;
             return;
         }
         self.in_flight = true;
@@ -86,7 +86,7 @@
         calls.send_to_store(purpose, request, ctx.cfg.leader_lease_ms() / 4);
     }
 
-    /// Reads the mod revisions again that are not known.
+    /// Reads the keys whose mod revision is not known.
     fn refresh_stale_keys(&mut self, ctx: &Context, calls: &mut Calls, token: FencingToken) {
         for (key, in_flight) in self.stale_keys.iter_mut().filter(|(_, in_flight)| !**in_flight) {
             if calls.try_acquire(ctx.now, CallPriority::Completion) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Adds the outcomes of jobs whose tasks are all done.
+    /// Adds the outcomes of the jobs whose tasks are all done.
     fn add_outcomes(
         &self,
         ctx: &Context,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Adds the segments of the machine registry that have to be written.
+    /// Adds the dirty segments of the machine registry.
     fn add_registry_segments(
         &self,
         registry: &mut MachineRegistry,
@@ -132,7 +132,7 @@
         for segment in registry.write_order() {
             let key = machine_registry_key(segment);
             if self.is_blocked(&key)
-                || registry.must_wait(segment)
+                || registry.is_write_deferred(segment)
                 || !transaction.has_room(1, registry.segment_bytes(segment))
                 || !budget.acquire(1, CallPriority::Request)
             {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Adds the fairness ledger, with the jobs in a crash loop.
+    /// Adds the fairness ledger with the jobs in a crash loop, if it is due.
     fn add_ledger(
         &mut self,
         ctx: &Context,
@@ -157,7 +157,7 @@
     ) {
         if !self.ledger_due
             || self.is_blocked(LEDGER_KEY)
-            || !transaction.has_room(1, LEDGER_BYTES)
+            || !transaction.has_room(1, MAX_LEDGER_BYTES)
             || !budget.acquire(1, CallPriority::Completion)
         {
             return;
@@ -175,7 +175,7 @@
         transaction.put(self.mod_revision(LEDGER_KEY), LEDGER_KEY.into(), encode(&record));
     }
 
-    /// Adds the primary zone.
+    /// Adds the primary zone, if it is due.
     fn add_primary_zone(
         &mut self,
         primary_zone: Option<&str>,
@@ -184,7 +184,7 @@
     ) {
         if !self.primary_zone_due
             || self.is_blocked(PRIMARY_ZONE_KEY)
-            || !transaction.has_room(1, ZONE_BYTES)
+            || !transaction.has_room(1, MAX_ZONE_BYTES)
             || !budget.acquire(1, CallPriority::Background)
         {
             return;
@@ -195,7 +195,8 @@
         transaction.put(mod_revision, PRIMARY_ZONE_KEY.into(), encode(&primary_zone));
     }
 
-    /// Adds the completions of unfinished jobs, at most once a heartbeat interval.
+    /// Adds the completions of unfinished jobs. Once all pending ones are added, the next are due a
+    /// heartbeat interval later.
     fn add_completions(
         &mut self,
         ctx: &Context,
@@ -212,7 +213,7 @@
                 self.unwritten_jobs.remove(&id);
                 continue;
             };
-            if !self.add_completions_of(job, transaction, budget) {
+            if !self.add_job_completions(job, transaction, budget) {
                 return;
             }
             self.last_written_job = id;
@@ -223,8 +224,9 @@
         self.next_completions_at = ctx.now + ctx.cfg.heartbeat_interval_ms;
     }
 
-    /// Adds the completions of one job; false if there was no room for all that may be written.
-    fn add_completions_of(
+    /// Adds the completions of one job; false if the transaction or the write budget is
+    /// exhausted.
+    fn add_job_completions(
         &self,
         job: &mut JobState,
         transaction: &mut TransactionBuilder,
@@ -249,7 +251,7 @@
         true
     }
 
-    /// Deletes the completions of ended jobs.
+    /// Adds deletions of the completions of ended jobs.
     fn add_deletions(&mut self, transaction: &mut TransactionBuilder, budget: &mut WriteBudget) {
         while let Some(&(job, segment)) = self.obsolete_completions.first() {
             if !transaction.has_room(1, 0) || !budget.acquire(1, CallPriority::Background) {
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
@@ -1,7 +1,7 @@
-//! The machine registry: the durable list of machines that may hold tasks.
+//! The machine registry: the durable list of the machines that may hold tasks.
 //!
-//! A machine leaves it only when it is gone for certain, and no segment of it says that nothing
-//! runs where something may.
+//! A machine is removed from the registry only once it has certainly terminated, and no stored
+//! segment lists a machine as free while tasks may run on it.
 
 use crate::io::KeyValue;
 use crate::leader::{Context, Leader};
@@ -13,59 +13,59 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Segments beyond this one are not ours: 1,000 segments of full values hold far more machines
-/// than a leader keeps account of.
+/// Limit of the segment numbers that are read. 1,000 full segments hold far more machines than a
+/// leader tracks, so a higher number was not written by a leader.
 const MAX_SEGMENTS: usize = 1000;
-/// Encoded bytes of a list without records: its two brackets.
+/// Encoded size of an empty list, in bytes: two brackets.
 const EMPTY_LIST_BYTES: usize = 2;
 
-/// The machines that are known to this leader.
+/// Machines known to this leader, by id.
 type Machines = BTreeMap<MachineId, Machine>;
 
-/// The durable list of machines, cut into segments that a value of the store may hold.
+/// The durable list of machines, in segments that each fit into one value of the store.
 #[derive(Default)]
 pub struct MachineRegistry {
-    /// The records of each segment.
+    /// Records of each segment.
     segments: Vec<Vec<MachineRecord>>,
     /// Encoded size of each segment, in bytes.
-    bytes: Vec<usize>,
-    /// Segments that have to be written.
+    segment_bytes: Vec<usize>,
+    /// Segments that differ from the store.
     pub(in crate::leader) dirty: BTreeSet<usize>,
-    /// The segment after which the next transaction continues.
+    /// Segment that was written last; the next transaction continues after it.
     pub(in crate::leader) last_written: usize,
-    /// Segments that are written only after these others were.
-    waits: BTreeMap<usize, BTreeSet<usize>>,
+    /// Segments that are written only after others, with the others that are not written yet.
+    write_dependencies: BTreeMap<usize, BTreeSet<usize>>,
 }
 
 impl MachineRegistry {
-    /// The records of one segment.
+    /// Returns the records of one segment.
     pub(in crate::leader) fn records(&self, segment: usize) -> &[MachineRecord] {
         &self.segments[segment]
     }
 
-    /// Encoded size of one segment, in bytes.
+    /// Returns the encoded size of one segment, in bytes.
     pub(in crate::leader) fn segment_bytes(&self, segment: usize) -> usize {
-        self.bytes[segment]
+        self.segment_bytes[segment]
     }
 
-    /// Machines of a segment that may hold tasks.
+    /// Returns the machines of a segment that may hold tasks.
     pub(in crate::leader) fn in_use(&self, segment: usize) -> impl Iterator<Item = &MachineId> {
         self.segments[segment].iter().filter(|record| !record.free).map(|record| &record.id)
     }
 
-    /// Whether a segment must not be written yet.
-    pub(in crate::leader) fn must_wait(&self, segment: usize) -> bool {
-        self.waits.get(&segment).is_some_and(|others| !others.is_empty())
+    /// Returns whether other segments have to be written before this one.
+    pub(in crate::leader) fn is_write_deferred(&self, segment: usize) -> bool {
+        self.write_dependencies.get(&segment).is_some_and(|others| !others.is_empty())
     }
 
-    /// The segments to write, in turn: few fit into one transaction, and each has machines that
-    /// wait for it.
+    /// Returns the dirty segments in round-robin order. Only a few fit into one transaction, and
+    /// tasks start on a machine only after its segment is written.
     pub(in crate::leader) fn write_order(&self) -> Vec<usize> {
         let after = self.dirty.range((Excluded(self.last_written), Unbounded));
         after.chain(self.dirty.range(..=self.last_written)).copied().collect()
     }
 
-    /// Takes a segment as it was read; returns its number, or `None` if it cannot be read.
+    /// Adds a segment read from the store; returns its number, or `None` if it cannot be decoded.
     pub(in crate::leader) fn load_segment(&mut self, item: &KeyValue) -> Option<usize> {
         let segment: usize = item.key.strip_prefix(MACHINE_REGISTRY_PREFIX)?.parse().ok()?;
         let records: Vec<MachineRecord> = decode(&item.value)?;
@@ -74,25 +74,25 @@
         }
         if self.segments.len() <= segment {
             self.segments.resize(segment + 1, Vec::new());
-            self.bytes.resize(segment + 1, 0);
+            self.segment_bytes.resize(segment + 1, 0);
         }
-        self.bytes[segment] = item.value.len();
+        self.segment_bytes[segment] = item.value.len();
         self.segments[segment] = records;
         Some(segment)
     }
 
     fn push_segment(&mut self) -> usize {
         self.segments.push(Vec::new());
-        self.bytes.push(EMPTY_LIST_BYTES);
+        self.segment_bytes.push(EMPTY_LIST_BYTES);
         self.segments.len() - 1
     }
 
-    fn measure(&mut self, segment: usize) {
-        self.bytes[segment] = encode(&self.segments[segment]).len();
+    fn update_segment_bytes(&mut self, segment: usize) {
+        self.segment_bytes[segment] = encode(&self.segments[segment]).len();
     }
 
-    /// Lists a machine, as one where nothing runs yet; one that is listed stays as it is. A
-    /// value of the store holds `value_bytes` bytes.
+    /// Adds a machine as free, unless the registry lists it already. `value_bytes` is the maximum
+    /// size of a value of the store.
     fn add(&mut self, machine: &mut Machine, value_bytes: usize) {
         if machine.registry_segment.is_some() {
             return;
@@ -104,22 +104,23 @@
             spot: machine.spot,
             free: false,
         };
-        let record_bytes = record_bytes(&mut record);
-        let limit = segment_limit(value_bytes);
-        let segment = match self.bytes.iter().position(|bytes| bytes + record_bytes <= limit) {
-            Some(segment) => segment,
-            None => self.push_segment(),
-        };
+        let record_bytes = max_record_bytes(&mut record);
+        let limit = max_segment_bytes(value_bytes);
+        let segment =
+            match self.segment_bytes.iter().position(|bytes| bytes + record_bytes <= limit) {
+                Some(segment) => segment,
+                None => self.push_segment(),
+            };
         record.free = true;
         self.segments[segment].push(record);
-        self.bytes[segment] += record_bytes;
+        self.segment_bytes[segment] += record_bytes;
         self.dirty.insert(segment);
         machine.registry_segment = Some(segment);
     }
 
-    /// Records whether anything may run on a machine. As long as the registry says that nothing
-    /// does, or may come to say so, nothing is started there: the next leader does not wait for
-    /// its heartbeat.
+    /// Records whether a machine is free. No task is started on a machine while the stored
+    /// registry lists it as free, or a write in flight may do so: the next leader does not wait for
+    /// a heartbeat of a free machine.
     fn set_free(&mut self, machine: &mut Machine, free: bool) {
         let Some(segment) = machine.registry_segment else { return };
         let record = self.segments[segment].iter_mut().find(|record| record.id == machine.id);
@@ -129,51 +130,53 @@
         self.dirty.insert(segment);
     }
 
-    /// Removes a machine that is gone for certain.
+    /// Removes a machine that has certainly terminated.
     fn remove(&mut self, machine: &Machine) {
         let Some(segment) = machine.registry_segment else { return };
         self.segments[segment].retain(|record| record.id != machine.id);
-        self.measure(segment);
+        self.update_segment_bytes(segment);
         self.dirty.insert(segment);
     }
 
-    /// Brings what was read into a form that the limits allow.
+    /// Merges duplicate records and splits segments that exceed the size limit of a value.
     ///
-    /// An earlier version, or limits since lowered, may have left segments larger than a value
-    /// may be now; they are cut before anything is added to them. What moves is written in its
-    /// new place first, and only then is the old one overwritten, so that each machine is listed
-    /// at any moment; a leader that is elected in between finds some twice.
+    /// Segments may be too large if an earlier version wrote them or the limit was lowered. They
+    /// are split before records are added to them. The new segments are written before the old one
+    /// is overwritten, so the store lists each machine at all times; a leader elected in between
+    /// reads some machines twice.
     pub(in crate::leader) fn repair(&mut self, machines: &mut Machines, value_bytes: usize) {
-        self.join_duplicates(machines);
+        self.merge_duplicates(machines);
         for segment in 0..self.segments.len() {
-            if self.bytes[segment] > value_bytes {
+            if self.segment_bytes[segment] > value_bytes {
                 self.split(segment, machines, value_bytes);
             }
         }
     }
 
-    /// Cuts a segment; all but the first piece go to new segments.
+    /// Splits a segment; all chunks but the first go to new segments.
     fn split(&mut self, segment: usize, machines: &mut Machines, value_bytes: usize) {
         let records = std::mem::take(&mut self.segments[segment]);
-        for (n, piece) in pieces(records, segment_limit(value_bytes)).into_iter().enumerate() {
-            let to = if n == 0 { segment } else { self.push_segment() };
+        for (n, chunk) in
+            split_records(records, max_segment_bytes(value_bytes)).into_iter().enumerate()
+        {
+            let target = if n == 0 { segment } else { self.push_segment() };
             if n > 0 {
-                self.waits.entry(segment).or_default().insert(to);
-                for record in &piece {
+                self.write_dependencies.entry(segment).or_default().insert(target);
+                for record in &chunk {
                     let Some(machine) = machines.get_mut(&record.id) else { continue };
-                    machine.registry_segment = Some(to);
+                    machine.registry_segment = Some(target);
                     machine.free_in_segments.extend(record.free.then_some(segment));
                 }
             }
-            self.segments[to] = piece;
-            self.measure(to);
-            self.dirty.insert(to);
+            self.segments[target] = chunk;
+            self.update_segment_bytes(target);
+            self.dirty.insert(target);
         }
     }
 
-    /// A machine that is listed in two segments stays in the first of them, as one that may hold
-    /// something unless both say that it does not.
-    fn join_duplicates(&mut self, machines: &mut Machines) {
+    /// Keeps a machine that is listed more than once only in the first segment, as free only if all
+    /// its records say so.
+    fn merge_duplicates(&mut self, machines: &mut Machines) {
         for (first, second, duplicate) in self.remove_duplicates() {
             let kept = self.segments[first].iter_mut().find(|record| record.id == duplicate.id);
             let Some(kept) = kept else { continue };
@@ -183,7 +186,7 @@
             if let Some(machine) = machines.get_mut(&duplicate.id) {
                 machine.reconciled = free;
                 machine.in_use_before_failover = !free;
-                // What is stored now may say that nothing runs, in the one segment or the other.
+                // Either stored segment may still list the machine as free.
                 machine.registered_in_use = !kept_free && !duplicate.free;
                 machine.registry_segment = Some(first);
                 machine.free_in_segments.extend(kept_free.then_some(first));
@@ -191,26 +194,26 @@
             }
             self.dirty.extend([first, second]);
             if first != second {
-                self.waits.entry(second).or_default().insert(first);
+                self.write_dependencies.entry(second).or_default().insert(first);
             }
-            self.measure(first);
-            self.measure(second);
+            self.update_segment_bytes(first);
+            self.update_segment_bytes(second);
         }
     }
 
-    /// Removes every listing of a machine but the first; returns the segment of the first, the
-    /// segment of the removed one, and its record.
+    /// Removes all records of a machine but the first. Returns for each removed record the segment
+    /// of the first, its own segment, and the record.
     fn remove_duplicates(&mut self) -> Vec<(usize, usize, MachineRecord)> {
-        let mut first: HashMap<MachineId, usize> = HashMap::new();
+        let mut first_segments: HashMap<MachineId, usize> = HashMap::new();
         let mut duplicates = Vec::new();
         for (segment, records) in self.segments.iter_mut().enumerate() {
-            records.retain(|record| match first.get(&record.id) {
+            records.retain(|record| match first_segments.get(&record.id) {
                 Some(first) => {
                     duplicates.push((*first, segment, record.clone()));
                     false
                 }
                 None => {
-                    first.insert(record.id.clone(), segment);
+                    first_segments.insert(record.id.clone(), segment);
                     true
                 }
             });
@@ -218,33 +221,34 @@
         duplicates
     }
 
-    /// A segment was written with these machines in use: what is still in use by all that is
-    /// stored may hold tasks. True if a machine has become one to place on.
-    pub(in crate::leader) fn segment_committed(
+    /// Records that a segment was written. Its machines may hold tasks if both the written and the
+    /// current records list them as in use, and no stored segment lists them as free. True if tasks
+    /// can now be placed on another machine.
+    pub(in crate::leader) fn record_committed_segment(
         &mut self,
         written: &WrittenSegment,
         machines: &mut Machines,
     ) -> bool {
-        self.release_waiting(written.segment, machines);
+        self.release_dependents(written.segment, machines);
         let in_use: HashSet<&MachineId> = self.in_use(written.segment).collect();
-        let mut became_usable = false;
+        let mut any_newly_usable = false;
         for id in written.in_use.iter().filter(|id| in_use.contains(id)) {
             let machine = machines.get_mut(id).filter(|m| m.free_in_segments.is_empty());
             if let Some(machine) = machine {
-                became_usable |= !machine.registered_in_use;
+                any_newly_usable |= !machine.registered_in_use;
                 machine.registered_in_use = true;
             }
         }
-        became_usable
+        any_newly_usable
     }
 
-    /// A segment was written: those that waited for it may follow, and what it said before
-    /// counts no more.
-    fn release_waiting(&mut self, segment: usize, machines: &mut Machines) {
-        for others in self.waits.values_mut() {
+    /// Releases the segments that had to be written after this one, and removes it from the
+    /// segments that list machines as free by their old content.
+    fn release_dependents(&mut self, segment: usize, machines: &mut Machines) {
+        for others in self.write_dependencies.values_mut() {
             others.remove(&segment);
         }
-        self.waits.retain(|_, others| !others.is_empty());
+        self.write_dependencies.retain(|_, others| !others.is_empty());
         for machine in machines.values_mut() {
             if machine.free_in_segments.remove(&segment) {
                 self.dirty.extend(machine.registry_segment);
@@ -253,56 +257,57 @@
     }
 }
 
-/// Bytes up to which a segment is filled: a tenth of a value is left for records that grow.
-fn segment_limit(value_bytes: usize) -> usize {
+/// Returns the size up to which segments are filled, in bytes. A tenth of a value is reserved for
+/// records that grow.
+fn max_segment_bytes(value_bytes: usize) -> usize {
     value_bytes * 9 / 10
 }
 
-/// Encoded bytes of a record with the comma after it, in its longest form: "false" is longer
-/// than "true".
-fn record_bytes(record: &mut MachineRecord) -> usize {
+/// Returns the maximum encoded size of a record with its comma, in bytes. "false" is longer than
+/// "true".
+fn max_record_bytes(record: &mut MachineRecord) -> usize {
     let free = std::mem::replace(&mut record.free, false);
     let bytes = encode(record).len() + 1;
     record.free = free;
     bytes
 }
 
-/// Cuts records into pieces of at most `limit` encoded bytes each.
-fn pieces(records: Vec<MachineRecord>, limit: usize) -> Vec<Vec<MachineRecord>> {
-    let mut pieces: Vec<Vec<MachineRecord>> = vec![Vec::new()];
+/// Splits records into chunks of at most `limit` encoded bytes each.
+fn split_records(records: Vec<MachineRecord>, limit: usize) -> Vec<Vec<MachineRecord>> {
+    let mut chunks: Vec<Vec<MachineRecord>> = vec![Vec::new()];
     let mut bytes = EMPTY_LIST_BYTES;
     for mut record in records {
-        let size = record_bytes(&mut record);
-        if bytes + size > limit {
-            pieces.push(Vec::new());
+        let record_bytes = max_record_bytes(&mut record);
+        if bytes + record_bytes > limit {
+            chunks.push(Vec::new());
             bytes = EMPTY_LIST_BYTES;
         }
-        bytes += size;
-        if let Some(piece) = pieces.last_mut() {
-            piece.push(record);
+        bytes += record_bytes;
+        if let Some(chunk) = chunks.last_mut() {
+            chunk.push(record);
         }
     }
-    pieces
+    chunks
 }
 
 impl Leader {
-    /// Lists a machine in the registry, as one where nothing runs yet.
+    /// Adds a machine to the registry as free, unless it is listed already.
     pub(in crate::leader) fn add_to_registry(&mut self, ctx: &Context, machine: &MachineId) {
         if let Some(machine) = self.cluster.machines.get_mut(machine) {
             self.registry.add(machine, ctx.cfg.value_bytes);
         }
     }
 
-    /// Records in the registry whether anything may run on a machine.
+    /// Records in the registry whether a machine is free.
     pub(in crate::leader) fn set_registered_free(&mut self, machine: &MachineId, free: bool) {
         if let Some(machine) = self.cluster.machines.get_mut(machine) {
             self.registry.set_free(machine, free);
         }
     }
 
-    /// The machine is gone for certain: the request to terminate it was answered, or the cloud
-    /// lists it no more.
-    pub(in crate::leader) fn remove_gone(
+    /// Removes a machine that has certainly terminated: the cloud answered the request to terminate
+    /// it, or no longer lists it.
+    pub(in crate::leader) fn remove_terminated(
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -8,7 +8,7 @@
 use crate::store::records::machine_registry_key;
 use std::sync::Arc;
 
-/// The machine registry as the state service holds it, and how often it was written.
+/// The machine registry as stored in the state service, and the revision of its last write.
 #[derive(Clone, Default)]
 struct StoredRegistry {
     segments: BTreeMap<String, String>,
@@ -23,21 +23,21 @@
     fn load(&self, ctx: &Context) -> Leader {
         let mut leader = Leader::new(ctx, FencingToken(2), Revision(1));
         let calls = &mut Calls::default();
-        let rows = |items| StoreReply::Page { items, more: false, revision: self.revision };
+        let page = |items| StoreReply::Page { items, more: false, revision: self.revision };
         let item = |(k, v): (&String, &String)| KeyValue {
             key: k.clone(),
             value: v.clone(),
             mod_revision: Revision(1),
             lease_id: None,
         };
-        leader.load_reply(ctx, calls, rows(self.segments.iter().map(item).collect()));
-        leader.load_reply(ctx, calls, rows(Vec::new()));
+        leader.load_reply(ctx, calls, page(self.segments.iter().map(item).collect()));
+        leader.load_reply(ctx, calls, page(Vec::new()));
         leader.load_reply(ctx, calls, StoreReply::NotFound);
         assert!(leader.loaded());
         leader
     }
 
-    /// Carries out one transaction; false if there was none.
+    /// Commits the leader's next transaction; false if there is none.
     fn flush(&mut self, ctx: &Context, leader: &mut Leader) -> bool {
         let mut calls = Calls::default();
         calls.write_rate.set_rate(1e6);
@@ -51,29 +51,45 @@
         };
         assert!(puts.len() + deletes.len() <= ctx.cfg.transaction_ops);
         self.revision.0 += 1;
-        for p in puts.into_iter().filter(|p| p.key.starts_with(MACHINE_REGISTRY_PREFIX)) {
-            assert!(p.value.len() <= ctx.cfg.value_bytes, "{} holds {}", p.key, p.value.len());
-            self.segments.insert(p.key, p.value);
+        for put in puts.into_iter().filter(|put| put.key.starts_with(MACHINE_REGISTRY_PREFIX)) {
+            assert!(
+                put.value.len() <= ctx.cfg.value_bytes,
+                "{} holds {} bytes",
+                put.key,
+                put.value.len()
+            );
+            self.segments.insert(put.key, put.value);
         }
         let Some(StorePurpose::LeaderTransaction { pending, .. }) = calls.finish_store(op) else {
-            panic!("no transaction")
+            panic!("the call is not a transaction of the leader")
         };
-        leader.transaction_reply(ctx, *pending, StoreReply::Committed { revision: self.revision });
+        leader.handle_transaction_reply(
+            ctx,
+            *pending,
+            StoreReply::Committed { revision: self.revision },
+        );
         true
     }
 
-    /// Each machine is listed, and none passes for free on which a start may be made.
-    fn assert_consistent(&self, leader: &Leader, names: usize, busy: &dyn Fn(usize) -> bool) {
+    /// Asserts that each machine is listed, and that none is listed as free while it is busy or
+    /// tasks may be started on it.
+    fn assert_consistent(
+        &self,
+        leader: &Leader,
+        machine_count: usize,
+        is_busy: &dyn Fn(usize) -> bool,
+    ) {
         let records = self.records();
-        for i in 0..names {
-            let here: Vec<&MachineRecord> = records.iter().filter(|e| e.id == id(i)).collect();
-            assert!(!here.is_empty(), "{} is lost", id(i));
-            let free = here.iter().all(|e| e.free);
-            assert!(!busy(i) || !free, "{} passes for free", id(i));
-            let m = &leader.cluster.machines[&id(i)];
+        for i in 0..machine_count {
+            let listed: Vec<&MachineRecord> =
+                records.iter().filter(|record| record.id == id(i)).collect();
+            assert!(!listed.is_empty(), "{} is not listed", id(i));
+            let is_free = listed.iter().all(|record| record.free);
+            assert!(!is_busy(i) || !is_free, "{} is busy and listed as free", id(i));
+            let machine = &leader.cluster.machines[&id(i)];
             assert!(
-                !m.registered_in_use || here.iter().all(|e| !e.free),
-                "{} is free somewhere",
+                !machine.registered_in_use || listed.iter().all(|record| !record.free),
+                "{} may hold tasks and is listed as free in a segment",
                 id(i)
             );
         }
@@ -84,77 +100,79 @@
     MachineId(Arc::from(format!("m-{i:06}")))
 }
 
-fn segment(range: std::ops::Range<usize>, free: impl Fn(usize) -> bool) -> String {
+fn encoded_segment(range: std::ops::Range<usize>, is_free: impl Fn(usize) -> bool) -> String {
     let record = |i| MachineRecord {
         id: id(i),
         machine_type: "folio-box".into(),
         zone: "toowong-store".into(),
         spot: false,
-        free: free(i),
+        free: is_free(i),
     };
     encode(&range.map(record).collect::<Vec<_>>())
 }
 
-/// Few records fit into a segment, and few segments into a transaction.
+/// Returns a cluster whose settings allow few records in a segment and two segments in a
+/// transaction.
 fn cluster_with_small_values() -> TestCluster {
     let settings = Settings { value_bytes: 512, transaction_ops: 2, ..settings() };
     TestCluster { settings, ..TestCluster::new(0.0, &[]) }
 }
 
-/// A segment that an earlier version left larger than a value may be now is split. A
-/// leader that ends after any piece leaves every machine where the next one finds it.
+/// A segment that exceeds the size limit of a value is split over several transactions. A leader
+/// that ends after any of them must leave every machine listed for the next leader.
 #[test]
 fn an_oversized_segment_is_split_without_losing_a_machine() {
     let test = cluster_with_small_values();
     let ctx = test.context(500);
-    let busy = |i: usize| !i.is_multiple_of(3);
+    let is_busy = |i: usize| !i.is_multiple_of(3);
     for ends_after in 0..12 {
         let mut stored = StoredRegistry::default();
-        stored.segments.insert(machine_registry_key(0), segment(0..40, |i| !busy(i)));
-        stored.segments.insert(machine_registry_key(1), segment(40..43, |i| !busy(i)));
+        stored.segments.insert(machine_registry_key(0), encoded_segment(0..40, |i| !is_busy(i)));
+        stored.segments.insert(machine_registry_key(1), encoded_segment(40..43, |i| !is_busy(i)));
         let mut leader = stored.load(&ctx);
-        // Whichever part's turn it is.
+        // Start the round-robin order at any segment.
         leader.registry.last_written = ends_after % 8;
-        let mut touched = BTreeSet::new();
+        let mut reported = BTreeSet::new();
         for step in 0..60 {
             if step == ends_after {
                 leader = stored.load(&ctx);
-                touched.clear();
+                reported.clear();
             }
-            // Machines report while it goes on, and may be given work once that is stored.
+            // Machines send heartbeats during the split; tasks may start on them once their use
+            // is stored.
             for i in [step * 7 % 43, (step * 7 + 12) % 43, (step * 7 + 30) % 43] {
                 leader.set_registered_free(&id(i), false);
-                touched.insert(i);
+                reported.insert(i);
             }
             stored.flush(&ctx, &mut leader);
-            stored.assert_consistent(&leader, 43, &|i| busy(i));
+            stored.assert_consistent(&leader, 43, &|i| is_busy(i));
         }
         for _ in 0..200 {
-            leader.writer.not_before = 0;
+            leader.writer.next_transaction_at = 0;
             if !stored.flush(&ctx, &mut leader) {
                 break;
             }
-            stored.assert_consistent(&leader, 43, &|i| busy(i));
+            stored.assert_consistent(&leader, 43, &|i| is_busy(i));
         }
-        assert!(leader.registry.waits.is_empty() && leader.registry.dirty.is_empty());
-        assert_eq!(stored.records().len(), 43, "listed once each in the end");
+        assert!(leader.registry.write_dependencies.is_empty() && leader.registry.dirty.is_empty());
+        assert_eq!(stored.records().len(), 43, "each machine is listed once");
         assert!(stored.segments.values().all(|v| v.len() <= ctx.cfg.value_bytes));
         assert!(
-            touched.iter().all(|i| leader.cluster.machines[&id(*i)].registered_in_use),
-            "no work for some"
+            reported.iter().all(|i| leader.cluster.machines[&id(*i)].registered_in_use),
+            "no tasks can start on some machines"
         );
     }
 }
 
-/// A leader that ended while it cut, or an old version that wrote a segment again, leaves machines
-/// in two segments, of which one may say that nothing runs there.
+/// A leader that ends during a split, or an earlier version that rewrites a segment, leaves
+/// machines in two segments. It is possible that only one of them lists a machine as free.
 #[test]
-fn a_machine_in_two_segments_is_free_only_if_both_say_so() {
+fn a_machine_in_two_segments_is_free_only_if_both_list_it_as_free() {
     let test = cluster_with_small_values();
     let ctx = test.context(500);
     let mut stored = StoredRegistry::default();
-    stored.segments.insert(machine_registry_key(0), segment(0..4, |i| i < 2));
-    stored.segments.insert(machine_registry_key(1), segment(0..4, |i| i.is_multiple_of(2)));
+    stored.segments.insert(machine_registry_key(0), encoded_segment(0..4, |i| i < 2));
+    stored.segments.insert(machine_registry_key(1), encoded_segment(0..4, |i| i.is_multiple_of(2)));
     let mut leader = stored.load(&ctx);
     let reconciled: Vec<bool> =
         (0..4).map(|i| leader.cluster.machines[&id(i)].reconciled).collect();
--- a/crates/basaltrail-core/src/leader/persistence/replies.rs
+++ b/crates/basaltrail-core/src/leader/persistence/replies.rs
@@ -1,4 +1,4 @@
-//! Records what became of a transaction.
+//! Handling of the replies to the leader's transactions.
 
 use crate::io::StoreReply;
 use crate::leader::{Context, Leader};
@@ -6,25 +6,25 @@
 use crate::store::pending_transaction::PendingTransaction;
 use crate::store::records::{active_job_key, LEADER_KEY};
 
-/// Worker leases for which a key backs off that the state service rejected.
+/// Back-off of a key whose write the state service rejected, in worker lease durations.
 const REJECTED_BACK_OFF_LEASES: Ms = 6;
 
-/// What the reply to a transaction asks of the controller.
+/// Effects of the reply to a transaction on the controller.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct WriteOutcome {
-    /// Another controller leads.
+    /// Whether another controller leads.
     pub deposed: bool,
-    /// Jobs whose outcome is durable now.
+    /// Jobs whose outcome has become durable.
     pub completed_jobs: Vec<JobId>,
     /// Jobs whose record has to be read.
     pub jobs_to_read: Vec<JobId>,
-    /// Keys of a write that the state service will never take, separated by commas.
+    /// Keys of a write that the state service rejects, separated by commas.
     pub rejected_keys: Option<String>,
 }
 
 impl Leader {
-    /// Takes the reply to a transaction.
-    pub fn transaction_reply(
+    /// Handles the reply to a transaction.
+    pub fn handle_transaction_reply(
         &mut self,
         ctx: &Context,
         pending: PendingTransaction,
@@ -32,19 +32,19 @@
     ) -> WriteOutcome {
         self.writer.in_flight = false;
         match reply {
-            StoreReply::Committed { revision } => self.transaction_committed(pending, revision),
-            StoreReply::Conflict { failed } => self.transaction_conflicted(ctx, pending, failed),
-            StoreReply::Rejected => self.transaction_rejected(ctx, pending),
+            StoreReply::Committed { revision } => self.handle_committed(pending, revision),
+            StoreReply::Conflict { failed } => self.handle_conflict(ctx, pending, failed),
+            StoreReply::Rejected => self.handle_rejected(ctx, pending),
             StoreReply::Refused => {
-                self.write_again(ctx, pending);
+                self.requeue(ctx, pending);
                 self.delay_next_transaction(ctx);
                 WriteOutcome::default()
             }
-            _ => self.transaction_undecided(ctx, pending),
+            _ => self.handle_unknown_result(ctx, pending),
         }
     }
 
-    fn transaction_committed(
+    fn handle_committed(
         &mut self,
         pending: PendingTransaction,
         revision: Revision,
@@ -58,14 +58,14 @@
         }
         for written in &pending.registry_segments {
             let machines = &mut self.cluster.machines;
-            self.scheduler.changed |= self.registry.segment_committed(written, machines);
+            self.scheduler.changed |= self.registry.record_committed_segment(written, machines);
         }
         WriteOutcome { completed_jobs: pending.complete_jobs, ..WriteOutcome::default() }
     }
 
-    /// A precondition failed: the records of such jobs and the mod revisions of such keys have to
-    /// be read.
-    fn transaction_conflicted(
+    /// Queues the changes again. The job records and the mod revisions of the keys whose
+    /// precondition failed are read first.
+    fn handle_conflict(
         &mut self,
         ctx: &Context,
         pending: PendingTransaction,
@@ -77,36 +77,33 @@
         for key in failed.into_iter().filter(|key| pending.keys.contains(key)) {
             self.writer.mark_stale(key);
         }
-        self.write_again(ctx, pending);
+        self.requeue(ctx, pending);
         WriteOutcome { deposed, jobs_to_read, ..WriteOutcome::default() }
     }
 
-    /// Written again as it is, the transaction would be rejected for ever, and nothing after it
-    /// would be written: fewer changes are made at once, and what is rejected alone backs off.
-    fn transaction_rejected(
-        &mut self,
-        ctx: &Context,
-        mut pending: PendingTransaction,
-    ) -> WriteOutcome {
+    /// Halves the limit of changes in one transaction, and backs off keys that were rejected on
+    /// their own. An unchanged transaction would be rejected on each retry and block all later
+    /// writes.
+    fn handle_rejected(&mut self, ctx: &Context, mut pending: PendingTransaction) -> WriteOutcome {
         let mut outcome = WriteOutcome::default();
         self.writer.max_changes = (pending.changes / 2).max(1);
-        let one_outcome = pending.complete_jobs.len() == 1 && pending.keys.is_empty();
-        if pending.changes <= 1 || one_outcome {
-            let until = ctx.now + ctx.cfg.lease_ms * REJECTED_BACK_OFF_LEASES;
+        let is_single_outcome = pending.complete_jobs.len() == 1 && pending.keys.is_empty();
+        if pending.changes <= 1 || is_single_outcome {
+            let back_off_until = ctx.now + ctx.cfg.lease_ms * REJECTED_BACK_OFF_LEASES;
             let outcome_keys = pending.complete_jobs.iter().map(|job| active_job_key(*job));
             let keys: Vec<String> = pending.keys.iter().cloned().chain(outcome_keys).collect();
             outcome.rejected_keys = Some(keys.join(","));
-            self.writer.back_off.extend(keys.into_iter().map(|key| (key, until)));
+            self.writer.back_off.extend(keys.into_iter().map(|key| (key, back_off_until)));
             pending.deleted_completions.clear();
         }
-        self.write_again(ctx, pending);
+        self.requeue(ctx, pending);
         self.delay_next_transaction(ctx);
         outcome
     }
 
-    /// The transaction may yet be carried out. Every key is written again only with the mod
-    /// revision that it has by then, so the late transaction and ours cannot both succeed.
-    fn transaction_undecided(
+    /// Queues the changes of a transaction that may still commit later. All of its keys are read
+    /// before they are written again, so the delayed transaction and its retry cannot both succeed.
+    fn handle_unknown_result(
         &mut self,
         ctx: &Context,
         mut pending: PendingTransaction,
@@ -114,23 +111,23 @@
         for key in std::mem::take(&mut pending.keys) {
             self.writer.mark_stale(key);
         }
-        self.write_again(ctx, pending);
+        self.requeue(ctx, pending);
         self.delay_next_transaction(ctx);
         WriteOutcome::default()
     }
 
-    fn write_again(&mut self, ctx: &Context, pending: PendingTransaction) {
-        let completions_by = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
+    fn requeue(&mut self, ctx: &Context, pending: PendingTransaction) {
+        let completions_due_at = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
         let jobs = &mut self.cluster.jobs;
-        self.writer.restore(jobs, &mut self.registry, pending, completions_by);
+        self.writer.requeue(jobs, &mut self.registry, pending, completions_due_at);
     }
 
     fn delay_next_transaction(&mut self, ctx: &Context) {
-        self.writer.not_before = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
+        self.writer.next_transaction_at = ctx.now + ctx.cfg.heartbeat_interval_ms / 4;
     }
 
-    /// Takes the reply to the read of a key whose mod revision was not known.
-    pub fn refresh_reply(&mut self, key: String, reply: StoreReply) {
-        self.writer.refresh_reply(key, reply);
+    /// Handles the reply to the read of a key whose mod revision was not known.
+    pub fn handle_refresh_reply(&mut self, key: String, reply: StoreReply) {
+        self.writer.handle_refresh_reply(key, reply);
     }
 }
--- a/crates/basaltrail-core/src/leader/persistence/transaction.rs
+++ b/crates/basaltrail-core/src/leader/persistence/transaction.rs
@@ -1,4 +1,4 @@
-//! A transaction under construction.
+//! Construction of transactions within the limits of the state service.
 
 use crate::io::{Precondition, PutRequest, StoreRequest};
 use crate::model::{JobId, JobOutcome, Ms, Revision};
@@ -6,30 +6,30 @@
 use crate::store::rate_limiter::{CallPriority, TokenBucket};
 use crate::store::records::{active_job_key, encode, outcome_key};
 
-/// Bytes of one transaction: the state service takes 64 KiB in total (PROTOCOL, `POST /txn`), and
-/// the rest is for framing that is not counted here.
+/// Limit of the size of a transaction, in bytes. The state service accepts 64 KiB in total
+/// (PROTOCOL, `POST /txn`); the rest is reserved for framing that is not counted here.
 const MAX_BYTES: usize = 56 * 1024;
-/// Bytes that a key with its mod revision, or a change, takes at the most beside the value.
+/// Upper bound of the encoded size of a precondition, or of a change without its value, in bytes.
 const FRAME_BYTES: usize = 128;
-/// Changes that a job's outcome takes: its record goes, its outcome comes.
+/// Changes for a job's outcome: a delete of the job's record and a put of the outcome.
 const OUTCOME_CHANGES: usize = 2;
-/// Bytes of a job's outcome at the most.
-const OUTCOME_BYTES: usize = 128;
+/// Upper bound of the size of a job's outcome, in bytes.
+const MAX_OUTCOME_BYTES: usize = 128;
 
-/// A transaction that is filled up to the limits of the state service. One that passes them is
-/// rejected for ever, since the same would be written again.
+/// Builds a transaction within the limits of the state service. A transaction that exceeds them
+/// would be rejected on each retry, since the same changes would be written again.
 pub(in crate::leader) struct TransactionBuilder {
     preconditions: Vec<Precondition>,
     puts: Vec<PutRequest>,
     deletes: Vec<String>,
     max_changes: usize,
     bytes: usize,
-    /// What is written, for the reply.
+    /// Contents of the transaction, kept to handle its reply.
     pub(in crate::leader) pending: PendingTransaction,
 }
 
 impl TransactionBuilder {
-    /// An empty transaction that is carried out only under this precondition.
+    /// Returns an empty transaction with a precondition.
     pub(in crate::leader) fn new(precondition: Precondition, max_changes: usize) -> Self {
         TransactionBuilder {
             preconditions: vec![precondition],
@@ -45,19 +45,20 @@
         self.puts.len() + self.deletes.len()
     }
 
-    /// Whether so many changes with so many bytes in them still fit. The first always do.
+    /// Returns whether `changes` more changes with `bytes` bytes of values in total fit. The first
+    /// changes always fit.
     pub(in crate::leader) fn has_room(&self, changes: usize, bytes: usize) -> bool {
         self.changes() == 0
             || (self.changes() + changes <= self.max_changes
                 && self.bytes + changes * 2 * FRAME_BYTES + bytes <= MAX_BYTES)
     }
 
-    /// Whether the outcome of another job still fits.
+    /// Returns whether the outcome of another job fits.
     pub(in crate::leader) fn has_room_for_outcome(&self) -> bool {
-        self.has_room(OUTCOME_CHANGES, OUTCOME_BYTES)
+        self.has_room(OUTCOME_CHANGES, MAX_OUTCOME_BYTES)
     }
 
-    /// Writes one of the leader's own keys, provided that it has this mod revision.
+    /// Adds a put of one of the leader's keys, with its mod revision as a precondition.
     pub(in crate::leader) fn put(&mut self, mod_revision: Revision, key: String, value: String) {
         self.bytes += 2 * FRAME_BYTES + value.len();
         self.pending.keys.push(key.clone());
@@ -65,8 +66,9 @@
         self.puts.push(PutRequest { key, value, lease_id: None });
     }
 
-    /// Writes that a job is done, provided that its record has this mod revision. The outcome has
-    /// no mod revision of its own to compare: a job that is still active has no outcome yet.
+    /// Adds the outcome of a job whose tasks are all done, with the mod revision of its record as a
+    /// precondition. The key of the outcome needs no precondition, since an active job has no
+    /// outcome yet.
     pub(in crate::leader) fn put_outcome(&mut self, job: JobId, mod_revision: Revision) {
         self.bytes += 3 * FRAME_BYTES;
         self.pending.complete_jobs.push(job);
@@ -79,13 +81,13 @@
         });
     }
 
-    /// Deletes a key, whatever it holds.
+    /// Adds an unconditional delete of a key.
     pub(in crate::leader) fn delete(&mut self, key: String) {
         self.bytes += FRAME_BYTES;
         self.deletes.push(key);
     }
 
-    /// The request, and what is kept for its reply; `None` if nothing is changed.
+    /// Returns the request and the contents kept for its reply; `None` if there are no changes.
     pub(in crate::leader) fn finish(mut self) -> Option<(StoreRequest, PendingTransaction)> {
         self.pending.changes = self.changes();
         if self.pending.changes == 0 {
@@ -96,21 +98,21 @@
     }
 }
 
-/// The rate limit that the changes of a transaction are paid from.
+/// The rate limit of writes that the changes of a transaction count against.
 pub(in crate::leader) struct WriteBudget<'a> {
-    /// The present moment.
+    /// Current time.
     pub(in crate::leader) now: Ms,
-    /// The limit of writes.
+    /// Rate limiter of writes.
     pub(in crate::leader) writes: &'a mut TokenBucket,
 }
 
 impl WriteBudget<'_> {
-    /// Takes so many changes from the budget, if it has them.
+    /// Acquires a number of changes; false if the budget has fewer left.
     pub(in crate::leader) fn acquire(&mut self, changes: usize, priority: CallPriority) -> bool {
         self.writes.try_acquire(self.now, changes as f64, priority)
     }
 
-    /// Takes the changes of a job's outcome from the budget, if it has them.
+    /// Acquires the changes for a job's outcome; false if the budget has fewer left.
     pub(in crate::leader) fn acquire_outcome(&mut self) -> bool {
         self.acquire(OUTCOME_CHANGES, CallPriority::Completion)
     }
--- a/crates/basaltrail-core/src/leader/persistence/writer.rs
+++ b/crates/basaltrail-core/src/leader/persistence/writer.rs
@@ -1,4 +1,4 @@
-//! What has to be written, and what is known of the keys that it is written under.
+//! The leader's pending writes and the mod revisions of its keys.
 
 use crate::io::{KeyValue, StoreReply};
 use crate::jobs::JobState;
@@ -9,29 +9,30 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// What has to be written, and the state of the transaction in flight.
+/// Pending writes, the mod revisions of the leader's keys, and the state of the transaction in
+/// flight.
 pub struct Writer {
-    /// Changes in one transaction, fewer once one was rejected.
+    /// Limit of changes in one transaction. It is lowered after a rejected transaction.
     pub(super) max_changes: usize,
-    /// Keys that were rejected alone, and until when they are not written.
+    /// Keys whose write was rejected on its own, with the end of their back-off.
     pub(super) back_off: BTreeMap<String, Ms>,
-    /// Mod revisions of the leader's own keys, as last read or written.
+    /// Mod revisions of the leader's keys, as last read or written.
     mod_revisions: HashMap<String, Revision>,
-    /// Keys whose mod revision has to be read again, and whether that is on its way.
+    /// Keys whose mod revision has to be read again, and whether the read is in flight.
     pub(super) stale_keys: BTreeMap<String, bool>,
-    /// Segments of completions that are to be deleted, since their job has ended.
+    /// Segments of completions to delete, since their job has ended.
     pub(in crate::leader) obsolete_completions: BTreeSet<(JobId, u32)>,
-    /// Whether a transaction is on its way.
+    /// Whether a transaction is in flight.
     pub(super) in_flight: bool,
-    /// No transaction goes out before.
-    pub(super) not_before: Ms,
-    /// When completions of unfinished jobs are written next.
+    /// Earliest time of the next transaction.
+    pub(super) next_transaction_at: Ms,
+    /// Earliest time at which completions of unfinished jobs are written next.
     pub(super) next_completions_at: Ms,
-    /// Jobs whose tasks are all done and whose outcome is not written yet.
+    /// Jobs whose tasks are all done. Their outcome has to be written unless they have ended.
     pub(in crate::leader) complete_jobs: BTreeSet<JobId>,
     /// Jobs with completions that are not written yet.
     pub(in crate::leader) unwritten_jobs: BTreeSet<JobId>,
-    /// The job after which the next transaction continues.
+    /// Job whose completions were written last; the next transaction continues after it.
     pub(super) last_written_job: JobId,
     /// Whether the fairness ledger has to be written.
     pub(in crate::leader) ledger_due: bool,
@@ -48,7 +49,7 @@
             stale_keys: BTreeMap::new(),
             obsolete_completions: BTreeSet::new(),
             in_flight: false,
-            not_before: 0,
+            next_transaction_at: 0,
             next_completions_at: 0,
             complete_jobs: BTreeSet::new(),
             unwritten_jobs: BTreeSet::new(),
@@ -60,12 +61,12 @@
 }
 
 impl Writer {
-    /// Whether a transaction may go out.
+    /// Returns whether a transaction may be sent.
     pub(super) fn is_ready(&self, now: Ms) -> bool {
-        !self.in_flight && now >= self.not_before
+        !self.in_flight && now >= self.next_transaction_at
     }
 
-    /// The mod revision that a key was last seen with; [`Revision::NONE`] if it is not stored.
+    /// Returns the last known mod revision of a key; [`Revision::NONE`] if the key is not stored.
     pub(super) fn mod_revision(&self, key: &str) -> Revision {
         self.mod_revisions.get(key).copied().unwrap_or(Revision::NONE)
     }
@@ -82,18 +83,19 @@
         }
     }
 
-    /// Whether a key must not be written now: its mod revision is not known, or it backs off.
+    /// Returns whether a key must not be written now, since its mod revision is not known or its
+    /// back-off has not ended.
     pub(super) fn is_blocked(&self, key: &str) -> bool {
         self.stale_keys.contains_key(key) || self.back_off.contains_key(key)
     }
 
-    /// The mod revision of a key has to be read before it is written again.
+    /// Marks a key as one whose mod revision has to be read before the key is written again.
     pub(super) fn mark_stale(&mut self, key: String) {
         self.stale_keys.insert(key, false);
     }
 
-    /// Takes the reply to the read of a key whose mod revision was not known.
-    pub(in crate::leader) fn refresh_reply(&mut self, key: String, reply: StoreReply) {
+    /// Handles the reply to the read of a key whose mod revision was not known.
+    pub(in crate::leader) fn handle_refresh_reply(&mut self, key: String, reply: StoreReply) {
         match reply {
             StoreReply::KeyValue(item) => {
                 self.mod_revisions.insert(key.clone(), item.mod_revision);
@@ -107,16 +109,18 @@
         }
     }
 
-    /// Jobs with completions to write, in turn: were the lowest ids written first each time, the
-    /// others' completions would wait for as long as more comes than can be written.
+    /// Returns the jobs with unwritten completions, in round-robin order. With a fixed order,
+    /// completions of jobs with high ids would not be written as long as more completions arrive
+    /// than can be written.
     pub(super) fn completion_order(&self) -> Vec<JobId> {
         let last = self.last_written_job;
         let after = self.unwritten_jobs.range((Excluded(last), Unbounded));
         after.chain(self.unwritten_jobs.range(..=last)).copied().collect()
     }
 
-    /// A job has ended and none of its tasks is left: its completions are deleted.
-    pub(in crate::leader) fn forget_job(&mut self, job: &JobState) {
+    /// Removes the pending writes of an ended job without tasks on machines, and schedules the
+    /// deletion of its completions.
+    pub(in crate::leader) fn remove_job(&mut self, job: &JobState) {
         self.complete_jobs.remove(&job.id);
         self.unwritten_jobs.remove(&job.id);
         for segment in &job.stored_segments {
@@ -125,14 +129,14 @@
         }
     }
 
-    /// What a transaction did not change has to be written again, completions no later than
-    /// `completions_by`.
-    pub(super) fn restore(
+    /// Queues the changes of a failed transaction again; completions are due no later than
+    /// `completions_due_at`.
+    pub(super) fn requeue(
         &mut self,
         jobs: &mut BTreeMap<JobId, JobState>,
         registry: &mut MachineRegistry,
         pending: PendingTransaction,
-        completions_by: Ms,
+        completions_due_at: Ms,
     ) {
         for written in pending.completions {
             if let Some(job) = jobs.get_mut(&written.job) {
@@ -144,6 +148,6 @@
         self.obsolete_completions.extend(pending.deleted_completions);
         self.ledger_due |= pending.ledger;
         self.primary_zone_due |= pending.primary_zone;
-        self.next_completions_at = self.next_completions_at.min(completions_by);
+        self.next_completions_at = self.next_completions_at.min(completions_due_at);
     }
 }
