--- a/crates/basaltrail-core/src/controller/inspection.rs
+++ b/crates/basaltrail-core/src/controller/inspection.rs
@@ -10,7 +10,7 @@
 impl Controller {
     /// Answers an operator.
     pub(super) fn inspect(&mut self, id: RequestId) {
-        let used = self.with_leader(|leader, ctx, _, _| leader.use_by_team(ctx));
+        let used = self.with_leader(|leader, ctx, _, _| leader.used_cpus_by_team(ctx));
         let used = used.filter(|_| self.leading());
         let teams = (0..self.cfg.teams.len()).map(|team| self.team_report(team, used.as_deref()));
         let report = LimitsReport {
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -101,8 +101,9 @@
     }
 
     fn quotas_written(&mut self, token: FencingToken, writes: &[QuotaWrite], reply: &StoreReply) {
-        let deposed = self
-            .with_leader_of(token, |leader, _, _| leader.quota_allocator.replied(writes, reply));
+        let deposed = self.with_leader_of(token, |leader, _, _| {
+            leader.quota_allocator.handle_reply(writes, reply)
+        });
         if deposed == Some(true) {
             self.election.step_down(self.now);
         }
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -151,7 +151,7 @@
         }
         self.flush(ctx, calls);
         if ctx.holds_valid_lease {
-            self.quota_allocator.send(ctx, self.token, self.mod_revision, calls);
+            self.quota_allocator.write_next(ctx, self.token, self.mod_revision, calls);
         }
         self.call_cloud(ctx, calls);
     }
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -1,5 +1,7 @@
-//! Admission quotas as the leader hands them out: the loads of the teams that a plan rests on, and
-//! the writes of the quotas. The plan itself is made by [`basaltrail_admission::QuotaPlanner`].
+//! Allocation of admission quotas to controllers.
+//!
+//! This module computes the loads of the teams and writes the planned quotas to the store.
+//! [`basaltrail_admission::QuotaPlanner`] makes the plan.
 
 use super::scheduler::capacity::team_usage;
 use super::{Context, Leader};
@@ -14,54 +16,56 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// How much of the rate at which a team was served before counts in each round.
-const SERVED_DECAY: f64 = 0.5;
+/// Weight of the previous average in a team's average CPU use, applied once a round.
+const SERVED_CPUS_DECAY: f64 = 0.5;
 
-/// Plans quotas, and writes them in transactions, one at a time.
+/// Plans quotas and writes them to the store, one transaction at a time.
 pub struct QuotaAllocator {
     planner: QuotaPlanner,
-    /// Quotas that are to be written.
-    due: VecDeque<QuotaWrite>,
+    /// Planned quotas that are not written yet.
+    unwritten: VecDeque<QuotaWrite>,
     in_flight: bool,
-    /// CPU-seconds that each team had received at the last plan.
-    received: Vec<f64>,
-    /// CPUs that each team used on average of late.
-    served: Vec<f64>,
+    /// CPU-seconds received by each team in total, as of the last plan.
+    received_cpu_s: Vec<f64>,
+    /// CPUs used by each team, as a moving average over the rounds.
+    served_cpus: Vec<f64>,
     planned_at: Ms,
 }
 
 impl QuotaAllocator {
-    /// An allocator whose first plan counts what is received from now on.
+    /// Returns an allocator that measures the CPU use of teams from now on.
     pub fn new(now: Ms) -> Self {
         QuotaAllocator {
             planner: QuotaPlanner::default(),
-            due: VecDeque::new(),
+            unwritten: VecDeque::new(),
             in_flight: false,
-            received: Vec::new(),
-            served: Vec::new(),
+            received_cpu_s: Vec::new(),
+            served_cpus: Vec::new(),
             planned_at: now,
         }
     }
 
-    /// Updates the CPUs that each team used of late. `received` are the CPU-seconds that each has
-    /// received in all.
-    fn update_served(&mut self, now: Ms, received: Vec<f64>) {
+    /// Updates the average CPU use of each team. `received_cpu_s` holds the CPU-seconds received by
+    /// each team in total.
+    fn update_served_cpus(&mut self, now: Ms, received_cpu_s: Vec<f64>) {
         let seconds = now.saturating_sub(self.planned_at) as f64 / 1000.0;
         self.planned_at = now;
-        if self.received.len() == received.len() && seconds > 0.0 {
-            for (team, (now, before)) in received.iter().zip(&self.received).enumerate() {
+        if self.received_cpu_s.len() == received_cpu_s.len() && seconds > 0.0 {
+            for (team, (now, before)) in received_cpu_s.iter().zip(&self.received_cpu_s).enumerate()
+            {
                 let rate = (now - before).max(0.0) / seconds;
-                self.served[team] = self.served[team] * SERVED_DECAY + rate * (1.0 - SERVED_DECAY);
+                self.served_cpus[team] =
+                    self.served_cpus[team] * SERVED_CPUS_DECAY + rate * (1.0 - SERVED_CPUS_DECAY);
             }
         } else {
-            self.served = vec![0.0; received.len()];
+            self.served_cpus = vec![0.0; received_cpu_s.len()];
         }
-        self.received = received;
+        self.received_cpu_s = received_cpu_s;
     }
 
-    /// Writes quotas that are due, in one transaction that holds those of one team. It is carried
-    /// out only while `leader_revision` is the mod revision of the leader key.
-    pub fn send(
+    /// Writes the next planned quotas, in one transaction with quotas of one team. The transaction
+    /// commits only while `leader_revision` is the mod revision of the leader key.
+    pub fn write_next(
         &mut self,
         ctx: &Context,
         token: FencingToken,
@@ -71,14 +75,15 @@
         if self.in_flight {
             return;
         }
-        let Some(first) = self.due.front() else { return };
+        let Some(first) = self.unwritten.front() else { return };
         let team = &first.quota.team;
-        let of_team = self.due.iter().take_while(|write| write.quota.team == *team).count();
-        let count = of_team.min(ctx.cfg.transaction_ops.max(1));
+        let team_writes =
+            self.unwritten.iter().take_while(|write| write.quota.team == *team).count();
+        let count = team_writes.min(ctx.cfg.transaction_ops.max(1));
         if !calls.try_acquire_write(ctx.now, count, CallPriority::Completion) {
             return;
         }
-        let writes: Vec<QuotaWrite> = self.due.drain(..count).collect();
+        let writes: Vec<QuotaWrite> = self.unwritten.drain(..count).collect();
         let key = |write: &QuotaWrite| quota_key(&write.quota.team, &write.quota.controller);
         let mut preconditions = vec![Precondition::new(LEADER_KEY, leader_revision)];
         preconditions
@@ -91,8 +96,8 @@
         calls.send_to_store(StorePurpose::WriteQuotas { token, writes }, request, timeout_ms);
     }
 
-    /// Takes the reply to a write of quotas. True if another controller leads.
-    pub fn replied(&mut self, writes: &[QuotaWrite], reply: &StoreReply) -> bool {
+    /// Handles the reply to a write of quotas; true if another controller leads.
+    pub fn handle_reply(&mut self, writes: &[QuotaWrite], reply: &StoreReply) -> bool {
         self.in_flight = false;
         let result = match reply {
             StoreReply::Committed { .. } => WriteResult::Committed,
@@ -109,13 +114,13 @@
 }
 
 impl Leader {
-    /// Plans, once a round, what each controller may accept from now on.
+    /// Plans the quotas of each controller for the next round.
     pub(super) fn plan_quotas(&mut self, ctx: &Context, calls: &mut Calls) {
         let Some(bounds) = ctx.cfg.admission_bounds() else { return };
-        let received = self.ledger.teams.iter().map(|team| team.received).collect();
-        self.quota_allocator.update_served(ctx.now, received);
-        // What is not written yet is planned anew, by what is known now.
-        for write in std::mem::take(&mut self.quota_allocator.due) {
+        let received_cpu_s = self.ledger.teams.iter().map(|team| team.received).collect();
+        self.quota_allocator.update_served_cpus(ctx.now, received_cpu_s);
+        // Quotas that are not written yet are replaced by the new plan.
+        for write in std::mem::take(&mut self.quota_allocator.unwritten) {
             self.quota_allocator.planner.record_result(&write, WriteResult::NotExecuted);
         }
         if !ctx.holds_valid_lease || !ctx.job_cache_is_fresh || self.quota_allocator.in_flight {
@@ -135,10 +140,11 @@
                 classes: write.quota.classes.iter().map(class_quota).collect(),
             });
         }
-        self.quota_allocator.due = writes.into();
+        self.quota_allocator.unwritten = writes.into();
     }
 
-    /// The backlog of each team by class, and how it is served.
+    /// Returns the load of each team: its backlog by class, and the CPUs that it is entitled to
+    /// and uses.
     fn team_loads(&self, ctx: &Context, horizon_s: f64) -> Vec<TeamLoad> {
         let backlogs = self.backlogs(ctx, horizon_s).into_iter().enumerate();
         let load = |(index, backlog): (usize, BTreeMap<&str, WorkAmount>)| {
@@ -150,14 +156,14 @@
                 guaranteed: team.cpus,
                 limit: team.cpus_max,
                 share: ctx.cfg.weight_share(index),
-                served: self.quota_allocator.served.get(index).copied().unwrap_or(0.0),
+                served: self.quota_allocator.served_cpus.get(index).copied().unwrap_or(0.0),
                 classes: backlog.into_iter().map(class).collect(),
             }
         };
         backlogs.map(load).collect()
     }
 
-    /// Unfinished jobs and the work of them that waits, by team and class.
+    /// Returns the number of unfinished jobs and their waiting work, by team and class.
     fn backlogs<'a>(
         &self,
         ctx: &Context<'a>,
@@ -168,7 +174,7 @@
             let Some(team) = ctx.cfg.team(&active.spec.team) else { continue };
             let mut demand = active.spec.demand();
             if let Some(job) = self.cluster.jobs.get(id) {
-                // What runs does not wait any more.
+                // Only pending tasks count as waiting.
                 demand.cpus = f64::from(job.pending()) * active.spec.cpus;
             }
             let waiting: &mut WorkAmount =
@@ -178,8 +184,8 @@
         backlogs
     }
 
-    /// CPUs that each team's tasks may be using.
-    pub fn use_by_team(&self, ctx: &Context) -> Vec<f64> {
+    /// Returns the CPUs that the tasks of each team may be using.
+    pub fn used_cpus_by_team(&self, ctx: &Context) -> Vec<f64> {
         let used = team_usage(ctx, &self.cluster);
         used.into_iter().map(|used| used.cpus).collect()
     }
