--- a/crates/basaltrail-core/src/controller/heartbeats.rs
+++ b/crates/basaltrail-core/src/controller/heartbeats.rs
@@ -52,9 +52,9 @@
         };
         self.with_leader(|leader, ctx, calls, rng| {
             for job in unknown {
-                leader.read_job(ctx, job);
+                leader.request_job_record(ctx, job);
             }
-            leader.heartbeat(ctx, calls, heartbeat, permit, rng)
+            leader.answer_heartbeat(ctx, calls, heartbeat, permit, rng)
         })
         .unwrap_or(Err(RenewalRefusal::NoValidLease))
     }
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -139,7 +139,7 @@
     /// Whether this controller leads: it holds a valid lease and has loaded what the previous
     /// leader left.
     pub fn leading(&self) -> bool {
-        self.leader.as_ref().is_some_and(Leader::loaded)
+        self.leader.as_ref().is_some_and(Leader::is_loaded)
             && self.election.holds_valid_lease(self.now)
     }
 
@@ -302,8 +302,9 @@
             });
         }
         self.with_leader(|leader, ctx, calls, rng| leader.tick(ctx, calls, rng));
-        let lost_workers = self
-            .with_leader(|leader, ctx, _, _| ctx.holds_valid_lease && leader.liveness.lost_workers);
+        let lost_workers = self.with_leader(|leader, ctx, _, _| {
+            ctx.holds_valid_lease && leader.liveness.workers_unreachable
+        });
         if lost_workers == Some(true) {
             // Another controller may still reach them, and their leases run. One that is able takes
             // over within a leader's lease; where none is, nobody leads for no longer.
@@ -319,10 +320,10 @@
             return;
         }
         let Some(leader) = self.leader.as_mut() else { return };
-        if !leader.loaded() || self.now < leader.next_progress {
+        if !leader.is_loaded() || self.now < leader.next_progress_at {
             return;
         }
-        leader.next_progress = self.now + self.cfg.heartbeat_interval_ms;
+        leader.next_progress_at = self.now + self.cfg.heartbeat_interval_ms;
         let progress = leader.progress();
         let counts = progress.iter().map(|progress| (progress.job, progress.into()));
         self.requests.task_counts = counts.collect();
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -42,7 +42,7 @@
             StorePurpose::AnnounceController => self.admission.announced(self.now, &self.cfg),
             StorePurpose::LoadLeaderState { token } => {
                 self.with_leader_of(token, |leader, ctx, calls| {
-                    leader.load_reply(ctx, calls, reply);
+                    leader.handle_load_reply(ctx, calls, reply);
                 });
             }
             StorePurpose::LeaderTransaction { token, pending } => {
--- a/crates/basaltrail-core/src/leader/cluster.rs
+++ b/crates/basaltrail-core/src/leader/cluster.rs
@@ -1,4 +1,4 @@
-//! The machines and jobs that a leader keeps account of.
+//! The machines and jobs tracked by a leader.
 
 use crate::events::{RoundSummary, TeamSummary};
 use crate::io::Progress;
@@ -10,27 +10,27 @@
 use crate::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The part of its estimate that a task nearly always runs: estimates are often too high.
-const MIN_RUN_OF_ESTIMATE: f64 = 0.7;
-/// Seconds of grace beyond the time that a task needs to save its progress.
+/// Fraction of its estimated run time that a task nearly always runs; estimates are often too high.
+const MIN_RUN_FRACTION_OF_ESTIMATE: f64 = 0.7;
+/// Seconds of grace added to the time that a task needs to save its progress.
 pub(in crate::leader) const SAVE_MARGIN_S: f64 = 1.0;
 
-/// Machines, with what may run on them, and jobs, with where their tasks may be.
+/// Machines with the tasks that may run on them, and jobs with the placements of their tasks.
 #[derive(Default)]
 pub struct Cluster {
-    /// Machines that may hold tasks, or are on their way.
+    /// Machines that may hold tasks or are being provisioned.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Active jobs, and ended ones of which a task may still be somewhere.
+    /// Active jobs, and ended jobs whose tasks may still be on a machine.
     pub jobs: BTreeMap<JobId, JobState>,
 }
 
 impl Cluster {
-    /// What one task of the job takes, if the job is known.
+    /// Returns the demand of one task of the job, or `None` if the job is not known.
     pub(in crate::leader) fn task_demand(&self, job: JobId) -> Option<TaskDemand> {
         self.jobs.get(&job).map(task_demand)
     }
 
-    /// Withdraws what was assigned to a machine and never sent; true if there was any.
+    /// Removes assignments to a machine that were never sent; true if there were any.
     pub(in crate::leader) fn withdraw_unsent(&mut self, id: &MachineId) -> bool {
         let Some(machine) = self.machines.get_mut(id) else { return false };
         let unsent: Vec<(TaskId, Attempt)> = machine
@@ -48,21 +48,24 @@
         !unsent.is_empty()
     }
 
-    /// Stops tasks on a machine that the cloud is about to reclaim, and withdraws what was not
-    /// sent; true if there was any of that.
+    /// Stops tasks on a machine that the cloud is about to reclaim, and withdraws unsent
+    /// assignments; true if there were any.
     ///
-    /// Tasks that can save leave the machine, and so do those that cannot be done by then: what
-    /// they did is lost, and elsewhere they begin sooner.
+    /// Stops replicas of services, tasks that can save their progress, and tasks that cannot finish
+    /// before the reclaim. The latter lose their work in any case, and restart sooner elsewhere if
+    /// they are stopped now.
     pub(in crate::leader) fn drain(&mut self, now: Ms, id: &MachineId) -> bool {
         let Some(machine) = self.machines.get_mut(id) else { return false };
-        let left_s = machine.reclaim_at.map_or(0.0, |at| at.saturating_sub(now) as f64 / 1000.0);
+        let until_reclaim_s =
+            machine.reclaim_at.map_or(0.0, |at| at.saturating_sub(now) as f64 / 1000.0);
         for ((task, _), slot) in
             machine.slots.iter_mut().filter(|(_, slot)| slot.stop_grace_s.is_none())
         {
             let Some(demand) = slot.demand else { continue };
             let job = self.jobs.get(&task.job);
             if job.is_some_and(|job| job.spec.is_service()) {
-                // It runs until it is lost: moved now, it would be down for a moment.
+                // A replica has no end that it could reach before the reclaim. If it stayed, it
+                // would be missing until the lease of the machine expires.
                 slot.stop_grace_s = Some(0.0);
                 continue;
             }
@@ -70,31 +73,32 @@
             let estimate_s = job.map_or(0.0, |job| job.spec.estimate_s);
             slot.stop_grace_s = match demand.save_s {
                 Some(save_s) => Some(save_s + SAVE_MARGIN_S),
-                // In doubt it may go on.
-                None => (MIN_RUN_OF_ESTIMATE * estimate_s - ran_s > left_s).then_some(0.0),
+                // A task that may finish before the reclaim keeps running.
+                None => (MIN_RUN_FRACTION_OF_ESTIMATE * estimate_s - ran_s > until_reclaim_s)
+                    .then_some(0.0),
             };
         }
         self.withdraw_unsent(id)
     }
 
-    /// Records the images of the tasks on a machine as used.
+    /// Records that the tasks on a machine use their images.
     pub(in crate::leader) fn record_images(&mut self, types: &[MachineType], id: &MachineId) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let cache_gb = machine_type(types, &machine.machine_type).map_or(0.0, |t| t.cache_gb);
-        let present: BTreeSet<JobId> = machine
+        let jobs_on_machine: BTreeSet<JobId> = machine
             .slots
             .iter()
             .filter(|(_, slot)| slot.holds_resources())
             .map(|((task, _), _)| task.job)
             .collect();
-        for job in present {
+        for job in jobs_on_machine {
             if let Some(job) = self.jobs.get(&job) {
                 machine.record_image(&job.spec.image, job.spec.image_gb, cache_gb);
             }
         }
     }
 
-    /// The job has ended: stops its tasks wherever they are, and sends none that was not sent.
+    /// Stops the tasks of an ended job on all machines, and removes its unsent assignments.
     pub(in crate::leader) fn stop_job(&mut self, job: JobId) {
         for machine in self.machines.values_mut() {
             machine.slots.retain(|(task, _), slot| task.job != job || !slot.is_unsent());
@@ -104,15 +108,16 @@
         }
     }
 
-    /// Tasks that machines reported before their job was known, as changes to reconcile with.
-    pub(in crate::leader) fn changes_before_known(
+    /// Returns the tasks of a job that machines reported before the job was known, as changes to
+    /// reconcile the job with.
+    pub(in crate::leader) fn changes_reported_before_job_known(
         &self,
         job: JobId,
     ) -> Vec<(MachineId, TaskChange)> {
         let mut changes = Vec::new();
         for machine in self.machines.values() {
-            let of_job = machine.slots.iter().filter(|((task, _), _)| task.job == job);
-            for ((task, attempt), slot) in of_job.filter(|(_, slot)| slot.demand.is_none()) {
+            let job_slots = machine.slots.iter().filter(|((task, _), _)| task.job == job);
+            for ((task, attempt), slot) in job_slots.filter(|(_, slot)| slot.demand.is_none()) {
                 changes
                     .push((machine.id.clone(), TaskChange::reported(*task, *attempt, slot.phase)));
             }
@@ -120,24 +125,24 @@
         changes
     }
 
-    /// Removes the ended jobs of which no task is left anywhere, and returns them.
+    /// Removes and returns the ended jobs that have no task left on any machine.
     pub(in crate::leader) fn remove_finished_jobs(&mut self) -> Vec<JobState> {
         let mut finished: Vec<JobId> =
             self.jobs.values().filter(|job| job.ended.is_some()).map(|job| job.id).collect();
         if finished.is_empty() {
             return Vec::new();
         }
-        let mut present: BTreeSet<JobId> = BTreeSet::new();
+        let mut jobs_on_machines: BTreeSet<JobId> = BTreeSet::new();
         for (task, _) in self.machines.values().flat_map(|machine| machine.slots.keys()) {
             if finished.binary_search(&task.job).is_ok() {
-                present.insert(task.job);
+                jobs_on_machines.insert(task.job);
             }
         }
-        finished.retain(|job| !present.contains(job));
+        finished.retain(|job| !jobs_on_machines.contains(job));
         finished.into_iter().filter_map(|job| self.jobs.remove(&job)).collect()
     }
 
-    /// How far each active job is.
+    /// Returns the progress of each active job.
     pub(in crate::leader) fn progress(&self) -> Vec<Progress> {
         let mut running: HashMap<JobId, u32> = HashMap::new();
         for machine in self.machines.values() {
@@ -156,7 +161,7 @@
             .collect()
     }
 
-    /// How the machines are used.
+    /// Returns the number of machines by state and the use of CPUs by task phase and team.
     pub(in crate::leader) fn round_summary(&self, settings: &Settings) -> RoundSummary {
         let teams = settings.teams.iter().map(|team| TeamSummary {
             team: team.name.clone(),
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -1,6 +1,7 @@
-//! Answers to workers' heartbeats, step by step. Whether one may renew a lease is decided in
-//! [`crate::lease_renewal`]; here is what the leader does with the heartbeat, and its own commands
-//! (PROTOCOL, `POST /checkin`).
+//! Processing of workers' heartbeats by the leader, and the commands in its answers (PROTOCOL,
+//! `POST /checkin`).
+//!
+//! [`crate::lease_renewal`] decides whether an answer may renew a worker lease.
 
 use crate::answer::Answer;
 use crate::events::MachineEvent;
@@ -14,19 +15,20 @@
 use crate::store::calls::Calls;
 use rand::rngs::SmallRng;
 
-/// Heartbeat intervals after which a stop with some grace left is sent again.
+/// Heartbeat intervals after which a stop with a grace period is sent again.
 const STOP_REPEAT_INTERVALS: Ms = 3;
 
 impl Leader {
-    /// Takes a heartbeat that came while this controller holds a valid lease, and answers it.
-    /// `permit` is what [`crate::lease_renewal::RenewalEvidence::permit`] said of it. A heartbeat that
-    /// is refused because of a job that is not known yet is taken all the same: what it says is
-    /// true.
+    /// Applies and answers a heartbeat received while this controller holds a valid leader lease.
+    ///
+    /// `permit` is the result of [`crate::lease_renewal::RenewalEvidence::permit`] for the
+    /// heartbeat. A heartbeat that is refused because of an unknown job is applied as well, since
+    /// its content is true.
     ///
     /// # Errors
     ///
-    /// Why the lease is not renewed.
-    pub fn heartbeat(
+    /// The reason if the worker lease is not renewed.
+    pub fn answer_heartbeat(
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
@@ -35,10 +37,10 @@
         rng: &mut SmallRng,
     ) -> Result<Answer, RenewalRefusal> {
         if heartbeat.token > self.token {
-            // It would drop the answer.
+            // The worker would drop the answer, since its token is higher than ours.
             return Err(RenewalRefusal::HigherToken);
         }
-        if !self.loaded() {
+        if !self.is_loaded() {
             let (answers, permit) = (&mut self.failover.loading_answers, permit?);
             return answers.answer(ctx.now, self.token, ctx.cfg.max_machines, heartbeat, permit);
         }
@@ -53,8 +55,9 @@
             if machine.is_some_and(|m| !m.answer_without_token(ctx.now)) {
                 return Err(RenewalRefusal::TokenNotAdopted);
             }
-            // It may be a late copy, so nothing of it is taken. The answer carries the token,
-            // and the next heartbeat will; it renews the lease like any other.
+            // The heartbeat may be a delayed copy, so its content is not applied. The answer
+            // renews the lease like any other. It carries our token, which the next heartbeat
+            // will carry as well.
             return Ok(permit.answer(self.token, Vec::new()));
         }
         self.adopt_machine(ctx, calls, heartbeat);
@@ -65,13 +68,15 @@
         }
         self.backfill(ctx, &heartbeat.machine, rng);
         let limit = permit.command_limit();
-        let commands = self.cluster.commands(ctx, &heartbeat.machine, limit);
+        let commands = self.cluster.prepare_commands(ctx, &heartbeat.machine, limit);
         Ok(permit.answer(self.token, commands))
     }
 
-    /// Takes up a machine that nobody expected: a provisioning request that was carried out
-    /// late, or one of an earlier leader. Nothing starts there before the machine registry lists
-    /// it, and nothing can have been started.
+    /// Adds the machine of a heartbeat if it is not known, since a delayed request or an earlier
+    /// leader provisioned it.
+    ///
+    /// No task is started on a machine before the machine registry lists it, so an unknown machine
+    /// runs none.
     fn adopt_machine(&mut self, ctx: &Context, calls: &mut Calls, heartbeat: &Heartbeat) {
         if !self.cluster.machines.contains_key(&heartbeat.machine) {
             let id = heartbeat.machine.clone();
@@ -83,7 +88,7 @@
         self.add_to_registry(ctx, &heartbeat.machine);
     }
 
-    /// Takes what a newer heartbeat says into the account of its machine and of its tasks.
+    /// Applies a heartbeat to its machine and the jobs of its tasks, unless it is stale.
     fn apply_heartbeat(
         &mut self,
         ctx: &Context,
@@ -93,26 +98,27 @@
         let id = &heartbeat.machine;
         let machine = self.cluster.machines.get_mut(id).filter(|m| m.is_newer(heartbeat));
         let Some(machine) = machine else { return Err(RenewalRefusal::StaleHeartbeat) };
-        let first = machine.last_heartbeat.is_none();
-        let usable = machine.reconciled && !machine.lease_expired && machine.receives_answers;
+        let is_first = machine.last_heartbeat.is_none();
+        let was_usable = machine.reconciled && !machine.lease_expired && machine.receives_answers;
         let changes = machine.apply_heartbeat(ctx.now, heartbeat, ctx.cfg.lease_ms);
-        if first {
+        if is_first {
             self.record_machine_up(ctx, calls, id);
         }
-        self.follow_reclaim_notice(ctx, calls, id);
+        self.apply_reclaim_notice(ctx, calls, id);
         self.reconcile_all(ctx, calls, id, changes);
         self.set_registered_free(id, false);
         self.cluster.record_images(ctx.types, id);
-        // A machine that was not reconciled, or was silent, has become one to place on, and
-        // its room may be what a waiting job lacks.
+        // Tasks can now be placed on a machine that was not usable before, and a waiting job may
+        // fit into the free capacity of the machine.
         let machine = &self.cluster.machines[id];
         let has_room = type_index(ctx.types, &machine.machine_type)
             .is_some_and(|index| machine.used().cpus < ctx.types[index].cpus);
-        self.scheduler.changed |= !usable || (has_room && self.scheduler.short_of_capacity);
+        self.scheduler.changed |= !was_usable || (has_room && self.scheduler.short_of_capacity);
         Ok(())
     }
 
-    /// The first heartbeat of a machine that this leader takes.
+    /// Logs the first heartbeat of a machine that this leader applies, and records its provisioning
+    /// time.
     fn record_machine_up(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         self.scheduler.changed = true;
         let Some(machine) = self.cluster.machines.get(id) else { return };
@@ -130,8 +136,8 @@
         }
     }
 
-    /// A machine that the cloud is about to reclaim is drained.
-    fn follow_reclaim_notice(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
+    /// Drains a machine for which the cloud has sent a reclaim notice.
+    fn apply_reclaim_notice(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         let Some(machine) = self.cluster.machines.get_mut(id) else { return };
         if machine.has_reclaim_notice(ctx.now) && machine.decommission == Decommission::No {
             machine.decommission = Decommission::Draining;
@@ -142,8 +148,14 @@
 }
 
 impl Cluster {
-    /// What the machine is to do, in at most `limit` commands. Starts in them count as sent.
-    fn commands(&mut self, ctx: &Context, id: &MachineId, limit: usize) -> Vec<TaskCommand> {
+    /// Returns at most `limit` commands for a machine, and marks the starts and stops in them as
+    /// sent.
+    fn prepare_commands(
+        &mut self,
+        ctx: &Context,
+        id: &MachineId,
+        limit: usize,
+    ) -> Vec<TaskCommand> {
         let mut commands = Vec::new();
         let Some(machine) = self.machines.get_mut(id) else { return commands };
         let repeat_ms = ctx.cfg.heartbeat_interval_ms * STOP_REPEAT_INTERVALS;
@@ -153,17 +165,17 @@
             }
             match slot.phase {
                 TaskPhase::Confirmed(TaskState::Exited(reason)) => {
-                    let durable = match self.jobs.get(&task.job) {
+                    let is_durable = match self.jobs.get(&task.job) {
                         Some(job) => {
-                            // That a replica is done is nowhere kept.
+                            // The exit of a replica is not stored, so nothing has to be durable.
                             job.ended.is_some()
                                 || reason != ExitReason::Done
                                 || job.spec.is_service()
                                 || job.durable.get(task.index)
                         }
-                        None => ended(ctx.job_cache, task),
+                        None => has_ended(ctx.job_cache, task),
                     };
-                    if durable {
+                    if is_durable {
                         commands.push(TaskCommand::Forget { task, attempt });
                     }
                 }
@@ -179,16 +191,16 @@
     }
 }
 
-/// Whether the job of a task has ended.
-fn ended(job_cache: &JobCache, task: TaskId) -> bool {
+/// Returns whether the job of a task has ended.
+fn has_ended(job_cache: &JobCache, task: TaskId) -> bool {
     job_cache.outcome(task.job).is_some()
 }
 
-/// The stop of a task that was ordered to stop, if it has to be said now.
+/// Returns the stop command for a task that has to stop, if it is to be sent now.
 ///
-/// A stop without grace goes with every answer that renews the lease: what does not receive the
-/// stop is not renewed either, so it ends by one of the two. A second stop with some grace left
-/// does not cut a save short.
+/// A stop without a grace period is in every answer that renews the lease: an agent that does not
+/// receive the stop does not receive the renewal either, so the task ends in both cases. A stop
+/// with a grace period is repeated only after `repeat_ms`, so that it does not interrupt a save.
 fn stop_command(
     now: Ms,
     repeat_ms: Ms,
--- a/crates/basaltrail-core/src/leader/failover/loading_answers.rs
+++ b/crates/basaltrail-core/src/leader/failover/loading_answers.rs
@@ -1,4 +1,4 @@
-//! Answers to heartbeats that come before the machine registry is read.
+//! Answers to heartbeats that arrive while the previous leader's records are loaded.
 
 use crate::answer::Answer;
 use crate::lease_renewal::{RenewalPermit, RenewalRefusal};
@@ -7,32 +7,33 @@
 use crate::model::{FencingToken, Heartbeat, MachineId, Ms};
 use std::collections::HashMap;
 
-/// Answers to one machine.
+/// Answers given to one machine.
 #[derive(Default)]
 struct MachineAnswers {
-    /// When the last one was given; it may have renewed the machine's lease.
-    last: Ms,
-    /// Those to heartbeats that did not show this leader's token.
+    /// Time of the last answer, which may have renewed the machine's lease.
+    last_answered_at: Ms,
+    /// Number of answers to heartbeats without this leader's token.
     without_token: u32,
 }
 
-/// What was answered to which machine.
+/// Answers given while the previous leader's records are loaded, by machine.
 ///
-/// The answers renew the workers' leases: were they refused, all leases would expire where the
-/// state service is slow, or fails, just after the election. Nothing is started, and what the
-/// answers may have renewed is counted once the machine registry is read.
+/// The answers renew the workers' leases. If heartbeats were refused instead, all leases would
+/// expire when the state service is slow or fails just after the election. The answers start no
+/// tasks, and the leases that they may have renewed are recorded in the machines once the machine
+/// registry is read.
 #[derive(Default)]
 pub(in crate::leader) struct LoadingAnswers {
     by_machine: HashMap<MachineId, MachineAnswers>,
 }
 
 impl LoadingAnswers {
-    /// Answers a heartbeat without commands of the leader's own. `token` is the leader's, and no
-    /// more than `max_machines` are kept account of.
+    /// Answers a heartbeat with the commands of the permit only. `token` is the leader's fencing
+    /// token, and `max_machines` limits the number of machines whose answers are recorded.
     ///
     /// # Errors
     ///
-    /// Why the lease is not renewed.
+    /// The reason if the worker lease is not renewed.
     pub(in crate::leader) fn answer(
         &mut self,
         now: Ms,
@@ -41,8 +42,8 @@
         heartbeat: &Heartbeat,
         permit: RenewalPermit,
     ) -> Result<Answer, RenewalRefusal> {
-        let known = self.by_machine.contains_key(&heartbeat.machine);
-        if !known && self.by_machine.len() >= max_machines {
+        let is_known = self.by_machine.contains_key(&heartbeat.machine);
+        if !is_known && self.by_machine.len() >= max_machines {
             return Err(RenewalRefusal::Loading);
         }
         let answers = self.by_machine.entry(heartbeat.machine.clone()).or_default();
@@ -52,19 +53,19 @@
             }
             answers.without_token += 1;
         }
-        answers.last = now;
+        answers.last_answered_at = now;
         Ok(permit.answer(token, Vec::new()))
     }
 
-    /// Counts what was answered to a machine before it was read from the machine registry.
+    /// Applies the recorded answers to a machine read from the machine registry.
     pub(in crate::leader) fn apply_to(&self, machine: &mut Machine) {
         if let Some(answers) = self.by_machine.get(&machine.id) {
-            machine.lease_renewed_at = machine.lease_renewed_at.max(answers.last);
+            machine.lease_renewed_at = machine.lease_renewed_at.max(answers.last_answered_at);
             machine.answers_without_token = answers.without_token;
         }
     }
 
-    /// The machine registry is read: its machines count the answers from now on.
+    /// Removes all recorded answers once the machines record answers themselves.
     pub(in crate::leader) fn clear(&mut self) {
         self.by_machine.clear();
     }
--- a/crates/basaltrail-core/src/leader/failover/mod.rs
+++ b/crates/basaltrail-core/src/leader/failover/mod.rs
@@ -1,10 +1,10 @@
-//! What a new leader recovers from its predecessor, and how heartbeats are reconciled with it.
+//! Recovery of the previous leader's state, and reconciliation of it with heartbeats.
 //!
-//! A new leader reads the machine registry, completions and the fairness ledger, in this order,
-//! and schedules nothing before all are read ([`recovery`]). Until then the only commands in
-//! answers to heartbeats stop tasks of ended jobs ([`loading_answers`]). The tasks on each machine
-//! are reconciled with its first heartbeat that carries the new leader's token ([`heartbeats`],
-//! [`reconciliation`]).
+//! A new leader reads the machine registry, the completion records and the fairness ledger, in this
+//! order, and schedules nothing until all are read ([`recovery`]). Until then, answers to
+//! heartbeats contain no commands except stops of the tasks of ended jobs ([`loading_answers`]).
+//! The first heartbeat of a machine that carries the new leader's token shows which tasks are on
+//! the machine ([`heartbeats`], [`reconciliation`]).
 
 pub mod heartbeats;
 pub mod loading_answers;
@@ -21,124 +21,126 @@
 use loading_answers::LoadingAnswers;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Jobs whose record has to be read, per megabyte of memory; those that heartbeats name beyond
-/// that are read later.
-const UNKNOWN_JOBS_PER_MB: f64 = 40.0;
-/// Jobs whose record has to be read, however little memory there is.
-const MIN_UNKNOWN_JOBS: f64 = 64.0;
-/// Records on one page of a list; a response holds 1,000 at the most (PROTOCOL, `GET /kv`).
+/// Limit of jobs whose record is to be read, per megabyte of memory. Jobs that heartbeats report
+/// beyond the limit are read once they are reported again.
+const MAX_UNKNOWN_JOBS_PER_MB: f64 = 40.0;
+/// Lower bound of the limit of jobs whose record is to be read, for controllers with little memory.
+const MIN_UNKNOWN_JOBS_LIMIT: f64 = 64.0;
+/// Records on one page of a list. The store returns at most 1,000 (PROTOCOL, `GET /kv`).
 const PAGE_RECORDS: u32 = 500;
-/// Jobs in a crash loop that are recorded for the next leader: it bounds the ledger record.
+/// Maximum number of jobs in a crash loop that are recorded for the next leader. It bounds the size
+/// of the ledger record.
 pub(in crate::leader) const MAX_RECORDED_CRASH_LOOPS: usize = 64;
 
-/// What is being read of the previous leader's records, in this order.
+/// Stage of loading the previous leader's records, in the order of reading.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Loading {
-    /// The machine registry.
+pub enum LoadStage {
+    /// Reading the machine registry.
     #[default]
     Registry,
-    /// Completions of tasks.
+    /// Reading the completion records.
     Completions,
-    /// The fairness ledger.
+    /// Reading the fairness ledger.
     Ledger,
-    /// Nothing is left to read.
+    /// All records are read.
     Complete,
 }
 
-/// One segment of a job's completions, as it was read.
+/// Number and encoded content of one segment of a job's completion record.
 pub type CompletionSegment = (u32, String);
 
-/// What is recovered from the previous leader.
+/// State of the recovery from the previous leader.
 #[derive(Default)]
 pub struct Failover {
-    /// What is being read.
-    pub(in crate::leader) loading: Loading,
-    /// Whether a request for it is on its way.
+    /// Current stage of loading.
+    pub(in crate::leader) load_stage: LoadStage,
+    /// Whether a request for the previous leader's records is in flight.
     request_in_flight: bool,
-    /// The key after which the next page begins.
+    /// Key after which the next page begins; `None` for the first page.
     next_page_after: Option<String>,
-    /// No request goes out before.
-    not_before: Ms,
-    /// Answers to heartbeats that came before the machine registry was read.
+    /// Earliest time of the next request.
+    next_request_at: Ms,
+    /// Answers given to heartbeats while the records are loaded.
     pub(in crate::leader) loading_answers: LoadingAnswers,
-    /// Completions that were read of jobs that are not known yet.
+    /// Completions read for jobs that are not known yet.
     completions: BTreeMap<JobId, Vec<CompletionSegment>>,
-    /// Jobs that the previous leader found in a crash loop.
+    /// Jobs that the previous leader recorded as crash-looping.
     crash_loops: BTreeSet<JobId>,
-    /// Jobs that a worker or a record names and the job cache does not hold.
+    /// Jobs that a worker or a record refers to and the job cache does not contain.
     pub unknown_jobs: BTreeSet<JobId>,
 }
 
 impl Failover {
-    /// Whether everything was read.
+    /// Returns whether all records are read.
     pub(in crate::leader) fn is_complete(&self) -> bool {
-        self.loading == Loading::Complete
+        self.load_stage == LoadStage::Complete
     }
 
-    /// Whether the next request for the previous leader's records may go out.
-    pub(in crate::leader) fn request_due(&self, now: Ms) -> bool {
-        !self.request_in_flight && !self.is_complete() && now >= self.not_before
+    /// Returns whether the next request for the previous leader's records may be sent.
+    pub(in crate::leader) fn is_request_due(&self, now: Ms) -> bool {
+        !self.request_in_flight && !self.is_complete() && now >= self.next_request_at
     }
 
-    /// The next request for the previous leader's records; it counts as on its way.
-    pub(in crate::leader) fn next_request(&mut self) -> StoreRequest {
+    /// Returns the next request for the previous leader's records and marks it as in flight.
+    pub(in crate::leader) fn start_next_request(&mut self) -> StoreRequest {
         self.request_in_flight = true;
         let page = |prefix: &str| StoreRequest::List {
             prefix: prefix.into(),
             after: self.next_page_after.clone(),
             limit: PAGE_RECORDS,
         };
-        match self.loading {
-            Loading::Registry => page(MACHINE_REGISTRY_PREFIX),
-            Loading::Completions => page(COMPLETIONS_PREFIX),
-            Loading::Ledger | Loading::Complete => StoreRequest::Get(LEDGER_KEY.into()),
+        match self.load_stage {
+            LoadStage::Registry => page(MACHINE_REGISTRY_PREFIX),
+            LoadStage::Completions => page(COMPLETIONS_PREFIX),
+            LoadStage::Ledger | LoadStage::Complete => StoreRequest::Get(LEDGER_KEY.into()),
         }
     }
 
-    /// The request was answered.
-    fn request_answered(&mut self) {
+    /// Records that the request in flight was answered.
+    fn record_request_answered(&mut self) {
         self.request_in_flight = false;
     }
 
-    /// The request failed and is repeated no sooner than `not_before`.
-    fn request_failed(&mut self, not_before: Ms) {
-        self.not_before = not_before;
+    /// Delays the next request until `retry_at` after a failed one.
+    fn record_request_failed(&mut self, retry_at: Ms) {
+        self.next_request_at = retry_at;
     }
 
-    /// Has the record of a job read that a worker or a record names.
-    pub(in crate::leader) fn read_job(&mut self, settings: &Settings, job: JobId) {
-        let limit = (settings.memory_mb * UNKNOWN_JOBS_PER_MB).max(MIN_UNKNOWN_JOBS) as usize;
+    /// Requests that the record of a job is read, unless the limit of unknown jobs is reached.
+    pub(in crate::leader) fn request_job_record(&mut self, settings: &Settings, job: JobId) {
+        let limit =
+            (settings.memory_mb * MAX_UNKNOWN_JOBS_PER_MB).max(MIN_UNKNOWN_JOBS_LIMIT) as usize;
         if self.unknown_jobs.len() < limit {
             self.unknown_jobs.insert(job);
         }
     }
 
-    /// Keeps a segment of completions until its job is known.
-    fn keep_completion(&mut self, job: JobId, segment: CompletionSegment) {
+    /// Stores a segment of completions until its job is known.
+    fn add_completions(&mut self, job: JobId, segment: CompletionSegment) {
         self.completions.entry(job).or_default().push(segment);
     }
 
-    /// The completions that were read of a job; they are given once.
-    pub(in crate::leader) fn take_completions(&mut self, job: JobId) -> Vec<CompletionSegment> {
+    /// Removes and returns the completions read for a job.
+    pub(in crate::leader) fn remove_completions(&mut self, job: JobId) -> Vec<CompletionSegment> {
         self.completions.remove(&job).unwrap_or_default()
     }
 
-    /// Completions whose job is not known belong to one that has ended, most likely: its record
-    /// has to be read.
-    fn read_jobs_of_completions(&mut self) {
+    /// Requests the records of unknown jobs whose completions were read. Most of these jobs have
+    /// ended.
+    fn request_jobs_of_completions(&mut self) {
         self.unknown_jobs.extend(self.completions.keys());
     }
 
-    /// Takes the jobs that the previous leader found in a crash loop.
+    /// Recovers the jobs that the previous leader recorded as crash-looping.
     fn recover_crash_loops(&mut self, record: LedgerRecord) {
         self.crash_loops.extend(record.suspects.into_iter().take(MAX_RECORDED_CRASH_LOOPS));
     }
 
-    /// Gives a job what was read of it; true if all its tasks are done.
+    /// Applies the recovered completions and crash loop to a job; true if all its tasks are done.
     pub(in crate::leader) fn recover_job(&mut self, job: &mut JobState) -> bool {
-        for (segment, text) in self.take_completions(job.id) {
+        for (segment, text) in self.remove_completions(job.id) {
             if job.spec.is_service() {
-                break; // it is never done, whatever the record says
+                break; // replicas of services never complete, so a completion record is ignored
             }
             job.done.add_segment(segment, &text);
             job.durable.add_segment(segment, &text);
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of jobs with what machines report of their tasks.
+//! Reconciliation of jobs with the task states that machines report.
 
 use crate::events::JobEvent;
 use crate::jobs::JobState;
@@ -10,30 +10,30 @@
 use crate::store::calls::Calls;
 use std::collections::BTreeSet;
 
-/// Milliseconds for which nothing is placed on a machine whose agent had no room for a task.
+/// Milliseconds during which no task is placed on a machine after its agent had no room for one.
 const NO_ROOM_BACK_OFF_MS: Ms = 2000;
-/// Milliseconds for which a job backs off after an attempt of which the agent knows nothing.
+/// Back-off of a job, in milliseconds, after an attempt that its agent does not know.
 const UNKNOWN_EXIT_BACK_OFF_MS: Ms = 2000;
 
-/// What reconciling one change asks of the other parts of the leader.
+/// Effects of reconciling one change on the other components of the leader.
 #[derive(Debug, Default, PartialEq)]
-pub struct Reconciled {
-    /// Capacity came free, or work waits: a scheduling cycle is due.
-    pub scheduling_due: bool,
-    /// More may be in use than the last scheduling cycle counted.
+pub struct ReconcileEffects {
+    /// Whether a scheduling cycle is due, since capacity was freed or tasks are pending.
+    pub is_scheduling_due: bool,
+    /// Whether more resources may be in use than the last scheduling cycle counted.
     pub usage_may_have_grown: bool,
-    /// A job whose record has to be read.
+    /// Job whose record has to be read.
     pub unknown_job: Option<JobId>,
-    /// A job with a completion that is to be written.
+    /// Job with a completion that has to be written.
     pub job_with_completion: Option<JobId>,
-    /// A job whose tasks are all done.
+    /// Job whose tasks are all done.
     pub complete_job: Option<JobId>,
-    /// What is logged.
+    /// Event to log.
     pub event: Option<JobEvent>,
 }
 
 impl Leader {
-    /// Reconciles the jobs with several changes on a machine.
+    /// Reconciles the jobs with the changes on a machine and logs the events.
     pub(in crate::leader) fn reconcile_all(
         &mut self,
         ctx: &Context,
@@ -48,130 +48,150 @@
         }
     }
 
-    /// Reconciles a job with one change on a machine; returns what is to be logged.
+    /// Reconciles a job with one change on a machine; returns the event to log.
     pub(in crate::leader) fn reconcile(
         &mut self,
         ctx: &Context,
         machine: &MachineId,
         change: TaskChange,
     ) -> Option<JobEvent> {
-        let reconciled = match change {
-            TaskChange::Gone { task, attempt } => self.cluster.task_gone(machine, task, attempt),
+        let effects = match change {
+            TaskChange::Gone { task, attempt } => {
+                self.cluster.reconcile_gone(machine, task, attempt)
+            }
             TaskChange::Present { task, attempt } => {
-                self.cluster.task_present(ctx, machine, task, attempt)
+                self.cluster.reconcile_present(ctx, machine, task, attempt)
             }
-            TaskChange::Exited(exit) => self.cluster.task_exited(ctx, machine, exit),
+            TaskChange::Exited(exit) => self.cluster.reconcile_exited(ctx, machine, exit),
         };
-        self.scheduler.changed |= reconciled.scheduling_due;
-        if reconciled.usage_may_have_grown {
+        self.scheduler.changed |= effects.is_scheduling_due;
+        if effects.usage_may_have_grown {
             self.scheduler.last_cycle = None;
         }
-        if let Some(job) = reconciled.unknown_job {
-            self.failover.read_job(ctx.cfg, job);
+        if let Some(job) = effects.unknown_job {
+            self.failover.request_job_record(ctx.cfg, job);
         }
-        self.writer.unwritten_jobs.extend(reconciled.job_with_completion);
-        self.writer.complete_jobs.extend(reconciled.complete_job);
-        reconciled.event
+        self.writer.unwritten_jobs.extend(effects.job_with_completion);
+        self.writer.complete_jobs.extend(effects.complete_job);
+        effects.event
     }
 }
 
 impl Cluster {
-    /// An attempt is certainly not on the machine: its task waits again.
-    fn task_gone(&mut self, machine: &MachineId, task: TaskId, attempt: Attempt) -> Reconciled {
+    /// Records that an attempt is certainly not on the machine; its task is pending again.
+    fn reconcile_gone(
+        &mut self,
+        machine: &MachineId,
+        task: TaskId,
+        attempt: Attempt,
+    ) -> ReconcileEffects {
         let job = self.jobs.get_mut(&task.job);
-        let freed = job.is_some_and(|job| job.end_placement(task.index, machine, attempt));
-        Reconciled { scheduling_due: freed, ..Reconciled::default() }
+        let was_placed_here =
+            job.is_some_and(|job| job.end_placement(task.index, machine, attempt));
+        ReconcileEffects { is_scheduling_due: was_placed_here, ..ReconcileEffects::default() }
     }
 
-    /// An attempt is on the machine. It is stopped if it is not wanted there.
-    fn task_present(
+    /// Records that an attempt is on the machine, and stops it if it should not run there.
+    fn reconcile_present(
         &mut self,
         ctx: &Context,
         machine: &MachineId,
         task: TaskId,
         attempt: Attempt,
-    ) -> Reconciled {
-        let mut reconciled = Reconciled { usage_may_have_grown: true, ..Reconciled::default() };
+    ) -> ReconcileEffects {
+        let mut effects =
+            ReconcileEffects { usage_may_have_grown: true, ..ReconcileEffects::default() };
         let demand = self.task_demand(task.job);
-        let found = self.machines.get_mut(machine);
-        let Some(slot) = found.and_then(|found| found.slots.get_mut(&(task, attempt))) else {
-            return reconciled;
+        let machine_state = self.machines.get_mut(machine);
+        let Some(slot) = machine_state.and_then(|state| state.slots.get_mut(&(task, attempt)))
+        else {
+            return effects;
         };
         slot.demand = demand;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             match ctx.job_cache.outcome(task.job) {
                 Some(_) => slot.stop_grace_s = Some(0.0),
-                None => reconciled.unknown_job = Some(task.job),
+                None => effects.unknown_job = Some(task.job),
             }
-            return reconciled;
+            return effects;
         };
         job.started = true;
         let place = (machine.clone(), attempt);
-        let elsewhere = job.placed.get(&task.index).is_some_and(|placed| *placed != place);
-        if job.ended.is_some() || job.done.get(task.index) || elsewhere {
-            // Not wanted here. An attempt elsewhere is left alone.
+        let is_placed_elsewhere =
+            job.placed.get(&task.index).is_some_and(|placed| *placed != place);
+        if job.ended.is_some() || job.done.get(task.index) || is_placed_elsewhere {
+            // Only this attempt is stopped; one on another machine keeps running.
             slot.stop_at_once();
         } else {
             job.placed.insert(task.index, place);
         }
-        reconciled
+        effects
     }
 
-    /// An attempt has exited: records its outcome in its job and in the machine's health.
-    fn task_exited(&mut self, ctx: &Context, machine_id: &MachineId, exit: TaskExit) -> Reconciled {
+    /// Records the exit of an attempt in its job and in the machine's health.
+    fn reconcile_exited(
+        &mut self,
+        ctx: &Context,
+        machine_id: &MachineId,
+        exit: TaskExit,
+    ) -> ReconcileEffects {
         let TaskExit { task, attempt, reason, ran_ms } = exit;
-        let mut reconciled = Reconciled { scheduling_due: true, ..Reconciled::default() };
+        let mut effects =
+            ReconcileEffects { is_scheduling_due: true, ..ReconcileEffects::default() };
         let runs_elsewhere = another_replica_runs(ctx, self, task);
         let demand = self.task_demand(task.job);
-        let Some(machine) = self.machines.get_mut(machine_id) else { return reconciled };
+        let Some(machine) = self.machines.get_mut(machine_id) else { return effects };
         if let Some(slot) = machine.slots.get_mut(&(task, attempt)) {
             slot.demand = demand;
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            reconciled.unknown_job = Some(task.job);
-            return reconciled;
+            effects.unknown_job = Some(task.job);
+            return effects;
         };
-        let service = job.spec.is_service();
+        let is_service = job.spec.is_service();
         let ran_long = ran_ms.is_some_and(|ran| ran >= ctx.cfg.lease_ms);
-        let mut failed_before = BTreeSet::new();
-        if reason == ExitReason::Done && !service {
-            reconciled.job_with_completion = job.mark_done(task.index).then_some(task.job);
-            reconciled.complete_job = job.is_complete().then_some(task.job);
-            failed_before = job.health.record_success(machine_id);
+        let mut failed_on = BTreeSet::new();
+        if reason == ExitReason::Done && !is_service {
+            effects.job_with_completion = job.mark_done(task.index).then_some(task.job);
+            effects.complete_job = job.is_complete().then_some(task.job);
+            failed_on = job.health.record_success(machine_id);
             machine.health.record_success();
         }
-        if service && (ran_long || runs_elsewhere) {
-            // What has run for long, here or elsewhere, is not the service's fault.
-            failed_before = job.health.record_success(machine_id);
+        if is_service && (ran_long || runs_elsewhere) {
+            // An exit after a long run, or while another replica runs, is not attributed to the
+            // service.
+            failed_on = job.health.record_success(machine_id);
         }
         let was_placed_here = job.end_placement(task.index, machine_id, attempt);
         if !was_placed_here || job.ended.is_some() {
-            return reconciled;
+            return effects;
         }
         match reason {
-            // A replica that is done at once fails, too: it would start without end.
-            ExitReason::Done if !service || ran_long => {}
+            // A replica that exits soon counts as failed, since it would otherwise restart in an
+            // endless loop without a back-off.
+            ExitReason::Done if !is_service || ran_long => {}
             ExitReason::Error | ExitReason::Done => {
-                reconciled.event = record_failure(ctx, job, machine, exit);
-                return reconciled;
+                effects.event = record_failure(ctx, job, machine, exit);
+                return effects;
             }
             ExitReason::NoRoom => machine.no_room_until = ctx.now + NO_ROOM_BACK_OFF_MS,
             ExitReason::Unknown => job.health.back_off(ctx.now + UNKNOWN_EXIT_BACK_OFF_MS),
             ExitReason::Stopped | ExitReason::Busy => {}
         }
-        self.blame_machines(ctx.now, machine_id, task.job, failed_before);
-        reconciled
+        self.record_machine_failures(ctx.now, machine_id, task.job, failed_on);
+        effects
     }
 
-    /// A job ended well on one machine: that it failed on others before was not its fault.
-    fn blame_machines(
+    /// Records a failure in the health of the machines on which a job failed before it succeeded on
+    /// another machine, since the job was not the cause.
+    fn record_machine_failures(
         &mut self,
         now: Ms,
-        ended_well_on: &MachineId,
+        succeeded_on: &MachineId,
         job: JobId,
         failed_on: BTreeSet<MachineId>,
     ) {
-        for other in failed_on.iter().filter(|other| *other != ended_well_on) {
+        for other in failed_on.iter().filter(|other| *other != succeeded_on) {
             if let Some(machine) = self.machines.get_mut(other) {
                 machine.health.record_failure(job, now);
             }
@@ -179,20 +199,21 @@
     }
 }
 
-/// Records a failure in the job, and in the machine's health if the job ends well elsewhere.
-/// Only the first failure of a job on a machine is logged: a line for each task of an array
-/// would be thousands.
+/// Records a failure in the job, and in the machine's health if the job has succeeded elsewhere.
+///
+/// Returns an event only for the first failure of the job on the machine: an array would otherwise
+/// log thousands of lines, one for each task.
 fn record_failure(
     ctx: &Context,
     job: &mut JobState,
     machine: &mut Machine,
     exit: TaskExit,
 ) -> Option<JobEvent> {
-    let first = job.health.record_failure(&machine.id, ctx.now, ctx.cfg.lease_ms);
+    let is_first = job.health.record_failure(&machine.id, ctx.now, ctx.cfg.lease_ms);
     if job.health.has_succeeded() {
         machine.health.record_failure(job.id, ctx.now);
     }
-    first.then(|| JobEvent::TaskFailed {
+    is_first.then(|| JobEvent::TaskFailed {
         task: exit.task,
         machine: machine.id.clone(),
         crash_looping: job.health.is_crash_looping(),
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -1,10 +1,10 @@
-//! Reads what the previous leader left, and follows the job cache.
+//! Loads the records of the previous leader and applies changes of the job cache to the cluster.
 
 use crate::events::{LeadershipEvent, StoreEvent};
 use crate::fairness::Ledger;
 use crate::io::{KeyValue, StoreReply};
 use crate::jobs::{ActiveJob, JobState};
-use crate::leader::failover::Loading;
+use crate::leader::failover::LoadStage;
 use crate::leader::{Context, Leader};
 use crate::machines::Machine;
 use crate::model::{JobId, JobOutcome, Ms};
@@ -13,12 +13,15 @@
 use crate::store::records::{decode, parse_completions_key, LedgerRecord, MachineRecord};
 
 impl Leader {
-    /// Asks for the next of the previous leader's records, if that is due and can be paid.
-    pub(in crate::leader) fn load(&mut self, ctx: &Context, calls: &mut Calls) {
-        if !self.failover.request_due(ctx.now) || !calls.try_acquire(ctx.now, CallPriority::Lease) {
+    /// Requests the next of the previous leader's records, if a request is due and within the rate
+    /// limit.
+    pub(in crate::leader) fn request_next_record(&mut self, ctx: &Context, calls: &mut Calls) {
+        if !self.failover.is_request_due(ctx.now)
+            || !calls.try_acquire(ctx.now, CallPriority::Lease)
+        {
             return;
         }
-        let request = self.failover.next_request();
+        let request = self.failover.start_next_request();
         calls.send_to_store(
             StorePurpose::LoadLeaderState { token: self.token },
             request,
@@ -26,39 +29,39 @@
         );
     }
 
-    /// Takes the reply to a request for the previous leader's records.
-    pub fn load_reply(&mut self, ctx: &Context, calls: &mut Calls, reply: StoreReply) {
-        self.failover.request_answered();
-        match (self.failover.loading, reply) {
-            (Loading::Registry, StoreReply::Page { items, more, .. }) => {
+    /// Handles the reply to a request for the previous leader's records.
+    pub fn handle_load_reply(&mut self, ctx: &Context, calls: &mut Calls, reply: StoreReply) {
+        self.failover.record_request_answered();
+        match (self.failover.load_stage, reply) {
+            (LoadStage::Registry, StoreReply::Page { items, more, .. }) => {
                 self.failover.next_page_after = next_page_after(&items, more);
                 for item in items {
                     self.recover_registry_segment(ctx, calls, &item);
                 }
                 if !more {
                     self.registry.repair(&mut self.cluster.machines, ctx.cfg.value_bytes);
-                    self.failover.loading = Loading::Completions;
+                    self.failover.load_stage = LoadStage::Completions;
                 }
             }
-            (Loading::Completions, StoreReply::Page { items, more, .. }) => {
+            (LoadStage::Completions, StoreReply::Page { items, more, .. }) => {
                 self.failover.next_page_after = next_page_after(&items, more);
                 for item in items {
                     self.recover_completions(&item);
                 }
                 if !more {
-                    self.failover.loading = Loading::Ledger;
+                    self.failover.load_stage = LoadStage::Ledger;
                 }
             }
-            (Loading::Ledger, StoreReply::KeyValue(item)) => {
+            (LoadStage::Ledger, StoreReply::KeyValue(item)) => {
                 self.recover_ledger(ctx, &item);
                 self.complete_loading(calls);
             }
-            (Loading::Ledger, StoreReply::NotFound) => self.complete_loading(calls),
-            _ => self.failover.request_failed(ctx.now + ctx.cfg.leader_lease_ms() / 20),
+            (LoadStage::Ledger, StoreReply::NotFound) => self.complete_loading(calls),
+            _ => self.failover.record_request_failed(ctx.now + ctx.cfg.leader_lease_ms() / 20),
         }
     }
 
-    /// Takes the machines of one segment of the registry.
+    /// Adds the machines of one registry segment to the cluster.
     fn recover_registry_segment(&mut self, ctx: &Context, calls: &mut Calls, item: &KeyValue) {
         self.writer.record_revision(item);
         let Some(segment) = self.registry.load_segment(item) else {
@@ -72,16 +75,16 @@
         }
     }
 
-    /// Takes one segment of a job's completions.
+    /// Recovers one segment of a job's completions.
     fn recover_completions(&mut self, item: &KeyValue) {
         self.writer.record_revision(item);
         let text: Option<String> = decode(&item.value);
         if let (Some((job, segment)), Some(text)) = (parse_completions_key(&item.key), text) {
-            self.failover.keep_completion(job, (segment, text));
+            self.failover.add_completions(job, (segment, text));
         }
     }
 
-    /// Takes the fairness ledger and the jobs in a crash loop.
+    /// Recovers the fairness ledger and the jobs in a crash loop.
     fn recover_ledger(&mut self, ctx: &Context, item: &KeyValue) {
         self.writer.record_revision(item);
         let record: Option<LedgerRecord> = decode(&item.value);
@@ -91,16 +94,17 @@
         }
     }
 
-    /// Everything is read: jobs get what was recovered of them, and scheduling may begin.
+    /// Completes loading and applies the recovered state to the jobs. Scheduling may begin
+    /// afterwards.
     fn complete_loading(&mut self, calls: &mut Calls) {
-        self.failover.loading = Loading::Complete;
+        self.failover.load_stage = LoadStage::Complete;
         self.failover.loading_answers.clear();
         for job in self.cluster.jobs.values_mut() {
             if self.failover.recover_job(job) {
                 self.writer.complete_jobs.insert(job.id);
             }
         }
-        self.failover.read_jobs_of_completions();
+        self.failover.request_jobs_of_completions();
         calls.log(LeadershipEvent::Leading {
             token: self.token,
             machines: self.cluster.machines.len(),
@@ -108,7 +112,8 @@
         });
     }
 
-    /// Takes what the job cache now says of a job.
+    /// Applies the current state of a job in the job cache to the cluster. The record of a job that
+    /// the cache no longer contains is read.
     pub fn sync_job(&mut self, ctx: &Context, job: JobId) {
         self.failover.unknown_jobs.remove(&job);
         if let Some(active) = ctx.job_cache.active.get(&job) {
@@ -128,12 +133,12 @@
             return;
         }
         let mut job = JobState::new(id, team, active);
-        if self.loaded() && self.failover.recover_job(&mut job) {
+        if self.is_loaded() && self.failover.recover_job(&mut job) {
             self.writer.complete_jobs.insert(id);
         }
         self.cluster.jobs.insert(id, job);
         self.scheduler.replica_sizes.note(ctx, &active.spec);
-        for (machine, change) in self.cluster.changes_before_known(id) {
+        for (machine, change) in self.cluster.changes_reported_before_job_known(id) {
             self.reconcile(ctx, &machine, change);
         }
     }
@@ -143,21 +148,22 @@
             job.ended = Some(outcome);
             self.scheduler.changed = true;
         }
-        for (segment, _) in self.failover.take_completions(id) {
+        for (segment, _) in self.failover.remove_completions(id) {
             self.writer.obsolete_completions.insert((id, segment));
         }
         self.cluster.stop_job(id);
     }
 }
 
-/// The key after which the next page begins; none after the last page.
+/// Returns the key after which the next page begins; `None` after the last page.
 fn next_page_after(items: &[KeyValue], more: bool) -> Option<String> {
     items.last().filter(|_| more).map(|item| item.key.clone())
 }
 
-/// A machine of the registry, as a leader elected at `elected_at` has to treat it: until it sends
-/// a heartbeat with the leader's token, an earlier leader's tasks may be on it, unless its
-/// record says that nothing is.
+/// Returns the state of a machine of the registry for a leader elected at `elected_at`.
+///
+/// Unless its record says that the machine is free, it may run tasks of an earlier leader until it
+/// sends a heartbeat with this leader's token.
 fn recovered_machine(
     ctx: &Context,
     record: &MachineRecord,
--- a/crates/basaltrail-core/src/leader/liveness.rs
+++ b/crates/basaltrail-core/src/leader/liveness.rs
@@ -1,61 +1,66 @@
-//! Whether this leader reaches the workers, and whether it was able to answer them.
+//! Tracks whether this leader reaches the workers, and since when it has been able to answer them.
 
 use crate::model::Ms;
 
-/// How often machines are looked through: so many times in a heartbeat interval. Not at every
-/// input: their number times that of the machines would be all that a leader gets done.
+/// Scans of all machines in one heartbeat interval. A scan for every input would take all of the
+/// leader's time, since both inputs and the cost of a scan grow with the number of machines.
 const CHECKS_PER_HEARTBEAT_INTERVAL: Ms = 20;
 
-/// What a leader knows of its own reachability.
+/// Reachability of the workers as seen by this leader.
 pub struct WorkerLiveness {
-    /// When this process was last able to answer workers again, after it stood still or held no
-    /// valid lease: silence of machines counts from there.
+    /// Time since which this process has been able to answer workers: the end of its last pause or
+    /// of its last gap without a valid leader lease. Silence of machines counts from this time.
     pub(in crate::leader) reachable_since: Ms,
-    /// Most workers went silent though this process could have answered them.
-    pub lost_workers: bool,
-    /// Whether the last tick was within a valid leader lease.
+    /// Whether most workers are silent although this process is able to answer them.
+    pub workers_unreachable: bool,
+    /// Whether this controller held a valid leader lease at the last tick.
     held_valid_lease: bool,
-    /// When the last tick was.
-    last_tick: Ms,
-    /// When machines are looked through next.
-    next_check: Ms,
+    /// Time of the last tick.
+    last_tick_at: Ms,
+    /// Earliest time of the next scan of the machines.
+    next_check_at: Ms,
 }
 
 impl WorkerLiveness {
-    /// As of the election.
+    /// Returns the state at the time of the election.
     pub fn new(now: Ms) -> Self {
         WorkerLiveness {
             reachable_since: 0,
-            lost_workers: false,
+            workers_unreachable: false,
             held_valid_lease: true,
-            last_tick: now,
-            next_check: 0,
+            last_tick_at: now,
+            next_check_at: 0,
         }
     }
 
-    /// Records a tick. After a pause of more than a heartbeat interval, or without a valid
-    /// leader lease, nobody was answered for a while: silence from before proves nothing.
+    /// Records a tick. After a pause of more than a heartbeat interval, or a gap without a valid
+    /// leader lease, silence is counted from now: no worker was answered in that time, so earlier
+    /// silence does not show that workers are unreachable.
     pub(in crate::leader) fn record_tick(
         &mut self,
         now: Ms,
         heartbeat_interval_ms: Ms,
         holds_valid_lease: bool,
     ) {
-        let paused = now > self.last_tick + heartbeat_interval_ms;
+        let paused = now > self.last_tick_at + heartbeat_interval_ms;
         if paused || (holds_valid_lease && !self.held_valid_lease) {
             self.reachable_since = now;
-            self.lost_workers = false;
+            self.workers_unreachable = false;
         }
-        self.last_tick = now;
+        self.last_tick_at = now;
         self.held_valid_lease = holds_valid_lease;
     }
 
-    /// Whether machines have to be looked through now; the next time is set if so.
-    pub(in crate::leader) fn check_due(&mut self, now: Ms, heartbeat_interval_ms: Ms) -> bool {
-        let due = now >= self.next_check;
-        if due {
-            self.next_check = now + heartbeat_interval_ms / CHECKS_PER_HEARTBEAT_INTERVAL;
+    /// Returns whether a scan of the machines is due, and schedules the next one if so.
+    pub(in crate::leader) fn start_check_if_due(
+        &mut self,
+        now: Ms,
+        heartbeat_interval_ms: Ms,
+    ) -> bool {
+        let is_due = now >= self.next_check_at;
+        if is_due {
+            self.next_check_at = now + heartbeat_interval_ms / CHECKS_PER_HEARTBEAT_INTERVAL;
         }
-        due
+        is_due
     }
 }
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -1,9 +1,9 @@
-//! What a controller keeps while it leads, and the wiring of its parts.
+//! The state of a leading controller and the wiring of its components.
 //!
-//! Each part owns its state: [`Cluster`] the machines and jobs, [`Failover`] what is recovered from
-//! the previous leader, [`MachineRegistry`] and [`Writer`] what is durable, [`Scheduler`] and
-//! [`Autoscaler`] the decisions, [`WorkerLiveness`] whether workers are reached. [`Leader`] calls
-//! them in order and hands the results of one to the others.
+//! Each component owns its state: [`Cluster`] holds the machines and jobs, [`Failover`] recovers
+//! the state of the previous leader, [`MachineRegistry`] and [`Writer`] persist state in the store,
+//! [`Scheduler`] and [`Autoscaler`] make the decisions, and [`WorkerLiveness`] tracks whether the
+//! workers are reachable. [`Leader`] calls the components in order and passes results between them.
 
 use crate::events::{LeadershipEvent, MachineEvent};
 use crate::fairness::Ledger;
@@ -33,62 +33,64 @@
 
 pub use persistence::replies::WriteOutcome;
 
-/// What a step of the leader may look at beside its own state.
+/// Inputs to a step of the leader in addition to its own state.
 #[derive(Clone, Copy)]
 pub struct Context<'a> {
     /// The controller's settings.
     pub cfg: &'a Settings,
-    /// Machine types that the cloud offers.
+    /// Machine types offered by the cloud.
     pub types: &'a [MachineType],
-    /// What the store says of jobs.
+    /// Cache of the job records in the store.
     pub job_cache: &'a JobCache,
-    /// The present moment on the steady clock, in milliseconds.
+    /// Current time of the monotonic clock, in milliseconds.
     pub now: Ms,
-    /// The time of day, in milliseconds.
+    /// Current wall-clock time, in milliseconds.
     pub wall: WallMs,
     /// Whether this controller holds a valid leader lease.
     pub holds_valid_lease: bool,
-    /// Every outcome from before the lease became valid is known: tasks may be started.
+    /// Whether the job cache contains every outcome from before the leader lease became valid.
+    /// Tasks are started only if it does.
     pub job_cache_is_fresh: bool,
 }
 
-/// Heartbeat intervals after which a machine counts as silent.
+/// Heartbeat intervals without a heartbeat after which a machine counts as silent.
 const SILENCE_INTERVALS: Ms = 3;
 
-/// What a controller keeps while it leads. Each part owns its state; this type wires them.
+/// The state of a leading controller.
 pub struct Leader {
-    /// The fencing token that it leads with.
+    /// Fencing token of its term.
     pub token: FencingToken,
-    /// The mod revision of its record under the leader key.
+    /// Mod revision of its record under the leader key.
     pub mod_revision: Revision,
-    /// When it was elected.
+    /// Time of its election.
     pub elected_at: Ms,
-    /// Machines and jobs.
+    /// Known machines and jobs.
     pub cluster: Cluster,
-    /// What is recovered from the previous leader.
+    /// State recovered from the previous leader.
     pub failover: Failover,
-    /// The durable list of machines that may hold tasks.
+    /// Durable list of the machines that may hold tasks.
     registry: MachineRegistry,
-    /// What has to be written, and the transaction in flight.
+    /// Pending writes and the transaction in flight.
     writer: Writer,
-    /// Which task starts where.
+    /// Assignment of tasks to machines.
     pub scheduler: Scheduler,
-    /// How many machines there are.
+    /// Provisioning and termination of machines.
     autoscaler: Autoscaler,
-    /// Whether this leader reaches the workers.
+    /// Reachability of the workers from this leader.
     pub liveness: WorkerLiveness,
-    /// The fairness ledger.
+    /// Fairness ledger.
     ledger: Ledger,
-    /// When the round of the fairness ledger ends.
-    round_ends: Ms,
-    /// Admission quotas of controllers.
+    /// End of the current round of the fairness ledger.
+    round_ends_at: Ms,
+    /// Planning and writing of the controllers' admission quotas.
     pub quota_allocator: quota_allocation::QuotaAllocator,
-    /// When progress is sent to peers next.
-    pub next_progress: Ms,
+    /// Next time at which progress is sent to peers.
+    pub next_progress_at: Ms,
 }
 
 impl Leader {
-    /// A leader that knows the jobs and loads the rest.
+    /// Returns a leader that has the jobs of the job cache and still has to load the records of the
+    /// previous leader.
     pub fn new(ctx: &Context, token: FencingToken, mod_revision: Revision) -> Self {
         let mut leader = Leader {
             token,
@@ -102,9 +104,9 @@
             autoscaler: Autoscaler::new(ctx.cfg, ctx.now),
             liveness: WorkerLiveness::new(ctx.now),
             ledger: Ledger::new(ctx.cfg, None, ctx.now),
-            round_ends: ctx.now,
+            round_ends_at: ctx.now,
             quota_allocator: quota_allocation::QuotaAllocator::new(ctx.now),
-            next_progress: 0,
+            next_progress_at: 0,
         };
         for job in ctx.job_cache.active.keys() {
             leader.sync_job(ctx, *job);
@@ -112,35 +114,37 @@
         leader
     }
 
-    /// Has the record of a job read that a worker reported.
-    pub fn read_job(&mut self, ctx: &Context, job: JobId) {
-        self.failover.read_job(ctx.cfg, job);
+    /// Requests that the record of a job reported by a worker is read from the store.
+    pub fn request_job_record(&mut self, ctx: &Context, job: JobId) {
+        self.failover.request_job_record(ctx.cfg, job);
     }
 
-    /// Whether everything that the previous leader left is read.
-    pub fn loaded(&self) -> bool {
+    /// Returns whether all records of the previous leader are loaded.
+    pub fn is_loaded(&self) -> bool {
         self.failover.is_complete()
     }
 
-    /// Does what is due: follows machines and jobs, schedules, writes, and asks the cloud.
+    /// Runs all work that is due: loads records, checks machines, schedules, writes to the store,
+    /// and calls the cloud.
     pub fn tick(&mut self, ctx: &Context, calls: &mut Calls, rng: &mut SmallRng) {
-        self.load(ctx, calls);
-        if !self.loaded() {
+        self.request_next_record(ctx, calls);
+        if !self.is_loaded() {
             return;
         }
         let heartbeat_interval_ms = ctx.cfg.heartbeat_interval_ms;
         self.liveness.record_tick(ctx.now, heartbeat_interval_ms, ctx.holds_valid_lease);
-        if self.liveness.check_due(ctx.now, heartbeat_interval_ms) {
+        if self.liveness.start_check_if_due(ctx.now, heartbeat_interval_ms) {
             self.scheduler.visited += self.cluster.machines.len() as u64;
             self.check_machines(ctx, calls);
             let reachable_since = self.liveness.reachable_since;
-            self.liveness.lost_workers = workers_unreachable(ctx, &self.cluster, reachable_since);
+            self.liveness.workers_unreachable =
+                workers_unreachable(ctx, &self.cluster, reachable_since);
             for job in self.cluster.remove_finished_jobs() {
                 self.writer.remove_job(&job);
             }
             self.scale_in(ctx, calls);
         }
-        if ctx.now >= self.round_ends {
+        if ctx.now >= self.round_ends_at {
             self.end_round(ctx, calls);
         }
         if (self.scheduler.changed || ctx.now >= self.scheduler.wake_at)
@@ -156,9 +160,9 @@
         self.call_cloud(ctx, calls);
     }
 
-    /// Ends a round of the fairness ledger.
+    /// Ends a round of the fairness ledger and starts the next.
     fn end_round(&mut self, ctx: &Context, calls: &mut Calls) {
-        self.round_ends = ctx.now + ctx.cfg.round_ms();
+        self.round_ends_at = ctx.now + ctx.cfg.round_ms();
         self.ledger.end_round();
         for job in self.cluster.jobs.values_mut() {
             job.account.granted = 0.0;
@@ -170,38 +174,40 @@
         self.scheduler.changed = true;
     }
 
-    /// Expires leases that have certainly ended, and withdraws what was not sent to machines
-    /// that went silent.
+    /// Expires worker leases that have certainly ended, and withdraws unsent assignments from
+    /// silent machines.
     fn check_machines(&mut self, ctx: &Context, calls: &mut Calls) {
         let lease_ms = ctx.cfg.with_drift_margin(ctx.cfg.lease_ms);
         let silence_ms = ctx.cfg.heartbeat_interval_ms * SILENCE_INTERVALS;
         let reachable_since = self.liveness.reachable_since;
-        let expires = |m: &Machine| !m.lease_expired && ctx.now > m.lease_renewed_at + lease_ms;
+        let lease_has_ended =
+            |m: &Machine| !m.lease_expired && ctx.now > m.lease_renewed_at + lease_ms;
         let is_silent = |m: &Machine| {
             m.last_heartbeat.is_some_and(|at| ctx.now > at.max(reachable_since) + silence_ms)
         };
-        let due: Vec<MachineId> = self
+        let affected: Vec<MachineId> = self
             .cluster
             .machines
             .values()
-            .filter(|m| expires(m) || (is_silent(m) && !m.slots.is_empty()))
+            .filter(|m| lease_has_ended(m) || (is_silent(m) && !m.slots.is_empty()))
             .map(|m| m.id.clone())
             .collect();
-        for id in &due {
-            match self.cluster.machines.get(id).is_some_and(expires) {
+        for id in &affected {
+            match self.cluster.machines.get(id).is_some_and(lease_has_ended) {
                 true => self.expire_machine_lease(ctx, calls, id),
                 false => self.scheduler.changed |= self.cluster.withdraw_unsent(id),
             }
         }
     }
 
-    /// The lease of a machine has certainly expired: the tasks on it are over.
+    /// Marks the lease of a machine as expired. It must have ended for certain, so that no task
+    /// runs there any more.
     fn expire_machine_lease(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         let Some(machine) = self.cluster.machines.get_mut(id) else { return };
         let tasks = machine.slots.len();
-        let was_up = machine.last_heartbeat.is_some();
+        let had_heartbeat = machine.last_heartbeat.is_some();
         let changes = machine.expire_lease();
-        if was_up || tasks > 0 {
+        if had_heartbeat || tasks > 0 {
             let (machine, zone) = (id.clone(), machine.zone.clone());
             calls.log(MachineEvent::LeaseExpired { machine, zone, tasks });
         }
@@ -210,7 +216,7 @@
         self.set_registered_free(id, true);
     }
 
-    /// How far each active job is, for display.
+    /// Returns the progress of each active job, for display.
     pub fn progress(&self) -> Vec<Progress> {
         self.cluster.progress()
     }
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -43,7 +43,7 @@
 impl Leader {
     /// Sends a transaction with pending writes, if one may be sent.
     pub(in crate::leader) fn flush(&mut self, ctx: &Context, calls: &mut Calls) {
-        if !self.writer.is_ready(ctx.now) || !self.loaded() || !ctx.holds_valid_lease {
+        if !self.writer.is_ready(ctx.now) || !self.is_loaded() || !ctx.holds_valid_lease {
             return;
         }
         let sources = WriteSources {
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -30,10 +30,10 @@
             mod_revision: Revision(1),
             lease_id: None,
         };
-        leader.load_reply(ctx, calls, page(self.segments.iter().map(item).collect()));
-        leader.load_reply(ctx, calls, page(Vec::new()));
-        leader.load_reply(ctx, calls, StoreReply::NotFound);
-        assert!(leader.loaded());
+        leader.handle_load_reply(ctx, calls, page(self.segments.iter().map(item).collect()));
+        leader.handle_load_reply(ctx, calls, page(Vec::new()));
+        leader.handle_load_reply(ctx, calls, StoreReply::NotFound);
+        assert!(leader.is_loaded());
         leader
     }
 
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::answer::Answer;
 use crate::leader::autoscaler::partitions::silent_machines_with_replicas;
-use crate::leader::failover::Loading;
+use crate::leader::failover::LoadStage;
 use crate::leader::scheduler::deadline_feasibility::find_feasible;
 use crate::leader::scheduler::reserved_capacity::machines_for_services;
 use crate::leader::scheduler::test_cluster::{ready_machine, service, TestCluster};
@@ -21,7 +21,7 @@
 /// A leader with so many machines in each zone, all of them heard just now.
 fn leader_with_machines(test: &TestCluster, per_zone: usize) -> Leader {
     let mut leader = test.leader(0);
-    leader.failover.loading = Loading::Complete;
+    leader.failover.load_stage = LoadStage::Complete;
     for index in 0..2 * per_zone {
         let (name, zone) = (format!("m-{index:02}"), ["a", "b"][index % 2]);
         let mut machine = ready_machine(&name, zone, false, Some(0));
@@ -190,7 +190,7 @@
     let (lease_held_since, jobs_as_of) = (Some(0), Some(100));
     let evidence = RenewalEvidence { cfg, job_cache, now: 200, lease_held_since, jobs_as_of };
     let permit = evidence.permit(&heartbeat);
-    let answer = leader.heartbeat(&ctx, &mut Calls::default(), &heartbeat, permit, &mut rng);
+    let answer = leader.answer_heartbeat(&ctx, &mut Calls::default(), &heartbeat, permit, &mut rng);
     let Ok(Answer::Commands { commands, .. }) = answer else { panic!("{answer:?}") };
     let stops =
         |o: &TaskCommand| matches!(o, TaskCommand::Stop { task, .. } if task.job == JobId(1));
