--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -42,14 +42,14 @@
             StorePurpose::AnnounceController => self.admission.announced(self.now, &self.cfg),
             StorePurpose::LoadLeaderState { token } => {
                 self.with_leader_of(token, |leader, ctx, calls| {
-                    leader.load_reply(ctx, calls, reply);
+                    leader.handle_load_reply(ctx, calls, reply);
                 });
             }
             StorePurpose::LeaderTransaction { token, pending } => {
                 self.leader_transaction_replied(token, *pending, reply);
             }
             StorePurpose::RefreshRevision { token, key } => {
-                self.with_leader_of(token, |leader, _, _| leader.refresh_reply(key, reply));
+                self.with_leader_of(token, |leader, _, _| leader.handle_refresh_reply(key, reply));
             }
             StorePurpose::WriteQuotas { token, writes } => {
                 self.quotas_written(token, &writes, &reply);
@@ -78,8 +78,9 @@
         pending: PendingTransaction,
         reply: StoreReply,
     ) {
-        let outcome = self
-            .with_leader_of(token, |leader, ctx, _| leader.transaction_reply(ctx, pending, reply));
+        let outcome = self.with_leader_of(token, |leader, ctx, _| {
+            leader.handle_transaction_reply(ctx, pending, reply)
+        });
         let Some(WriteOutcome { deposed, completed_jobs, jobs_to_read, rejected_keys }) = outcome
         else {
             return;
@@ -100,8 +101,9 @@
     }
 
     fn quotas_written(&mut self, token: FencingToken, writes: &[QuotaWrite], reply: &StoreReply) {
-        let deposed = self
-            .with_leader_of(token, |leader, _, _| leader.quota_allocator.replied(writes, reply));
+        let deposed = self.with_leader_of(token, |leader, _, _| {
+            leader.quota_allocator.handle_reply(writes, reply)
+        });
         if deposed == Some(true) {
             self.election.step_down(self.now);
         }
