--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -252,7 +252,7 @@
         if self.election.primary_zone().unwrap_or(self.cfg.busiest_zone()) != self.cfg.zone {
             jitter += self.cfg.leader_lease_ms() / 8;
         }
-        for due in self.election.requests(self.now, jitter) {
+        for due in self.election.due_requests(self.now, jitter) {
             // Leases come first and never wait; they are few.
             self.calls.try_acquire(self.now, CallPriority::Lease);
             let purpose = StorePurpose::Election(due.call);
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -58,7 +58,7 @@
     }
 
     fn election_replied(&mut self, call: ElectionCall, reply: StoreReply) {
-        if let Some(lease_id) = self.election.reply(self.now, call, reply) {
+        if let Some(lease_id) = self.election.handle_reply(self.now, call, reply) {
             let purpose = StorePurpose::Election(ElectionCall::RevokeLease { lease_id });
             let request = StoreRequest::RevokeLease { lease_id };
             self.calls.send_to_store(purpose, request, REVOKE_TIMEOUT_MS);
--- a/crates/basaltrail-core/src/election.rs
+++ b/crates/basaltrail-core/src/election.rs
@@ -1,12 +1,13 @@
-//! Leader election: one key held under a lease of the state service, and one growing token.
+//! Leader election: the leader key of the store, which is attached to a lease, and a fencing token
+//! that grows with each term.
 //!
-//! A controller holds a valid lease from the moment at which its last successful keep-alive was
-//! *sent*, for the lease's time to live less clock drift; the service ends a lease late but never
-//! early, so no two controllers hold a valid one at once (PROTOCOL, `POST /grants`). Nothing that
-//! peers say counts here.
+//! The validity of a leader lease counts from the time at which its last successful keep-alive was
+//! *sent* and lasts for the time to live less clock drift. The store may end a lease late but never
+//! early, so at most one controller holds a valid lease at any time (PROTOCOL, `POST /grants`).
+//! Messages from peers have no influence on the election.
 //!
-//! The election is a state machine without I/O: [`Election::requests`] returns what to ask the
-//! state service now, [`Election::reply`] takes the answers.
+//! The election is a state machine without I/O: [`Election::due_requests`] returns the requests to
+//! send to the store now, and [`Election::handle_reply`] applies the replies.
 
 use crate::io::{KeyValue, Precondition, PutRequest, StoreReply, StoreRequest, WatchEvent};
 use crate::model::{FencingToken, LeaseId, Ms, Revision};
@@ -14,22 +15,23 @@
     decode, encode, LeaderRecord, CONTROL_PREFIX, LEADER_KEY, PRIMARY_ZONE_KEY, TERM_KEY,
 };
 
-/// Keys under the control prefix at the most: there are three.
+/// Page size of the list of the control prefix, which holds three keys.
 const CONTROL_KEYS: u32 = 10;
-/// Keep-alives in the time to live of a lease: several may be lost before it expires.
+/// Keep-alives per time to live of a lease, so that several may be lost before it expires. The
+/// timeout of a keep-alive equals the interval between two.
 const KEEP_ALIVES_PER_TTL: Ms = 5;
-/// Pauses after a failed request in the time to live of a lease.
-const PAUSES_PER_TTL: Ms = 20;
-/// Revocations of the lease of an earlier process in the time to live of a lease.
+/// Delays before the retry of a failed request, per time to live of a lease.
+const RETRY_DELAYS_PER_TTL: Ms = 20;
+/// Attempts to revoke the lease of an earlier process, per time to live of a lease.
 const REVOCATIONS_PER_TTL: Ms = 10;
-/// The time for which a watch waits, as a part of the time to live of a lease.
+/// Watches per time to live of a lease: each waits for this fraction of it.
 const WATCHES_PER_TTL: Ms = 2;
-/// The time for which a request waits for its answer, as a part of the time to live of a lease.
+/// Request timeouts per time to live of a lease.
 const TIMEOUTS_PER_TTL: Ms = 4;
-/// `next_campaign` while the jitter is to be drawn anew.
+/// Value of `next_campaign` until the jitter of the next campaign is added.
 const JITTER_NOT_DRAWN: Ms = Ms::MAX;
 
-/// Who holds the leader key.
+/// The leader key as it is stored.
 #[derive(Clone, Debug, PartialEq)]
 struct Holder {
     record: LeaderRecord,
@@ -37,15 +39,15 @@
     lease_id: Option<LeaseId>,
 }
 
-/// What was last read of the keys under the control prefix.
+/// The keys under the control prefix as they were last read.
 #[derive(Clone, Debug, Default)]
 struct View {
     holder: Option<Holder>,
-    /// The token of the last leader.
+    /// The fencing token of the last leader.
     term: FencingToken,
     term_mod_revision: Revision,
     primary_zone: Option<String>,
-    /// The store's revision up to which changes are known.
+    /// The store revision up to which changes are known.
     revision: Revision,
 }
 
@@ -55,87 +57,87 @@
     Leading(LeaderTerm),
 }
 
-/// What a leader holds.
+/// The term of a leader and its lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaderTerm {
-    /// The fencing token that it leads with.
+    /// The fencing token of the term.
     pub token: FencingToken,
-    /// The mod revision of its record under the leader key.
+    /// The mod revision of the leader key.
     pub mod_revision: Revision,
     lease_id: LeaseId,
-    /// The moment at which another controller may hold a valid lease.
+    /// The time from which another controller may hold a valid lease.
     lease_valid_until: Ms,
 }
 
-/// A lease that was granted for a campaign.
+/// A lease granted for a campaign.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct GrantedLease {
     lease_id: LeaseId,
-    /// When it was asked for; its time to live counts from there.
+    /// The time of the grant request, from which the time to live counts.
     requested_at: Ms,
 }
 
-/// What a request of the election is for; it comes back with the reply.
+/// The purpose of an election request, which is passed back with the reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ElectionCall {
     /// Reads the keys under the control prefix.
     List,
     /// Watches the keys under the control prefix.
     Watch,
-    /// Asks for a lease to campaign with.
+    /// Requests a lease for a campaign.
     GrantLease {
-        /// When the request was made.
-        sent: Ms,
+        /// The time at which the request was sent.
+        sent_at: Ms,
     },
-    /// Writes the leader key and the next token under the lease.
+    /// Writes the leader key, attached to the lease, and the next fencing token.
     Campaign {
         /// The lease.
         lease_id: LeaseId,
-        /// When the lease was asked for.
+        /// The time at which the lease was requested.
         lease_requested_at: Ms,
-        /// The token to lead with.
+        /// The fencing token of the new term.
         token: FencingToken,
     },
-    /// Extends the leader's lease.
+    /// Extends the leader lease.
     KeepAlive {
-        /// When the request was made.
-        sent: Ms,
+        /// The time at which the request was sent.
+        sent_at: Ms,
     },
-    /// Ends a lease that nobody leads with any more.
+    /// Revokes a lease with which no controller leads.
     RevokeLease {
         /// The lease.
         lease_id: LeaseId,
     },
 }
 
-/// A request of the election to the state service.
+/// A request of the election to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ElectionRequest {
-    /// What it is for.
+    /// The purpose of the request.
     pub call: ElectionCall,
     /// The request.
     pub request: StoreRequest,
-    /// Milliseconds after which its outcome counts as unknown.
+    /// Milliseconds after which the result counts as unknown.
     pub timeout_ms: Ms,
 }
 
-/// How a controller takes part in elections.
+/// The settings of a controller's election.
 #[derive(Clone, Debug)]
 pub struct ElectionSettings {
     /// The controller's name.
     pub controller: String,
     /// A number that grows with each process of the controller.
     pub incarnation: u64,
-    /// Whether it allocates admission quotas while it leads.
+    /// Whether the controller allocates admission quotas while it leads.
     pub allocates_quotas: bool,
-    /// Time to live of the leader's lease, in milliseconds.
+    /// Time to live of the leader lease, in milliseconds.
     pub lease_ttl_ms: Ms,
-    /// Milliseconds for which a lease is valid from the moment at which it was asked for: its time
-    /// to live less clock drift.
+    /// Milliseconds for which a lease is valid after the request that granted or extended it was
+    /// sent: the time to live less clock drift.
     pub lease_validity_ms: Ms,
 }
 
-/// Requests that are on their way.
+/// The kinds of requests that are in flight.
 #[derive(Clone, Copy, Debug, Default)]
 struct InFlight {
     list: bool,
@@ -145,36 +147,36 @@
     keep_alive: bool,
 }
 
-/// One controller's part in the election.
+/// The election as one controller sees it.
 pub struct Election {
     settings: ElectionSettings,
-    /// What was last read; `None` if it has to be read again.
+    /// The keys as last read; `None` if they must be listed again.
     view: Option<View>,
     role: Role,
     in_flight: InFlight,
-    /// A lease just granted, with which the campaign follows.
-    granted: Option<GrantedLease>,
-    /// No list or watch goes out before.
+    /// A granted lease whose campaign request is not sent yet.
+    granted_lease: Option<GrantedLease>,
+    /// The earliest time of the next list or watch.
     next_read: Ms,
-    /// No lease to campaign with is asked for before.
+    /// The earliest time of the next lease request for a campaign.
     next_campaign: Ms,
-    /// No lease of an earlier process is revoked before.
+    /// The earliest time of the next revocation of an earlier process's lease.
     next_revocation: Ms,
-    /// After resigning: no lease to campaign with is asked for before.
+    /// The end of the pause after a resignation, during which no campaign begins.
     resigned_until: Ms,
-    /// When the lease is extended next.
+    /// The earliest time of the next keep-alive.
     next_keep_alive: Ms,
 }
 
 impl Election {
-    /// A controller that has read nothing yet.
+    /// Creates the election of a follower that has read no keys yet.
     pub fn new(settings: ElectionSettings) -> Self {
         Election {
             settings,
             view: None,
             role: Role::Following,
             in_flight: InFlight::default(),
-            granted: None,
+            granted_lease: None,
             next_read: 0,
             next_campaign: 0,
             next_revocation: 0,
@@ -183,7 +185,7 @@
         }
     }
 
-    /// What this controller leads with, whether or not its lease is valid at the moment.
+    /// Returns the term that this controller leads, even if its lease is not valid now.
     pub fn leader_term(&self) -> Option<LeaderTerm> {
         match &self.role {
             Role::Leading(term) => Some(*term),
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Whether this controller may act as the leader now.
+    /// Returns whether this controller may act as the leader now.
     pub fn holds_valid_lease(&self, now: Ms) -> bool {
         self.leader_term().is_some_and(|term| now < term.lease_valid_until)
     }
@@ -200,52 +202,53 @@
         self.view.as_ref()?.holder.as_ref()
     }
 
-    /// The zone in which the next leader should be, as the last one recorded it.
+    /// Returns the preferred zone of the next leader, as recorded by the last one.
     pub fn primary_zone(&self) -> Option<&str> {
         self.view.as_ref()?.primary_zone.as_deref()
     }
 
-    /// The controller that is believed to lead; a hint.
+    /// Returns the controller that held the leader key when it was last read. It may lead no longer.
     pub fn leader_hint(&self) -> Option<&str> {
         self.holder().map(|holder| holder.record.controller.as_str())
     }
 
-    /// Whether the leader that was read last allocates admission quotas.
+    /// Returns whether the leader allocates admission quotas, as of the last read.
     pub fn leader_allocates_quotas(&self) -> Option<bool> {
         self.holder().map(|holder| holder.record.allocates_quotas)
     }
 
-    /// The last term that this controller knows of, and the revision at which it was read.
-    pub fn seen(&self) -> (FencingToken, Revision) {
+    /// Returns the fencing token of the last known term, and the store revision at which it was read.
+    pub fn last_term_and_revision(&self) -> (FencingToken, Revision) {
         let view = self.view.as_ref();
         view.map_or((FencingToken(0), Revision::NONE), |view| (view.term, view.revision))
     }
 
-    /// Leads no more; what the keys hold is read again.
+    /// Ends this controller's leadership, if any, and lists the keys again.
     pub fn step_down(&mut self, now: Ms) {
         self.role = Role::Following;
         self.view = None;
         self.next_read = now;
     }
 
-    /// Gives leadership up for `hold_ms`, so that another controller may take it. The lease is
-    /// revoked as that of an earlier process would be.
-    pub fn resign(&mut self, now: Ms, hold_ms: Ms) {
+    /// Gives up leadership and does not campaign for `pause_ms`, so that another controller can be
+    /// elected. The lease is then revoked like that of an earlier process.
+    pub fn resign(&mut self, now: Ms, pause_ms: Ms) {
         self.step_down(now);
-        self.resigned_until = now + hold_ms;
+        self.resigned_until = now + pause_ms;
     }
 
-    fn request(&self, call: ElectionCall, request: StoreRequest) -> ElectionRequest {
+    fn new_request(&self, call: ElectionCall, request: StoreRequest) -> ElectionRequest {
         let timeout_ms = self.settings.lease_ttl_ms / TIMEOUTS_PER_TTL;
         ElectionRequest { call, request, timeout_ms }
     }
 
-    fn pause_ms(&self) -> Ms {
-        self.settings.lease_ttl_ms / PAUSES_PER_TTL
+    fn retry_delay_ms(&self) -> Ms {
+        self.settings.lease_ttl_ms / RETRY_DELAYS_PER_TTL
     }
 
-    /// The requests to make now. `jitter_ms` keeps equal controllers from campaigning at once.
-    pub fn requests(&mut self, now: Ms, jitter_ms: Ms) -> Vec<ElectionRequest> {
+    /// Returns the requests to send now. `jitter_ms` delays a campaign, so that controllers do not
+    /// campaign at the same time.
+    pub fn due_requests(&mut self, now: Ms, jitter_ms: Ms) -> Vec<ElectionRequest> {
         let mut requests = Vec::new();
         requests.extend(self.read_request(now));
         requests.extend(match self.role {
@@ -255,7 +258,8 @@
         requests
     }
 
-    /// Lists the keys if nothing is known of them, and watches them otherwise.
+    /// Returns the list request if the keys must be listed, otherwise the watch request, unless it
+    /// is in flight.
     fn read_request(&mut self, now: Ms) -> Option<ElectionRequest> {
         if now < self.next_read {
             return None;
@@ -270,7 +274,7 @@
                 after: None,
                 limit: CONTROL_KEYS,
             };
-            return Some(self.request(ElectionCall::List, list));
+            return Some(self.new_request(ElectionCall::List, list));
         };
         if self.in_flight.watch {
             return None;
@@ -279,7 +283,7 @@
         let (prefix, after) = (CONTROL_PREFIX.into(), view.revision);
         let watch = StoreRequest::Watch { prefix, after, wait_ms };
         self.in_flight.watch = true;
-        let request = self.request(ElectionCall::Watch, watch);
+        let request = self.new_request(ElectionCall::Watch, watch);
         Some(ElectionRequest { timeout_ms: wait_ms + request.timeout_ms, ..request })
     }
 
@@ -289,19 +293,19 @@
         }
         self.in_flight.keep_alive = true;
         Some(ElectionRequest {
-            call: ElectionCall::KeepAlive { sent: now },
+            call: ElectionCall::KeepAlive { sent_at: now },
             request: StoreRequest::KeepAlive { lease_id },
             timeout_ms: self.settings.lease_ttl_ms / KEEP_ALIVES_PER_TTL,
         })
     }
 
-    /// Revokes the lease of an earlier process of this controller, or begins a campaign if nobody
-    /// leads.
+    /// Returns the request that revokes the lease of an earlier process of this controller, or the
+    /// one that begins a campaign if there is no leader.
     fn follower_request(&mut self, now: Ms, jitter_ms: Ms) -> Option<ElectionRequest> {
         let view = self.view.as_ref().filter(|_| !self.in_flight.campaign)?;
         match &view.holder {
-            // Our own name with a process that is gone (or a campaign whose outcome we never
-            // learnt): nobody acts under it, so its lease can end now.
+            // An earlier process of this controller, or a campaign whose result is unknown, holds
+            // the key. No process acts as that leader, so the lease can be revoked at once.
             Some(holder)
                 if holder.record.controller == self.settings.controller
                     && now >= self.next_revocation =>
@@ -310,7 +314,7 @@
                 self.in_flight.campaign = true;
                 self.next_revocation = now + self.settings.lease_ttl_ms / REVOCATIONS_PER_TTL;
                 let call = ElectionCall::RevokeLease { lease_id };
-                Some(self.request(call, StoreRequest::RevokeLease { lease_id }))
+                Some(self.new_request(call, StoreRequest::RevokeLease { lease_id }))
             }
             None if self.next_campaign == JITTER_NOT_DRAWN => {
                 self.next_campaign = now + jitter_ms;
@@ -319,14 +323,14 @@
             None if now >= self.next_campaign.max(self.resigned_until) => {
                 self.in_flight.campaign = true;
                 let grant = StoreRequest::GrantLease { ttl_ms: self.settings.lease_ttl_ms };
-                Some(self.request(ElectionCall::GrantLease { sent: now }, grant))
+                Some(self.new_request(ElectionCall::GrantLease { sent_at: now }, grant))
             }
             _ => None,
         }
     }
 
-    /// Takes what a key under the control prefix holds now; `None` if it was deleted.
-    fn learn(&mut self, key: &str, item: Option<&KeyValue>, now: Ms) {
+    /// Applies the present value of a key under the control prefix; `None` if it was deleted.
+    fn apply_key(&mut self, key: &str, item: Option<&KeyValue>, now: Ms) {
         let Some(view) = self.view.as_mut() else { return };
         if key == LEADER_KEY {
             view.holder = item.and_then(|item| {
@@ -353,48 +357,57 @@
         }
     }
 
-    /// Takes a reply; returns a lease that must be revoked, if there is one.
-    pub fn reply(&mut self, now: Ms, call: ElectionCall, reply: StoreReply) -> Option<LeaseId> {
+    /// Applies a reply. Returns a lease that the caller must revoke, if there is one.
+    pub fn handle_reply(
+        &mut self,
+        now: Ms,
+        call: ElectionCall,
+        reply: StoreReply,
+    ) -> Option<LeaseId> {
         match call {
-            ElectionCall::List => self.list_reply(now, reply),
-            ElectionCall::Watch => self.watch_reply(now, reply),
-            ElectionCall::GrantLease { sent } => return self.grant_reply(now, sent, reply),
+            ElectionCall::List => self.handle_list_reply(now, reply),
+            ElectionCall::Watch => self.handle_watch_reply(now, reply),
+            ElectionCall::GrantLease { sent_at } => {
+                return self.handle_grant_reply(now, sent_at, reply)
+            }
             ElectionCall::Campaign { lease_id, lease_requested_at, token } => {
                 let granted = GrantedLease { lease_id, requested_at: lease_requested_at };
-                return self.campaign_reply(now, granted, token, reply);
+                return self.handle_campaign_reply(now, granted, token, reply);
+            }
+            ElectionCall::KeepAlive { sent_at } => {
+                self.handle_keep_alive_reply(now, sent_at, reply)
             }
-            ElectionCall::KeepAlive { sent } => self.keep_alive_reply(now, sent, reply),
-            ElectionCall::RevokeLease { .. } => self.revoke_reply(now, reply),
+            ElectionCall::RevokeLease { .. } => self.handle_revoke_reply(now, reply),
         }
         None
     }
 
-    fn list_reply(&mut self, now: Ms, reply: StoreReply) {
+    fn handle_list_reply(&mut self, now: Ms, reply: StoreReply) {
         self.in_flight.list = false;
         let StoreReply::Page { items, revision, .. } = reply else {
-            self.next_read = now + self.pause_ms();
+            self.next_read = now + self.retry_delay_ms();
             return;
         };
         self.view = Some(View { revision, ..View::default() });
         self.next_campaign = JITTER_NOT_DRAWN;
         for item in &items {
-            self.learn(&item.key, Some(item), now);
+            self.apply_key(&item.key, Some(item), now);
         }
     }
 
-    fn watch_reply(&mut self, now: Ms, reply: StoreReply) {
+    fn handle_watch_reply(&mut self, now: Ms, reply: StoreReply) {
         self.in_flight.watch = false;
         let StoreReply::Events { revision, events } = reply else {
-            // A controller that is partitioned names no leader either: it would send workers to
-            // one that may be gone, again and again, until their leases expire.
+            // Also drops the leader hint: a partitioned controller would keep sending workers to a
+            // leader that may be gone, until their leases expire.
             self.view = None;
-            self.next_read = now + self.pause_ms();
+            self.next_read = now + self.retry_delay_ms();
             return;
         };
         for event in &events {
             match event {
-                WatchEvent::Put(item) => self.learn(&item.key, Some(item), now),
-                WatchEvent::Delete { key, .. } => self.learn(key, None, now),
+                WatchEvent::Put(item) => self.apply_key(&item.key, Some(item), now),
+                WatchEvent::Delete { key, .. } => self.apply_key(key, None, now),
             }
         }
         if let Some(view) = self.view.as_mut() {
@@ -402,24 +415,24 @@
         }
     }
 
-    fn grant_reply(&mut self, now: Ms, sent: Ms, reply: StoreReply) -> Option<LeaseId> {
+    fn handle_grant_reply(&mut self, now: Ms, sent_at: Ms, reply: StoreReply) -> Option<LeaseId> {
         self.in_flight.campaign = false;
         let StoreReply::LeaseGranted { lease_id } = reply else {
-            self.next_campaign = now + self.pause_ms();
+            self.next_campaign = now + self.retry_delay_ms();
             return None;
         };
-        // Somebody may have been elected since.
-        let nobody_leads = self.view.as_ref().is_some_and(|view| view.holder.is_none());
-        if !nobody_leads || self.leader_term().is_some() {
+        // Another controller may have been elected after the request was sent.
+        let has_no_leader = self.view.as_ref().is_some_and(|view| view.holder.is_none());
+        if !has_no_leader || self.leader_term().is_some() {
             return Some(lease_id);
         }
-        // The campaign follows at once; see `campaign_request`.
+        // The caller sends the campaign at once; see `campaign_request`.
         self.in_flight.campaign = true;
-        self.granted = Some(GrantedLease { lease_id, requested_at: sent });
+        self.granted_lease = Some(GrantedLease { lease_id, requested_at: sent_at });
         None
     }
 
-    fn campaign_reply(
+    fn handle_campaign_reply(
         &mut self,
         now: Ms,
         granted: GrantedLease,
@@ -428,10 +441,10 @@
     ) -> Option<LeaseId> {
         self.in_flight.campaign = false;
         let StoreReply::Committed { revision } = reply else {
-            // Refused, lost to another, or unknown: the lease is revoked, so a late put under it
-            // does nothing that lasts.
+            // The campaign was refused or lost, or its result is unknown. Revoking the lease also
+            // removes the leader key if the store executes the transaction late.
             self.view = None;
-            self.next_read = now + self.pause_ms();
+            self.next_read = now + self.retry_delay_ms();
             return Some(granted.lease_id);
         };
         self.role = Role::Leading(LeaderTerm {
@@ -444,12 +457,12 @@
         None
     }
 
-    fn keep_alive_reply(&mut self, now: Ms, sent: Ms, reply: StoreReply) {
+    fn handle_keep_alive_reply(&mut self, now: Ms, sent_at: Ms, reply: StoreReply) {
         self.in_flight.keep_alive = false;
         match reply {
             StoreReply::Ok => {
-                self.next_keep_alive = sent + self.settings.lease_ttl_ms / KEEP_ALIVES_PER_TTL;
-                let valid_until = sent + self.settings.lease_validity_ms;
+                self.next_keep_alive = sent_at + self.settings.lease_ttl_ms / KEEP_ALIVES_PER_TTL;
+                let valid_until = sent_at + self.settings.lease_validity_ms;
                 if let Role::Leading(term) = &mut self.role {
                     term.lease_valid_until = term.lease_valid_until.max(valid_until);
                 }
@@ -459,11 +472,11 @@
                     self.step_down(now);
                 }
             }
-            _ => self.next_keep_alive = now + self.pause_ms(),
+            _ => self.next_keep_alive = now + self.retry_delay_ms(),
         }
     }
 
-    fn revoke_reply(&mut self, now: Ms, reply: StoreReply) {
+    fn handle_revoke_reply(&mut self, now: Ms, reply: StoreReply) {
         self.in_flight.campaign = false;
         if matches!(reply, StoreReply::Ok | StoreReply::NotFound) {
             self.view = None;
@@ -471,9 +484,9 @@
         }
     }
 
-    /// The campaign that follows a granted lease, to be made at once.
+    /// Returns the campaign request for a lease that was just granted; the caller sends it at once.
     pub fn campaign_request(&mut self) -> Option<ElectionRequest> {
-        let GrantedLease { lease_id, requested_at } = self.granted.take()?;
+        let GrantedLease { lease_id, requested_at } = self.granted_lease.take()?;
         let view = self.view.as_ref()?;
         let token = FencingToken(view.term.0 + 1);
         let record = LeaderRecord {
@@ -495,6 +508,6 @@
             deletes: Vec::new(),
         };
         let call = ElectionCall::Campaign { lease_id, lease_requested_at: requested_at, token };
-        Some(self.request(call, transaction))
+        Some(self.new_request(call, transaction))
     }
 }
--- a/crates/basaltrail-core/src/lease_renewal.rs
+++ b/crates/basaltrail-core/src/lease_renewal.rs
@@ -1,12 +1,12 @@
-//! The one place that decides whether the answer to a heartbeat renews the worker's lease.
+//! Decides whether the answer to a heartbeat renews the worker lease; no other module does.
 //!
-//! A 200 keeps everything on the machine for one more lease (PROTOCOL, Leases), tasks of
-//! cancelled jobs included. So it goes out only with a [`RenewalPermit`]: each live task of the
-//! heartbeat is of a job that is known to be active by a read that is recent enough, or the same
-//! answer stops it. With `C` the moment at which a user was told of a cancellation, an answer at
-//! `t` without the stop rests on a read that was sent before `C` and at most
-//! [`Settings::max_job_cache_age_ms`] before `t`, so that the lease it gives has expired by
-//! `C + cancel_s`. That holds for each answer alone, whatever leaders came before.
+//! A 200 response renews the lease of all tasks on the machine (PROTOCOL, Leases), including tasks
+//! of cancelled jobs. It therefore requires a [`RenewalPermit`]: for each live task of the
+//! heartbeat, either a recent enough read shows that the job is active, or the answer stops the
+//! task. Let `C` be the time at which a user received the confirmation of a cancellation. An answer
+//! at time `t` that does not stop the job's tasks relies on a read that was sent before `C` and at
+//! most [`Settings::max_job_cache_age_ms`] before `t`, so the renewed lease expires no later than
+//! `C + cancel_s`. This holds for each answer by itself, regardless of earlier leaders.
 
 use crate::answer::{Answer, UnavailableReason};
 use crate::jobs::JobCache;
@@ -16,50 +16,51 @@
 use crate::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Commands of one answer, the stops that it needs counted first, to stay under PROTOCOL's limit
-/// of a line.
+/// The maximum number of commands in one answer, required stops included, which keeps the answer
+/// under PROTOCOL's limit for a line. Required stops alone may exceed it, up to [`MAX_STOPS`].
 const MAX_COMMANDS: usize = 200;
-/// Stops that an answer can carry; with more the lease has to expire.
+/// The maximum number of required stops in one answer. With more, the lease is not renewed and
+/// expires.
 const MAX_STOPS: usize = 600;
-/// Seconds after which a refused worker may ask again.
+/// Seconds after which a refused worker may send its next heartbeat.
 const RETRY_AFTER_S: u32 = 1;
 
-/// What a controller knows about the job of a task that a worker reports.
+/// The state of a reported task's job, as far as the controller knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KnownJobState {
-    /// Its record was there when the jobs were last read.
+    /// The last read of the jobs found an active record.
     Active,
-    /// It is done or cancelled: no task of it may go on.
+    /// The job is done or cancelled, and its tasks must stop.
     Ended,
-    /// Neither is known: it may have ended long ago.
+    /// No record is known; the job may be active or have ended.
     Unknown,
 }
 
-/// Why the answer to a heartbeat does not renew the lease.
+/// The reason why the answer to a heartbeat does not renew the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RenewalRefusal {
-    /// This controller does not hold a valid leader lease.
+    /// This controller holds no valid leader lease.
     NoValidLease,
-    /// The worker has seen a higher token and would drop the answer.
+    /// The worker has seen a higher fencing token and would ignore the answer.
     HigherToken,
-    /// The jobs were read too long ago, or never.
+    /// The last read of the jobs is too old, or there was none.
     JobsNotRead,
-    /// A reported task is of a job of which nothing is known yet.
+    /// A reported task belongs to a job whose state is unknown.
     JobUnknown,
-    /// More tasks have to be stopped than one answer can say.
+    /// The answer would need more than [`MAX_STOPS`] stops.
     TooManyStops,
-    /// The machine has been answered several times and still does not show our token.
+    /// The worker still reports an older fencing token after several answers.
     TokenNotAdopted,
     /// The machine has been returned to the cloud.
     MachineReturned,
-    /// A newer heartbeat of the machine was taken already.
+    /// A newer heartbeat of the machine was already applied.
     StaleHeartbeat,
-    /// The leader still loads and keeps account of as many machines as it can.
+    /// The leader is still loading and already tracks the maximum number of machines.
     Loading,
 }
 
 impl RenewalRefusal {
-    /// Its name in logs and in the body of the answer.
+    /// Returns the name used in logs and in the body of the answer.
     pub fn name(self) -> &'static str {
         match self {
             RenewalRefusal::NoValidLease => "not_entitled",
@@ -74,8 +75,8 @@
         }
     }
 
-    /// The answer that a worker gets: 421 where another controller may act, 503 otherwise.
-    /// `leader` is the controller that is believed to lead.
+    /// Returns the answer to the worker: 421 if another controller may hold the leader lease, 503
+    /// otherwise. `leader` is the presumed leader.
     pub fn answer(self, leader: Option<String>) -> Answer {
         match self {
             RenewalRefusal::NoValidLease => Answer::NotLeader { leader },
@@ -88,29 +89,29 @@
     }
 }
 
-/// What a controller may rely on at the moment at which it answers a heartbeat.
+/// The facts on which a controller bases the answer to a heartbeat.
 #[derive(Clone, Copy)]
 pub struct RenewalEvidence<'a> {
-    /// Limits and times.
+    /// The settings.
     pub cfg: &'a Settings,
-    /// What is known about jobs.
+    /// The known jobs.
     pub job_cache: &'a JobCache,
-    /// The present moment on the steady clock, in milliseconds.
+    /// The current time of the monotonic clock, in milliseconds.
     pub now: Ms,
-    /// Since when this controller has held a valid leader lease without a break; `None` without
-    /// one.
+    /// The time since which this controller has continuously held a valid leader lease; `None` if
+    /// it holds none.
     pub lease_held_since: Option<Ms>,
-    /// When the request was sent by whose answer jobs are known.
+    /// The send time of the request whose reply last updated the known jobs.
     pub jobs_as_of: Option<Ms>,
 }
 
 impl RenewalEvidence<'_> {
-    /// Whether this controller may renew any lease at all.
+    /// Checks whether this controller may renew worker leases at all.
     ///
     /// # Errors
     ///
     /// [`RenewalRefusal::NoValidLease`] and [`RenewalRefusal::JobsNotRead`].
-    pub fn may_renew(&self) -> Result<(), RenewalRefusal> {
+    pub fn check_eligibility(&self) -> Result<(), RenewalRefusal> {
         if self.lease_held_since.is_none() {
             return Err(RenewalRefusal::NoValidLease);
         }
@@ -121,10 +122,11 @@
         }
     }
 
-    /// What is known about a job of which a worker reports a task.
+    /// Returns the known state of a reported task's job.
     ///
-    /// A job without a record has ended once the jobs were read within our lease: whoever
-    /// started the task held the record then, and a record is only ever replaced by an outcome.
+    /// If the jobs were read since this controller acquired the leader lease, a job without a
+    /// record has ended: the leader that started the task had read the record, and only an outcome
+    /// replaces a record.
     pub fn job_state(&self, job: JobId) -> KnownJobState {
         if self.job_cache.outcome(job).is_some() {
             return KnownJobState::Ended;
@@ -138,14 +140,14 @@
         }
     }
 
-    /// The permit to renew the lease of the worker that sent this heartbeat.
+    /// Returns the permit to renew the lease of the worker that sent the heartbeat.
     ///
     /// # Errors
     ///
-    /// Any refusal of [`RenewalEvidence::may_renew`], [`RenewalRefusal::JobUnknown`] and
+    /// The errors of [`RenewalEvidence::check_eligibility`], [`RenewalRefusal::JobUnknown`] and
     /// [`RenewalRefusal::TooManyStops`].
     pub fn permit(&self, heartbeat: &Heartbeat) -> Result<RenewalPermit, RenewalRefusal> {
-        self.may_renew()?;
+        self.check_eligibility()?;
         let mut stops = Vec::new();
         for task in live_tasks(heartbeat) {
             match self.job_state(task.task.job) {
@@ -160,35 +162,35 @@
         Ok(RenewalPermit { stops })
     }
 
-    /// Jobs of the heartbeat's live tasks of which nothing is known: they have to be read.
+    /// Returns the jobs of the heartbeat's live tasks whose state is unknown and must be read.
     pub fn unknown_jobs(&self, heartbeat: &Heartbeat) -> BTreeSet<JobId> {
         let unknown = |job: &JobId| self.job_state(*job) == KnownJobState::Unknown;
         live_tasks(heartbeat).map(|task| task.task.job).filter(unknown).collect()
     }
 
-    /// The live tasks that an answer keeps on their machine without evidence. Empty for every
-    /// answer that was made with a permit: this is judged anew, by the answer alone, so that any
-    /// other way to an answer is found.
+    /// Returns the live tasks that an answer neither stops nor has evidence to keep running. It
+    /// examines only the answer, so it also finds answers built without a permit; for an answer
+    /// built with one, the result is empty.
     pub fn kept_without_evidence(&self, heartbeat: &Heartbeat, answer: &Answer) -> Vec<TaskId> {
         let Answer::Commands { commands, .. } = answer else { return Vec::new() };
-        let stopped = |task: &TaskStatus| {
+        let is_stopped = |status: &TaskStatus| {
             commands.iter().any(|command| {
-                matches!(command, TaskCommand::Stop { task: t, attempt, grace_s }
-                    if (*t, *attempt) == (task.task, task.attempt) && *grace_s <= 0.0)
+                matches!(command, TaskCommand::Stop { task, attempt, grace_s }
+                    if (*task, *attempt) == (status.task, status.attempt) && *grace_s <= 0.0)
             })
         };
-        let allowed = self.may_renew().is_ok();
+        let is_eligible = self.check_eligibility().is_ok();
         live_tasks(heartbeat)
-            .filter(|task| {
-                let active = allowed && self.job_cache.active.contains_key(&task.task.job);
-                !active && !stopped(task)
+            .filter(|status| {
+                let is_active = is_eligible && self.job_cache.active.contains_key(&status.task.job);
+                !is_active && !is_stopped(status)
             })
-            .map(|task| task.task)
+            .map(|status| status.task)
             .collect()
     }
 }
 
-/// The permit to renew a worker's lease, with the stops that the answer has to carry.
+/// A permit to renew a worker lease, with the stops that the answer must include.
 #[must_use]
 #[derive(Debug, PartialEq, Eq)]
 pub struct RenewalPermit {
@@ -196,45 +198,45 @@
 }
 
 impl RenewalPermit {
-    /// How many commands the answer has room for beside the stops.
+    /// Returns the number of further commands that fit into the answer.
     pub fn command_limit(&self) -> usize {
         MAX_COMMANDS.saturating_sub(self.stops.len())
     }
 
-    /// The answer: the leader's own commands, [`RenewalPermit::command_limit`] at most, and before
-    /// them the stops that are not among these.
+    /// Builds the answer: the required stops that `commands` lacks, then `commands`, of which there
+    /// are at most [`RenewalPermit::command_limit`].
     pub fn answer(self, token: FencingToken, commands: Vec<TaskCommand>) -> Answer {
         let stop = |&(task, attempt)| TaskCommand::Stop { task, attempt, grace_s: 0.0 };
-        // With some grace it would let a task of an ended job save first.
-        let graceful = |command: &&TaskCommand| {
+        // A stop with a grace period would let a task of an ended job save first.
+        let is_graceful = |command: &&TaskCommand| {
             matches!(command, TaskCommand::Stop { task, attempt, grace_s }
                 if *grace_s > 0.0 && self.stops.contains(&(*task, *attempt)))
         };
-        let missing = self.stops.iter().map(stop).filter(|stop| !commands.contains(stop));
-        let own = commands.iter().filter(|command| !graceful(command)).copied();
-        Answer::Commands { token, commands: missing.chain(own).collect() }
+        let missing_stops = self.stops.iter().map(stop).filter(|stop| !commands.contains(stop));
+        let kept_commands = commands.iter().filter(|command| !is_graceful(command)).copied();
+        Answer::Commands { token, commands: missing_stops.chain(kept_commands).collect() }
     }
 }
 
-/// The tasks of a heartbeat that have not exited.
+/// Returns the tasks of a heartbeat that have not exited.
 fn live_tasks(heartbeat: &Heartbeat) -> impl Iterator<Item = &TaskStatus> {
     heartbeat.tasks.iter().filter(|task| !matches!(task.state, TaskState::Exited(_)))
 }
 
-/// How heartbeats were answered, for logs.
+/// Counters of the answers to heartbeats, for logs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerCounters {
-    /// Answers that renewed a lease.
+    /// Number of answers that renewed a lease.
     pub renewed: u64,
-    /// Starts that these carried.
+    /// Number of starts in these answers.
     pub starts: u64,
-    /// Stops that these carried.
+    /// Number of stops in these answers.
     pub stops: u64,
-    /// Commands to forget an exited task that these carried.
+    /// Number of commands to forget an exited task in these answers.
     pub forgets: u64,
-    /// Refusals by reason.
+    /// Number of refusals by reason.
     pub refused: BTreeMap<RenewalRefusal, u64>,
-    /// Answers that kept a task without evidence: always 0.
+    /// Number of tasks that an answer kept without evidence; 0 unless there is a fault.
     pub violations: u64,
 }
 
--- a/crates/basaltrail-core/src/lease_renewal_tests.rs
+++ b/crates/basaltrail-core/src/lease_renewal_tests.rs
@@ -33,8 +33,9 @@
     }
 }
 
-/// The answer to a heartbeat at 40 s by a controller whose leader lease is valid since 30 s.
-fn decide(
+/// Returns the commands of the answer to a heartbeat at 40 s, by a controller that has held a valid
+/// leader lease since 30 s.
+fn answer_commands(
     jobs_as_of: Option<Ms>,
     tasks: Vec<TaskStatus>,
 ) -> Result<Vec<TaskCommand>, RenewalRefusal> {
@@ -57,37 +58,40 @@
 }
 
 #[test]
-fn an_answer_stops_what_has_ended_and_keeps_what_is_active() {
+fn answer_stops_tasks_of_ended_jobs_and_keeps_tasks_of_active_jobs() {
     let tasks = vec![running(ACTIVE, 0), running(CANCELLED, 1)];
-    assert_eq!(decide(Some(39_000), tasks), Ok(vec![stop(CANCELLED, 1)]));
+    assert_eq!(answer_commands(Some(39_000), tasks), Ok(vec![stop(CANCELLED, 1)]));
 }
 
-/// Nobody starts a task without the job's record: one that is gone within our lease has ended.
-/// Before that it may be younger than what was read.
+/// A leader starts a task only after it has read the job's record. If that record is missing in a
+/// read within the leader lease, the job has ended. An earlier read may predate the job.
 #[test]
-fn a_job_without_a_record_has_ended_only_by_a_read_within_the_lease() {
-    assert_eq!(decide(Some(30_000), vec![running(ABSENT, 0)]), Ok(vec![stop(ABSENT, 0)]));
-    assert_eq!(decide(Some(29_999), vec![running(ABSENT, 0)]), Err(RenewalRefusal::JobUnknown));
-    assert_eq!(decide(Some(29_999), vec![running(ACTIVE, 0)]), Ok(vec![]));
+fn job_without_a_record_counts_as_ended_only_after_a_read_within_the_leader_lease() {
+    assert_eq!(answer_commands(Some(30_000), vec![running(ABSENT, 0)]), Ok(vec![stop(ABSENT, 0)]));
+    assert_eq!(
+        answer_commands(Some(29_999), vec![running(ABSENT, 0)]),
+        Err(RenewalRefusal::JobUnknown)
+    );
+    assert_eq!(answer_commands(Some(29_999), vec![running(ACTIVE, 0)]), Ok(vec![]));
 }
 
 #[test]
-fn a_job_cache_older_than_cancel_s_less_a_lease_renews_nobody() {
+fn job_cache_older_than_cancel_s_minus_a_lease_renews_no_lease() {
     let max_age_ms = settings().max_job_cache_age_ms();
-    let at = |as_of| decide(as_of, vec![running(ACTIVE, 0)]);
-    assert_eq!(at(Some(40_000 - max_age_ms)), Ok(vec![]));
-    assert_eq!(at(Some(40_000 - max_age_ms - 1)), Err(RenewalRefusal::JobsNotRead));
-    assert_eq!(at(None), Err(RenewalRefusal::JobsNotRead));
+    let answer_as_of = |as_of| answer_commands(as_of, vec![running(ACTIVE, 0)]);
+    assert_eq!(answer_as_of(Some(40_000 - max_age_ms)), Ok(vec![]));
+    assert_eq!(answer_as_of(Some(40_000 - max_age_ms - 1)), Err(RenewalRefusal::JobsNotRead));
+    assert_eq!(answer_as_of(None), Err(RenewalRefusal::JobsNotRead));
 }
 
 #[test]
-fn exited_tasks_are_not_kept_by_an_answer() {
+fn exited_task_of_an_unknown_job_does_not_prevent_renewal() {
     let exited = TaskStatus { state: TaskState::Exited(ExitReason::Done), ..running(ABSENT, 0) };
-    assert_eq!(decide(Some(29_999), vec![exited]), Ok(vec![]));
+    assert_eq!(answer_commands(Some(29_999), vec![exited]), Ok(vec![]));
 }
 
 #[test]
-fn each_stop_is_sent_once_without_grace_and_within_the_limit() {
+fn each_required_stop_is_sent_once_without_grace_and_within_the_limit() {
     let (cfg, job_cache) = (settings(), job_cache());
     let (lease_held_since, jobs_as_of) = (Some(0), Some(100));
     let evidence = RenewalEvidence {
@@ -99,24 +103,26 @@
     };
     let permit = || evidence.permit(&heartbeat(vec![running(CANCELLED, 0)])).unwrap();
     assert_eq!(permit().command_limit(), MAX_COMMANDS - 1);
-    let own = TaskCommand::Forget { task: TaskId { job: ACTIVE, index: 9 }, attempt: Attempt(1) };
+    let forget =
+        TaskCommand::Forget { task: TaskId { job: ACTIVE, index: 9 }, attempt: Attempt(1) };
     let answer = |commands| match permit().answer(FencingToken(1), commands) {
         Answer::Commands { commands, .. } => commands,
         other => panic!("{other:?}"),
     };
-    assert_eq!(answer(vec![own]), vec![stop(CANCELLED, 0), own]);
-    assert_eq!(answer(vec![own, stop(CANCELLED, 0)]), vec![own, stop(CANCELLED, 0)]);
+    assert_eq!(answer(vec![forget]), vec![stop(CANCELLED, 0), forget]);
+    assert_eq!(answer(vec![forget, stop(CANCELLED, 0)]), vec![forget, stop(CANCELLED, 0)]);
     let task = TaskId { job: CANCELLED, index: 0 };
     let graceful = TaskCommand::Stop { task, attempt: Attempt(7), grace_s: 5.0 };
-    assert_eq!(answer(vec![own, graceful]), vec![stop(CANCELLED, 0), own]);
-    let many = |n| evidence.permit(&heartbeat((0..n).map(|i| running(CANCELLED, i)).collect()));
-    assert_eq!(many(MAX_STOPS as u32).unwrap().command_limit(), 0);
-    assert_eq!(many(MAX_STOPS as u32 + 1), Err(RenewalRefusal::TooManyStops));
+    assert_eq!(answer(vec![forget, graceful]), vec![stop(CANCELLED, 0), forget]);
+    let permit_with_stops =
+        |n| evidence.permit(&heartbeat((0..n).map(|i| running(CANCELLED, i)).collect()));
+    assert_eq!(permit_with_stops(MAX_STOPS as u32).unwrap().command_limit(), 0);
+    assert_eq!(permit_with_stops(MAX_STOPS as u32 + 1), Err(RenewalRefusal::TooManyStops));
 }
 
-/// The check at run time finds an answer that was made in any other way.
+/// The check at run time finds an answer that was built without a permit.
 #[test]
-fn an_answer_without_the_stop_is_found() {
+fn check_finds_tasks_that_an_answer_keeps_without_evidence() {
     let (cfg, job_cache) = (settings(), job_cache());
     let (lease_held_since, jobs_as_of) = (Some(0), Some(100));
     let evidence = RenewalEvidence {
@@ -136,7 +142,7 @@
     let task = |job, index| TaskId { job, index };
     assert_eq!(kept(vec![]), vec![task(CANCELLED, 1), task(ABSENT, 2)]);
     assert_eq!(kept(vec![stop(CANCELLED, 1), stop(ABSENT, 2)]), Vec::new());
-    // A stop that lets the task save is none at once.
+    // A stop with a grace period does not count, as the task may save first.
     let graceful =
         TaskCommand::Stop { task: task(CANCELLED, 1), attempt: Attempt(7), grace_s: 5.0 };
     assert_eq!(kept(vec![graceful, stop(ABSENT, 2)]), vec![task(CANCELLED, 1)]);
