--- a/crates/basaltrail-core/src/controller/cloud_replies.rs
+++ b/crates/basaltrail-core/src/controller/cloud_replies.rs
@@ -8,7 +8,7 @@
 impl Controller {
     /// Takes a reply of the cloud, or that a call was given up.
     pub(super) fn cloud_replied(&mut self, call: CallId, reply: CloudReply) {
-        let Some(purpose) = self.calls.finish_cloud(call) else { return };
+        let Some(purpose) = self.calls.finish_cloud_call(call) else { return };
         match purpose {
             CloudPurpose::MachineTypes => self.machine_types_told(reply),
             CloudPurpose::Provision { token, requisition } => {
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -20,7 +20,7 @@
 impl Controller {
     /// Takes a reply of the store, or that a call was given up.
     pub(super) fn store_replied(&mut self, call: CallId, reply: StoreReply) {
-        let Some(purpose) = self.calls.finish_store(call) else { return };
+        let Some(purpose) = self.calls.finish_store_call(call) else { return };
         if !matches!(reply, StoreReply::Unknown | StoreReply::Refused) {
             self.store_reachable_at = self.now;
         }
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -55,7 +55,8 @@
             assert!(p.value.len() <= ctx.cfg.value_bytes, "{} holds {}", p.key, p.value.len());
             self.segments.insert(p.key, p.value);
         }
-        let Some(StorePurpose::LeaderTransaction { pending, .. }) = calls.finish_store(op) else {
+        let Some(StorePurpose::LeaderTransaction { pending, .. }) = calls.finish_store_call(op)
+        else {
             panic!("no transaction")
         };
         leader.transaction_reply(ctx, *pending, StoreReply::Committed { revision: self.revision });
--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the store and the cloud that wait for a reply, and the rates at which they go out.
+//! Calls to the store and the cloud that await a reply, and the limits on their rates.
 
 use crate::answer::Answer;
 use crate::controller::request_queue::{ClientRequest, JobConfirmation, NewJob};
@@ -13,17 +13,18 @@
 use basaltrail_admission::QuotaWrite;
 use std::collections::HashMap;
 
-/// The key ranges that are listed one after the other before the watch of the jobs begins.
+/// A key range that is listed before the watch of the jobs begins. The ranges are listed in
+/// sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListPart {
     /// Active jobs.
     Jobs,
-    /// Admission quotas, and the processes that they are for.
+    /// Admission quotas and the controller records.
     Admission,
 }
 
 impl ListPart {
-    /// The prefix of the keys of the range.
+    /// Returns the key prefix of the range.
     pub fn prefix(self) -> &'static str {
         match self {
             ListPart::Jobs => ACTIVE_JOBS_PREFIX,
@@ -32,30 +33,30 @@
     }
 }
 
-/// What a call to the store was made for. Where it carries a fencing token, its reply counts only
-/// for the leader of that term.
+/// The purpose of a call to the store. If it has a fencing token, the reply is applied only by the
+/// leader of that term.
 pub enum StorePurpose {
-    /// A call of the election.
+    /// Sends a request of the election.
     Election(ElectionCall),
-    /// A page of the list of the jobs or of admission records.
+    /// Reads a page of the list of the jobs or of admission records.
     ListJobs {
         /// The key range.
         part: ListPart,
-        /// The last key of the page before.
+        /// The last key of the previous page.
         after: Option<String>,
-        /// When the first page of the list was asked for.
+        /// The time at which the first page of the list was requested.
         sent: Ms,
     },
-    /// A watch of the jobs.
+    /// Watches the jobs.
     WatchJobs {
-        /// When it was sent.
+        /// The time at which the watch was sent.
         sent: Ms,
-        /// Which of the two watches.
+        /// The kind of the watch.
         kind: WatchKind,
     },
-    /// Accepts submissions, all in one transaction.
+    /// Accepts submissions in one transaction.
     AcceptJobs(Vec<NewJob>),
-    /// Confirms that what the job cache holds is still so.
+    /// Confirms that cached active records are unchanged.
     ConfirmJobs(Vec<JobConfirmation>),
     /// Reads the active record of a job.
     ReadActiveJob {
@@ -71,7 +72,7 @@
         /// Requests that wait for it.
         requests: Vec<ClientRequest>,
     },
-    /// Replaces the active record of a job by the outcome "cancelled".
+    /// Replaces the active record of a job with the outcome "cancelled".
     CancelJob {
         /// The job.
         job: JobId,
@@ -82,26 +83,26 @@
     ReadMachineTypes,
     /// Stores the machine types.
     WriteMachineTypes,
-    /// Reads what the previous leader left.
+    /// Reads the stored state of the previous leader.
     LoadLeaderState {
         /// The term.
         token: FencingToken,
     },
-    /// A transaction of the leader's writer.
+    /// Commits a transaction of the leader's writer.
     LeaderTransaction {
         /// The term.
         token: FencingToken,
-        /// What it writes.
+        /// The changes of the transaction.
         pending: Box<PendingTransaction>,
     },
-    /// Reads the mod revision of one of the leader's keys.
+    /// Reads the mod revision of a key of the leader.
     RefreshRevision {
         /// The term.
         token: FencingToken,
         /// The key.
         key: String,
     },
-    /// Writes the record of this controller's process.
+    /// Writes the controller record of this process.
     AnnounceController,
     /// Writes admission quotas.
     WriteQuotas {
@@ -112,56 +113,59 @@
     },
 }
 
-/// What a call to the cloud was made for. Where it carries a fencing token, its reply counts only
-/// for the leader of that term.
+/// The purpose of a call to the cloud. If it has a fencing token, the reply is applied only by the
+/// leader of that term.
 pub enum CloudPurpose {
-    /// Asks for the machine types.
+    /// Reads the machine types.
     MachineTypes,
-    /// Rents machines.
+    /// Provisions machines.
     Provision {
         /// The term.
         token: FencingToken,
-        /// The name under which the request may be repeated.
+        /// The name of the request, under which it can be repeated without provisioning more
+        /// machines.
         requisition: String,
     },
-    /// Returns machines.
+    /// Terminates machines.
     Terminate {
         /// The term.
         token: FencingToken,
         /// The machines.
         machines: Vec<MachineId>,
     },
-    /// Lists the machines that are rented.
+    /// Lists the provisioned machines.
     List {
         /// The term.
         token: FencingToken,
     },
 }
 
-/// Calls that wait for a reply, the rate limiters they go through, and the effects of this step.
+/// Calls that await a reply, their rate limiters, and the effects of the current step.
 #[derive(Default)]
 pub struct Calls {
     store_calls: HashMap<CallId, StorePurpose>,
     cloud_calls: HashMap<CallId, CloudPurpose>,
     last_id: u64,
-    /// Calls to the store.
+    /// Limits calls to the store.
     pub store_rate: TokenBucket,
-    /// Changes at the store, beside the calls that carry them.
+    /// Limits changes to the store; the calls that contain them count separately.
     pub write_rate: TokenBucket,
-    /// Calls to the cloud.
+    /// Limits calls to the cloud.
     pub cloud_rate: TokenBucket,
-    /// What the present step asks the program to do, in order.
+    /// Effects of the current step, in the order in which the program executes them.
     pub effects: Vec<Effect>,
 }
 
 impl Calls {
-    /// What a call to the store was made for, once it is replied to; none if it was already.
-    pub fn finish_store(&mut self, call: CallId) -> Option<StorePurpose> {
+    /// Removes a call to the store that was replied to, and returns its purpose; `None` if it was
+    /// already removed.
+    pub fn finish_store_call(&mut self, call: CallId) -> Option<StorePurpose> {
         self.store_calls.remove(&call)
     }
 
-    /// What a call to the cloud was made for, once it is replied to; none if it was already.
-    pub fn finish_cloud(&mut self, call: CallId) -> Option<CloudPurpose> {
+    /// Removes a call to the cloud that was replied to, and returns its purpose; `None` if it was
+    /// already removed.
+    pub fn finish_cloud_call(&mut self, call: CallId) -> Option<CloudPurpose> {
         self.cloud_calls.remove(&call)
     }
 
@@ -170,27 +174,27 @@
         CallId(self.last_id)
     }
 
-    /// Sends a call to the store. The rate limiters are asked by the caller, before.
+    /// Sends a call to the store. The caller must check the rate limiters first.
     pub fn send_to_store(&mut self, purpose: StorePurpose, call: StoreRequest, timeout_ms: Ms) {
         let op = self.next_id();
         self.store_calls.insert(op, purpose);
         self.effects.push(Effect::Store { op, call, timeout_ms });
     }
 
-    /// Sends a call to the cloud. The rate limiter is asked by the caller, before.
+    /// Sends a call to the cloud. The caller must check the rate limiter first.
     pub fn send_to_cloud(&mut self, purpose: CloudPurpose, call: CloudRequest, timeout_ms: Ms) {
         let op = self.next_id();
         self.cloud_calls.insert(op, purpose);
         self.effects.push(Effect::Cloud { op, call, timeout_ms });
     }
 
-    /// Whether one call to the store may go out now; it counts from here on.
+    /// Acquires one call to the store and returns whether it may be sent now.
     pub fn try_acquire(&mut self, now: Ms, priority: CallPriority) -> bool {
         self.store_rate.try_acquire(now, 1.0, priority)
     }
 
-    /// Whether one call to the store that makes so many changes may go out now. The changes are
-    /// counted first, and stay counted if the call itself has to wait.
+    /// Acquires one call to the store with `changes` changes and returns whether it may be sent
+    /// now. The changes are acquired first, and stay acquired if the call itself is not admitted.
     pub fn try_acquire_write(&mut self, now: Ms, changes: usize, priority: CallPriority) -> bool {
         self.write_rate.try_acquire(now, changes as f64, priority)
             && self.try_acquire(now, priority)
--- a/crates/basaltrail-core/src/store/mod.rs
+++ b/crates/basaltrail-core/src/store/mod.rs
@@ -1,4 +1,5 @@
-//! The consensus-backed key-value store as this crate uses it: records, calls in flight, rates.
+//! Use of the key-value store: records and keys, calls in flight, and rate limits. The calls and
+//! rate limits cover the cloud, too.
 
 pub mod calls;
 pub mod pending_transaction;
