--- a/crates/basaltrail-core/src/resources.rs
+++ b/crates/basaltrail-core/src/resources.rs
@@ -1,27 +1,27 @@
-//! Amounts of CPUs, GPUs and memory, and arithmetic on them.
+//! Amounts of CPUs, GPUs and memory, with arithmetic.
 
 use crate::model::{fits, JobSpec, MachineType};
 use std::ops::{Add, AddAssign, Mul, Sub, SubAssign};
 
-/// An amount of each resource. Amounts may be infinite: a task whose job is not known takes all
-/// of its machine.
+/// An amount of each resource. Amounts may be infinite: a task of an unknown job occupies its whole
+/// machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// Virtual CPUs.
+    /// Number of virtual CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory, in gigabytes.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// What one task of a job takes.
+    /// Returns the demand of one task of a job.
     pub fn of_task(job: &JobSpec) -> Self {
         Resources { cpus: job.cpus, gpus: job.gpus, memory_gb: job.memory_gb }
     }
 
-    /// What an empty machine of a type has.
+    /// Returns the capacity of a machine type.
     pub fn of_machine_type(machine_type: &MachineType) -> Self {
         Resources {
             cpus: machine_type.cpus,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// How often `demand` fits into this amount, with room for rounding.
+    /// Returns how many times `demand` fits into this amount, with a tolerance for rounding.
     pub fn fits(&self, demand: &Resources) -> u32 {
         fits(self.cpus, demand.cpus)
             .min(fits(self.memory_gb, demand.memory_gb))
@@ -39,7 +39,7 @@
 }
 
 impl MachineType {
-    /// How many tasks of a job an empty machine of this type holds.
+    /// Returns the number of tasks of a job that fit on an empty machine of this type.
     pub fn holds(&self, job: &JobSpec) -> u32 {
         Resources::of_machine_type(self).fits(&Resources::of_task(job))
     }
@@ -84,11 +84,11 @@
 impl Mul<f64> for Resources {
     type Output = Resources;
 
-    fn mul(self, times: f64) -> Resources {
+    fn mul(self, factor: f64) -> Resources {
         Resources {
-            cpus: self.cpus * times,
-            gpus: self.gpus * times,
-            memory_gb: self.memory_gb * times,
+            cpus: self.cpus * factor,
+            gpus: self.gpus * factor,
+            memory_gb: self.memory_gb * factor,
         }
     }
 }
--- a/crates/basaltrail-core/src/resources_tests.rs
+++ b/crates/basaltrail-core/src/resources_tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn the_scarcest_resource_decides_how_often_a_demand_fits() {
+fn scarcest_resource_determines_how_many_times_a_demand_fits() {
     let machine = amount(8.0, 1.0, 64.0);
     assert_eq!(machine.fits(&amount(2.0, 0.0, 8.0)), 4);
     assert_eq!(machine.fits(&amount(2.0, 0.0, 30.0)), 2);
@@ -14,12 +14,12 @@
 }
 
 #[test]
-fn arithmetic_is_by_resource() {
+fn arithmetic_applies_to_each_resource() {
     let mut free = amount(8.0, 1.0, 64.0);
     free -= amount(2.0, 0.0, 8.0) * 3.0;
     assert_eq!(free, amount(2.0, 1.0, 40.0));
     free += amount(1.0, 0.0, 4.0);
     assert_eq!(free, amount(3.0, 1.0, 44.0));
-    // A task of a job that is not known: nothing fits beside it.
+    // A task of an unknown job has an infinite demand, so that nothing else fits.
     assert_eq!((free - amount(f64::INFINITY, 0.0, 0.0)).fits(&amount(1.0, 0.0, 1.0)), 0);
 }
