--- a/crates/basaltrail-core/src/controller/job_watching.rs
+++ b/crates/basaltrail-core/src/controller/job_watching.rs
@@ -9,7 +9,7 @@
 use crate::store::calls::{ListPart, StorePurpose};
 use crate::store::rate_limiter::CallPriority;
 use crate::store::records::{
-    active_job_key, decode, parse_job, JobRecord, ACTIVE_JOBS_PREFIX, ADMISSION_PREFIX,
+    active_job_key, decode, parse_job_id, JobRecord, ACTIVE_JOBS_PREFIX, ADMISSION_PREFIX,
     JOBS_PREFIX, OUTCOMES_PREFIX,
 };
 use std::collections::BTreeSet;
@@ -161,7 +161,7 @@
         match event {
             WatchEvent::Put(item) => self.apply_record(item, true),
             WatchEvent::Delete { key, mod_revision } => {
-                if let Some(job) = key.strip_prefix(ACTIVE_JOBS_PREFIX).and_then(parse_job) {
+                if let Some(job) = key.strip_prefix(ACTIVE_JOBS_PREFIX).and_then(parse_job_id) {
                     self.job_cache.remove_active(job, *mod_revision);
                 }
             }
@@ -175,12 +175,12 @@
 
     /// Takes a record; `in_order` says whether every change before it is known.
     fn apply_record(&mut self, item: &KeyValue, in_order: bool) {
-        if let Some(job) = item.key.strip_prefix(ACTIVE_JOBS_PREFIX).and_then(parse_job) {
+        if let Some(job) = item.key.strip_prefix(ACTIVE_JOBS_PREFIX).and_then(parse_job_id) {
             match decode::<JobRecord>(&item.value) {
                 Some(record) => self.job_cache.put_active(job, item.mod_revision, record),
                 None => self.calls.log(StoreEvent::JobUnreadable { job }),
             }
-        } else if let Some(job) = item.key.strip_prefix(OUTCOMES_PREFIX).and_then(parse_job) {
+        } else if let Some(job) = item.key.strip_prefix(OUTCOMES_PREFIX).and_then(parse_job_id) {
             if let Some(outcome) = decode(&item.value) {
                 self.job_cache.put_outcome(job, outcome);
             }
--- a/crates/basaltrail-core/src/election.rs
+++ b/crates/basaltrail-core/src/election.rs
@@ -128,7 +128,7 @@
     pub controller: String,
     /// A number that grows with each process of the controller.
     pub incarnation: u64,
-    /// Whether the controller allocates admission quotas while it leads.
+    /// True if the controller allocates admission quotas while it leads.
     pub allocates_quotas: bool,
     /// Time to live of the leader lease, in milliseconds.
     pub lease_ttl_ms: Ms,
@@ -207,7 +207,8 @@
         self.view.as_ref()?.primary_zone.as_deref()
     }
 
-    /// Returns the controller that held the leader key when it was last read. It may lead no longer.
+    /// Returns the controller that held the leader key when it was last read. It may lead no
+    /// longer.
     pub fn leader_hint(&self) -> Option<&str> {
         self.holder().map(|holder| holder.record.controller.as_str())
     }
@@ -217,7 +218,8 @@
         self.holder().map(|holder| holder.record.allocates_quotas)
     }
 
-    /// Returns the fencing token of the last known term, and the store revision at which it was read.
+    /// Returns the fencing token of the last known term, and the store revision at which it was
+    /// read.
     pub fn last_term_and_revision(&self) -> (FencingToken, Revision) {
         let view = self.view.as_ref();
         view.map_or((FencingToken(0), Revision::NONE), |view| (view.term, view.revision))
--- a/crates/basaltrail-core/src/fairness.rs
+++ b/crates/basaltrail-core/src/fairness.rs
@@ -1,6 +1,6 @@
-//! The fairness ledger: CPU-seconds that teams and jobs received and deserved, and the degrees of
-//! fairness that rank them (ASTRAEA; paper, section 4.2). What the paper calls a tenant is a
-//! team, and its GPU time is CPU time here.
+//! The fairness ledger: the received and fair CPU-seconds of teams, and the degrees of fairness
+//! that rank teams and jobs (ASTRAEA; paper, section 4.2). A tenant in the paper is a team here,
+//! and GPU time in the paper is CPU time here.
 
 use crate::model::{JobId, Ms, WallMs};
 use crate::settings::Settings;
@@ -9,18 +9,18 @@
 /// Received and fair time of a team or a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Account {
-    /// CPU-seconds actually run (paper, equation 11 for a team, 2 for a job).
+    /// CPU-seconds that tasks have run (paper, equation 11 for a team, 2 for a job).
     pub received: f64,
     /// CPU-seconds of fair share (paper, equations 9 and 16 for a team, 14 for a job).
     pub fair: f64,
-    /// CPU-seconds granted in this round that have not run yet (paper, algorithm 1, lines 14 and
-    /// 15: they count as if they ran).
+    /// CPU-seconds granted in the current scheduling round, which count as received in advance
+    /// (paper, algorithm 1, lines 14 and 15).
     pub granted: f64,
 }
 
 impl Account {
-    /// The degree of fairness (paper, equation 12 for a team, 15 for a job); the lowest goes
-    /// first. Fair time below one CPU-second counts as one.
+    /// Returns the degree of fairness (paper, equation 12 for a team, 15 for a job). The lowest
+    /// degree is served first. Fair time below one CPU-second counts as one.
     pub fn degree(&self) -> f64 {
         (self.received + self.granted) / self.fair.max(1.0)
     }
@@ -29,34 +29,38 @@
 /// The accounts of all teams.
 #[derive(Debug)]
 pub struct Ledger {
-    /// By team index.
+    /// Accounts by team index.
     pub teams: Vec<Account>,
-    /// When time was last accrued.
+    /// The time of the last accrual.
     accrued_at: Ms,
 }
 
 impl Ledger {
-    /// A ledger that goes on from what an earlier leader recorded, if it did. Teams that the
-    /// record does not name, or names with amounts that make no sense, begin with nothing.
+    /// Creates a ledger from the record of an earlier leader, if there is one. Accounts of teams
+    /// that are missing in the record start at zero, as do amounts that are negative or not finite.
     pub fn new(settings: &Settings, record: Option<&LedgerRecord>, now: Ms) -> Self {
-        let valid = |amount: f64| if amount.is_finite() && amount >= 0.0 { amount } else { 0.0 };
-        let recorded = |name: &str| {
+        let sanitized =
+            |amount: f64| if amount.is_finite() && amount >= 0.0 { amount } else { 0.0 };
+        let recorded_account = |name: &str| {
             let record = record?.teams.iter().find(|(team, _, _)| team == name)?;
             let (_, received, fair) = record;
-            Some(Account { received: valid(*received), fair: valid(*fair), granted: 0.0 })
+            Some(Account { received: sanitized(*received), fair: sanitized(*fair), granted: 0.0 })
         };
-        let teams =
-            settings.teams.iter().map(|team| recorded(&team.name).unwrap_or_default()).collect();
+        let teams = settings
+            .teams
+            .iter()
+            .map(|team| recorded_account(&team.name).unwrap_or_default())
+            .collect();
         Ledger { teams, accrued_at: now }
     }
 
-    /// A team's quota in CPUs, whether it uses it or not (paper, equations 6 and 16).
+    /// Returns a team's quota in CPUs, independent of its use (paper, equations 6 and 16).
     pub fn quota(settings: &Settings, team: usize, fleet_cpus: f64) -> f64 {
         fleet_cpus * settings.weight_share(team)
     }
 
-    /// Accrues received and fair time of teams since the last call, where `running_cpus` run
-    /// tasks now, by team index. Returns the seconds since then.
+    /// Accrues the received and fair time of all teams since the last call, and returns the elapsed
+    /// seconds. `running_cpus` are the CPUs of running tasks by team index.
     pub fn accrue(
         &mut self,
         settings: &Settings,
@@ -73,20 +77,19 @@
         elapsed_s
     }
 
-    /// Ends a round: what was granted in it has run, or never will.
+    /// Ends a scheduling round and clears its grants, whether or not the granted time has run.
     pub fn end_round(&mut self) {
         for account in &mut self.teams {
             account.granted = 0.0;
         }
     }
 
-    /// The ledger as it is recorded for the next leader, with amounts rounded to a tenth of a
-    /// CPU-second.
+    /// Returns the record for the next leader, with amounts rounded to a tenth of a CPU-second.
     pub fn record(
         &self,
         settings: &Settings,
         leases_end: WallMs,
-        suspects: Vec<JobId>,
+        crash_looping_jobs: Vec<JobId>,
     ) -> LedgerRecord {
         let rounded = |amount: f64| (amount * 10.0).round() / 10.0;
         let accounts = settings.teams.iter().zip(&self.teams);
@@ -95,6 +98,6 @@
                 (team.name.clone(), rounded(account.received), rounded(account.fair))
             })
             .collect();
-        LedgerRecord { teams, leases_end, suspects }
+        LedgerRecord { teams, leases_end, crash_looping_jobs }
     }
 }
--- a/crates/basaltrail-core/src/jobs/crash_loop.rs
+++ b/crates/basaltrail-core/src/jobs/crash_loop.rs
@@ -1,61 +1,62 @@
-//! Crash-loop detection of jobs, and the back-off that follows.
+//! Crash-loop detection and back-off of jobs.
 //!
-//! A job that was submitted with a mistake fails wherever it runs; a faulty machine fails
-//! whatever runs on it. So a job is judged by its failures on different machines, and a machine by
-//! different jobs that ended well elsewhere ([`crate::machines::health`]).
+//! A job with a faulty specification fails on every machine; on a faulty machine, every job fails.
+//! A job is therefore judged by its failures on different machines, and a machine by the failures
+//! of different jobs that succeed elsewhere ([`crate::machines::health`]).
 
 use crate::model::{MachineId, Ms};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines in a row on which a job fails before it is in a crash loop; twice as many once a
-/// task of it has ended well.
+/// The number of machines on which a job must fail, without a success in between, to be in a crash
+/// loop. It doubles once a task of the job has succeeded.
 const CRASH_LOOP_MACHINES: usize = 2;
-/// The machines that are kept for each purpose at the most: it bounds the memory of one job.
+/// The maximum size of each of a job's collections of machines, which bounds its memory.
 const MAX_MACHINES: usize = 64;
-/// Worker leases for which a job avoids a machine on which it failed.
-const AVOID_LEASES: Ms = 3;
+/// The time for which a job avoids a machine on which it failed, in worker leases.
+const AVOIDANCE_LEASES: Ms = 3;
 /// The first back-off of a job in a crash loop, in milliseconds.
 const FIRST_BACK_OFF_MS: Ms = 500;
-/// Doublings of the back-off at the most: 500 ms doubled seven times is 64 s.
+/// The maximum number of doublings of the back-off: 500 ms doubled seven times is 64 s.
 const MAX_BACK_OFF_DOUBLINGS: u32 = 7;
 
-/// Failures and successes of a job, and what follows for its next tries.
+/// Recent failures and successes of a job, which determine where and when its tasks start next.
 #[derive(Debug, Default)]
 pub struct JobHealth {
-    /// A task of it has ended well.
+    /// True if a task of the job has ever succeeded.
     succeeded: bool,
-    /// Machines on which it failed since a task of it last ended well.
+    /// Machines on which the job failed since its last success.
     failed_machines: BTreeSet<MachineId>,
-    /// Machines that it avoids, and until when.
+    /// Machines that the job avoids, with the end of the avoidance.
     avoided: BTreeMap<MachineId, Ms>,
-    /// Failed tries since it is in a crash loop.
-    failed_tries: u32,
-    /// No try before.
+    /// Number of back-offs since the crash loop began; tasks that fail together cause only one.
+    back_off_count: u32,
+    /// The earliest time at which another task may start.
     back_off_until: Ms,
-    /// The previous leader found it in a crash loop.
+    /// True if the previous leader recorded a crash loop and no task has succeeded since.
     recovered_as_crash_looping: bool,
 }
 
 impl JobHealth {
-    /// Whether a task of it has ended well, under this leader or an earlier one.
+    /// Returns whether a task of the job has succeeded, under this leader or an earlier one.
     pub fn has_succeeded(&self) -> bool {
         self.succeeded
     }
 
-    /// Takes what the previous leader recorded: that it is in a crash loop, or has work done.
+    /// Applies the records of the previous leader: whether the job is in a crash loop, and whether
+    /// any of its tasks has completed.
     pub fn recover(&mut self, crash_looping: bool, succeeded: bool) {
         self.recovered_as_crash_looping = crash_looping && !self.succeeded;
         self.succeeded |= succeeded;
     }
 
-    /// Whether it fails wherever it runs: then one task at a time tries again, so that its
-    /// failures take neither room nor machines from others, nor preempt them.
+    /// Returns whether the job is in a crash loop. If so, it runs one task at a time, so that its
+    /// failures neither take capacity from other jobs nor preempt them.
     pub fn is_crash_looping(&self) -> bool {
         let machines = CRASH_LOOP_MACHINES << self.succeeded as u32;
         self.recovered_as_crash_looping || self.failed_machines.len() >= machines
     }
 
-    /// Tasks that may be placed beside the `placed` ones.
+    /// Returns the number of tasks that may be placed in addition to the `placed` ones.
     pub fn max_new_tasks(&self, placed: usize) -> u32 {
         match self.is_crash_looping() {
             true => 1u32.saturating_sub(placed as u32),
@@ -63,52 +64,54 @@
         }
     }
 
-    /// When its back-off ends; 0 if there was none.
+    /// Returns the end of the back-off; 0 if there was none.
     pub fn back_off_until(&self) -> Ms {
         self.back_off_until
     }
 
-    /// Whether it avoids the machine now.
+    /// Returns whether the job avoids the machine now.
     pub fn avoids(&self, machine: &MachineId, now: Ms) -> bool {
         self.avoided.get(machine).is_some_and(|until| now < *until)
     }
 
-    /// When it stops avoiding the next of the machines on which it failed.
-    pub fn avoids_until(&self, now: Ms) -> Option<Ms> {
+    /// Returns the earliest time at which the job stops avoiding a machine.
+    pub fn next_avoidance_end(&self, now: Ms) -> Option<Ms> {
         self.avoided.values().filter(|until| **until > now).min().copied()
     }
 
-    /// A task failed on a machine; true if it is the first there since one last ended well.
+    /// Records that a task failed on a machine. Returns whether it is the job's first failure there
+    /// since its last success.
     pub fn record_failure(&mut self, machine: &MachineId, now: Ms, lease_ms: Ms) -> bool {
         if self.avoided.len() >= MAX_MACHINES {
             self.avoided.retain(|_, until| *until > now);
         }
         if self.avoided.len() < MAX_MACHINES {
-            self.avoided.insert(machine.clone(), now + AVOID_LEASES * lease_ms);
+            self.avoided.insert(machine.clone(), now + AVOIDANCE_LEASES * lease_ms);
         }
-        let first = self.failed_machines.len() < MAX_MACHINES
+        let is_first = self.failed_machines.len() < MAX_MACHINES
             && self.failed_machines.insert(machine.clone());
-        // Tasks that were started together fail together: that is one try.
+        // Tasks that were started together fail together and must cause only one back-off.
         if self.is_crash_looping() && now >= self.back_off_until {
-            let doublings = self.failed_tries.min(MAX_BACK_OFF_DOUBLINGS);
+            let doublings = self.back_off_count.min(MAX_BACK_OFF_DOUBLINGS);
             self.back_off_until = now + (FIRST_BACK_OFF_MS << doublings);
-            self.failed_tries += 1;
+            self.back_off_count += 1;
         }
-        first
+        is_first
     }
 
-    /// A task ended well; returns the machines on which it failed before.
+    /// Records that a task succeeded on a machine. Returns the machines on which the job failed
+    /// since its previous success.
     pub fn record_success(&mut self, machine: &MachineId) -> BTreeSet<MachineId> {
         self.succeeded = true;
         self.recovered_as_crash_looping = false;
-        self.failed_tries = 0;
+        self.back_off_count = 0;
         self.back_off_until = 0;
         self.avoided.remove(machine);
         std::mem::take(&mut self.failed_machines)
     }
 
-    /// No try before `until`, for another reason than a failure.
-    pub fn back_off(&mut self, until: Ms) {
+    /// Extends the back-off to at least `until`, for a reason other than a failure.
+    pub fn extend_back_off(&mut self, until: Ms) {
         self.back_off_until = self.back_off_until.max(until);
     }
 }
--- a/crates/basaltrail-core/src/jobs/job_cache.rs
+++ b/crates/basaltrail-core/src/jobs/job_cache.rs
@@ -1,4 +1,4 @@
-//! The job cache: what a controller knows of jobs, by its list and its watch of the store.
+//! The job cache: job records, outcomes and quotas as a controller last read them from the store.
 
 use crate::model::{JobId, JobOutcome, JobSpec, Revision, WallMs};
 use crate::store::records::JobRecord;
@@ -6,16 +6,16 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
-/// An active job as the store holds it.
+/// An active job as it is stored.
 #[derive(Clone, Debug)]
 pub struct ActiveJob {
-    /// The mod revision of its record.
+    /// The mod revision of the job's record.
     pub mod_revision: Revision,
-    /// Time of day of its acceptance.
+    /// The wall-clock time at which the job was accepted.
     pub accepted_at: WallMs,
-    /// What its user asked for.
+    /// The submitted specification.
     pub spec: Arc<JobSpec>,
-    /// The controller that accepted it out of its quota; none if no quota was needed.
+    /// The controller against whose quota the job was accepted; `None` if no quota was needed.
     pub accepted_by: Option<String>,
 }
 
@@ -26,23 +26,23 @@
     }
 }
 
-/// What a controller knows of jobs. Outcomes never change, so users may be told them from here;
-/// anything else must be confirmed first.
+/// A controller's cache of jobs. Outcomes never change, so users may be answered from cached ones;
+/// everything else must first be confirmed by the store.
 pub struct JobCache {
-    /// Jobs that are accepted and have not ended.
+    /// Jobs that were accepted and have not ended.
     pub active: BTreeMap<JobId, ActiveJob>,
     outcomes: HashMap<JobId, JobOutcome>,
-    /// The jobs of `outcomes`, the oldest first.
+    /// The jobs of `outcomes`, oldest first.
     outcome_order: VecDeque<JobId>,
     max_outcomes: usize,
-    /// Admission quotas, and what was accepted under them.
+    /// Admission quotas, and the acceptances counted against them.
     pub quotas: QuotaCache,
-    /// Jobs whose record changed since the leader last looked.
+    /// Jobs whose record or outcome changed since the leader last processed this set.
     pub changed: BTreeSet<JobId>,
 }
 
 impl JobCache {
-    /// An empty cache that remembers so many outcomes.
+    /// Creates an empty cache that holds up to `max_outcomes` outcomes.
     pub fn new(max_outcomes: usize) -> Self {
         JobCache {
             active: BTreeMap::new(),
@@ -54,12 +54,12 @@
         }
     }
 
-    /// How a job ended, if that is remembered.
+    /// Returns the outcome of a job, if it is cached.
     pub fn outcome(&self, job: JobId) -> Option<JobOutcome> {
         self.outcomes.get(&job).copied()
     }
 
-    /// Puts the active record of a job, unless a later one or the outcome is known.
+    /// Adds or replaces the active record of a job, unless a later record or the outcome is cached.
     pub fn put_active(&mut self, job: JobId, mod_revision: Revision, record: JobRecord) {
         if self.outcomes.contains_key(&job) {
             return;
@@ -76,24 +76,24 @@
         self.changed.insert(job);
     }
 
-    /// Puts a quota that was read. `complete` says whether it was read by a watch: a list does not
-    /// tell of the jobs that were accepted under it and have ended.
+    /// Adds or replaces a quota. `complete` is true if the quota was read by a watch: a list does
+    /// not contain the jobs that were accepted under the quota and have ended since.
     pub fn put_quota(&mut self, quota: AdmissionQuota, mod_revision: Revision, complete: bool) {
         let AdmissionQuota { team, controller, .. } = &quota;
-        let own = |job: &&ActiveJob| {
+        let counts_against_quota = |job: &&ActiveJob| {
             job.accepted_by.as_ref() == Some(controller) && job.spec.team == *team
         };
         let accepted_since: Vec<Acceptance> = self
             .active
             .values()
             .filter(|job| job.mod_revision > mod_revision)
-            .filter(own)
+            .filter(counts_against_quota)
             .filter_map(ActiveJob::acceptance)
             .collect();
         self.quotas.put_quota(quota, mod_revision, accepted_since.into_iter(), complete);
     }
 
-    /// Puts the outcome of a job; it is not active any more.
+    /// Records the outcome of a job and removes its active record.
     pub fn put_outcome(&mut self, job: JobId, outcome: JobOutcome) {
         self.active.remove(&job);
         self.changed.insert(job);
@@ -101,7 +101,7 @@
             return;
         }
         self.outcome_order.push_back(job);
-        // Older outcomes are read again when somebody asks.
+        // Evicted outcomes are read from the store when they are needed.
         if self.outcome_order.len() > self.max_outcomes {
             if let Some(oldest) = self.outcome_order.pop_front() {
                 self.outcomes.remove(&oldest);
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Removes an active record that was deleted at this revision. How the job ended is told by
-    /// its outcome.
+    /// Removes an active record that was deleted at `mod_revision`, if the cached record is older.
+    /// The outcome arrives separately.
     pub fn remove_active(&mut self, job: JobId, mod_revision: Revision) {
         if self.active.get(&job).is_some_and(|active| active.mod_revision < mod_revision) {
             self.active.remove(&job);
--- a/crates/basaltrail-core/src/jobs/job_state.rs
+++ b/crates/basaltrail-core/src/jobs/job_state.rs
@@ -1,4 +1,4 @@
-//! The leader's state of a job: which of its tasks are done, placed and pending.
+//! The leader's state of a job: its done, placed and pending tasks.
 
 use super::ActiveJob;
 use crate::fairness::Account;
@@ -8,46 +8,47 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The leader's state of one job. A task is done, placed or pending, and only one of them.
+/// The leader's state of one job. Each task is in exactly one of the states done, placed and
+/// pending.
 pub struct JobState {
-    /// The job.
+    /// The job's id.
     pub id: JobId,
-    /// What its user asked for.
+    /// The submitted specification.
     pub spec: Arc<JobSpec>,
-    /// Its team, as an index into the settings.
+    /// The job's team, as an index into the settings.
     pub team: usize,
-    /// The mod revision of its active record.
+    /// The mod revision of the active record.
     pub mod_revision: Revision,
-    /// Time of day of its acceptance.
+    /// The wall-clock time at which the job was accepted.
     pub accepted_at: WallMs,
     /// Completed tasks.
     pub done: TaskSet,
-    /// Completed tasks that the store holds.
+    /// Tasks whose completion is stored.
     pub durable: TaskSet,
-    /// Segments of `done` that the store does not hold as they are.
+    /// Segments of `done` that differ from the stored ones.
     pub dirty_segments: BTreeSet<u32>,
-    /// Segments that the store holds, to be deleted when the job has ended.
+    /// Segments that are stored, to be deleted after the job has ended.
     pub stored_segments: BTreeSet<u32>,
-    /// Where each task may be. One place at a time.
+    /// The machine and attempt of each placed task; the task may be running there.
     pub placed: BTreeMap<u32, (MachineId, Attempt)>,
-    /// Tasks that were placed and are pending again.
+    /// Tasks that are pending again after a placement ended.
     requeued: BTreeSet<u32>,
-    /// The lowest task that was never placed.
+    /// The lowest task that has not been placed yet.
     next_new_task: u32,
-    /// What the fair-share ledger counts of it.
+    /// The job's received and fair time.
     pub account: Account,
-    /// Whether any of its tasks was ever placed, or found on a machine.
+    /// True if any task was ever placed or found on a machine.
     pub started: bool,
-    /// Since when nothing of it is placed though some tasks are pending.
+    /// The time since which tasks are pending and none is placed; `None` otherwise.
     pub unplaced_since: Option<Ms>,
-    /// How it ended; its tasks may still be on machines.
+    /// The outcome, once the job has ended. Its tasks may still be on machines.
     pub ended: Option<JobOutcome>,
-    /// Whether its tasks fail wherever they run.
+    /// Crash-loop detection and back-off.
     pub health: JobHealth,
 }
 
 impl JobState {
-    /// The state of a job of which nothing has been placed.
+    /// Creates the state of a job that has no placed or completed tasks.
     pub fn new(id: JobId, team: usize, active: &ActiveJob) -> Self {
         JobState {
             id,
@@ -70,13 +71,13 @@
         }
     }
 
-    /// Whether all its tasks are done; a service never is.
+    /// Returns whether all tasks are done; always false for a service.
     pub fn is_complete(&self) -> bool {
-        !self.spec.is_service() && self.done.count() >= self.spec.tasks
+        !self.spec.is_service() && self.done.len() >= self.spec.tasks
     }
 
-    /// Tasks that may be placed beside those that are, while it may be in a crash loop. A service
-    /// that fails everywhere tries one replica at a time, whatever of it runs.
+    /// Returns the number of additional tasks that crash-loop detection allows to be placed. A
+    /// service in a crash loop may always place one replica, however many are placed.
     pub fn allowed_starts(&self) -> u32 {
         match self.spec.is_service() {
             true => self.health.max_new_tasks(0),
@@ -84,22 +85,22 @@
         }
     }
 
-    /// Tasks that are neither done nor placed.
+    /// Returns the number of tasks that are neither done nor placed; 0 if the job has ended.
     pub fn pending(&self) -> u32 {
         if self.ended.is_some() {
             return 0;
         }
-        self.spec.tasks.saturating_sub(self.done.count() + self.placed.len() as u32)
+        self.spec.tasks.saturating_sub(self.done.len() + self.placed.len() as u32)
     }
 
-    /// Tasks that should be placed now if there is room, those that are included.
+    /// Returns the number of tasks, placed ones included, that should be placed if capacity allows.
     pub fn desired_placements(&self) -> u32 {
         self.placed.len() as u32 + self.pending().min(self.allowed_starts())
     }
 
-    /// Takes a pending task: one that was placed before, or else the next that never was. The
-    /// caller places it, or requeues it.
-    pub fn next_pending(&mut self) -> Option<u32> {
+    /// Removes and returns the next pending task: first requeued tasks, then tasks that were never
+    /// placed. The caller must place or requeue it.
+    pub fn pop_pending(&mut self) -> Option<u32> {
         loop {
             let task = match self.requeued.pop_first() {
                 Some(task) => task,
@@ -109,7 +110,7 @@
                 }
                 None => return None,
             };
-            if !self.done.get(task) && !self.placed.contains_key(&task) {
+            if !self.done.contains(task) && !self.placed.contains_key(&task) {
                 return Some(task);
             }
         }
@@ -117,16 +118,18 @@
 
     /// Makes a task pending again, unless it is done.
     pub fn requeue(&mut self, task: u32) {
-        if !self.done.get(task) && task < self.spec.tasks {
+        if !self.done.contains(task) && task < self.spec.tasks {
             self.requeued.insert(task);
         }
     }
 
-    /// Ends the placement of a task, which is pending then unless it is done. False if it is not
-    /// placed there by this attempt.
+    /// Ends the placement of a task and makes it pending unless it is done. Returns false if the
+    /// task is not placed on this machine by this attempt.
     pub fn end_placement(&mut self, task: u32, machine: &MachineId, attempt: Attempt) -> bool {
-        let placed_there = |(at, by): &(MachineId, Attempt)| at == machine && *by == attempt;
-        if !self.placed.get(&task).is_some_and(placed_there) {
+        let is_this_placement = |(placed_on, placed_by): &(MachineId, Attempt)| {
+            placed_on == machine && *placed_by == attempt
+        };
+        if !self.placed.get(&task).is_some_and(is_this_placement) {
             return false;
         }
         self.placed.remove(&task);
@@ -134,10 +137,11 @@
         true
     }
 
-    /// Marks a task as done. True if it was not yet; tasks of a service never are.
+    /// Marks a task as done. Returns true if it was not done before; always false for a service,
+    /// whose tasks never complete.
     pub fn mark_done(&mut self, task: u32) -> bool {
         let can_complete = !self.spec.is_service() && task < self.spec.tasks;
-        if can_complete && self.done.set(task) {
+        if can_complete && self.done.insert(task) {
             self.dirty_segments.insert(task / TASKS_PER_SEGMENT);
             return true;
         }
--- a/crates/basaltrail-core/src/jobs/mod.rs
+++ b/crates/basaltrail-core/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs: the cache that every controller keeps of them, and the leader's state of each.
+//! Jobs: every controller's cache of job records, and the leader's state of each job.
 
 pub mod crash_loop;
 mod job_cache;
--- a/crates/basaltrail-core/src/jobs/watch.rs
+++ b/crates/basaltrail-core/src/jobs/watch.rs
@@ -1,82 +1,81 @@
-//! How fresh the job cache is, and which call to the store keeps it so.
+//! The freshness of the job cache, and the schedule of the calls that keep it fresh.
 //!
-//! The jobs are listed once; from then on a watch that is opened again and again tells of every
-//! change. A second watch, which does not wait, overtakes one that hangs or that was opened
-//! before the leader's lease was acquired. What the calls tell stands in
-//! [`crate::jobs::JobCache`].
+//! The jobs are listed once; after that, a watch that is sent repeatedly returns every change. A
+//! second watch, which does not wait for changes, provides them if the first one hangs or was sent
+//! before the leader lease was acquired. [`crate::jobs::JobCache`] holds the data.
 
 use crate::model::{Ms, Revision};
 
-/// Which of the two watches is meant.
+/// The kind of a watch of the jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchKind {
-    /// It waits for a change.
+    /// Waits for a change.
     Waiting,
-    /// It is answered at once.
+    /// Is answered at once.
     CatchUp,
 }
 
-/// The call that is due.
+/// A call that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobWatchCall {
-    /// The list of all jobs, from the first page on.
+    /// The list of all jobs, beginning with the first page.
     List,
     /// The watch that waits.
     Watch {
-        /// The revision after which it tells of changes.
+        /// The revision after which changes are returned.
         after: Revision,
     },
 }
 
-/// One call that is made again and again.
+/// The state of a call that is sent repeatedly.
 #[derive(Debug, Default)]
-struct Repeated {
+struct RepeatedCall {
     in_flight: bool,
     not_before: Ms,
 }
 
-impl Repeated {
+impl RepeatedCall {
     fn is_due(&self, now: Ms) -> bool {
         !self.in_flight && now >= self.not_before
     }
 }
 
-/// The state of the list and the watches, and how fresh the job cache is by them.
+/// The state of the list and the watches, and the freshness of the job cache.
 #[derive(Debug, Default)]
 pub struct JobWatch {
     loaded: bool,
-    /// The revision up to which changes are known; none while the jobs have to be listed.
+    /// The revision up to which changes are known; `None` if the jobs must be listed.
     revision: Option<Revision>,
     as_of: Option<Ms>,
-    /// The revision of the first page of a list that goes on.
+    /// The revision of the first page of the list in progress.
     list_revision: Option<Revision>,
-    waiting: Repeated,
-    catch_up: Repeated,
+    waiting: RepeatedCall,
+    catch_up: RepeatedCall,
 }
 
 impl JobWatch {
-    /// Whether the jobs were listed since the process began.
+    /// Returns whether the jobs were listed since the process started.
     pub fn is_loaded(&self) -> bool {
         self.loaded
     }
 
-    /// The revision up to which changes are known.
+    /// Returns the revision up to which changes are known.
     pub fn revision(&self) -> Option<Revision> {
         self.revision
     }
 
-    /// When the call was sent whose answer told of jobs last: what came before it is known.
+    /// Returns the send time of the latest answered call. All changes before that time are known.
     pub fn as_of(&self) -> Option<Ms> {
         self.as_of
     }
 
-    /// Whether what ended before `since` is known, by a call that was sent no longer than `max_age`
-    /// before `now`.
-    pub fn is_fresh(&self, since: Ms, now: Ms, max_age: Ms) -> bool {
-        self.as_of.is_some_and(|as_of| as_of >= since && now <= as_of + max_age)
+    /// Returns whether all changes before `since` are known, and the latest answered call was sent
+    /// no more than `max_age_ms` before `now`.
+    pub fn is_fresh(&self, since: Ms, now: Ms, max_age_ms: Ms) -> bool {
+        self.as_of.is_some_and(|as_of| as_of >= since && now <= as_of + max_age_ms)
     }
 
-    /// The list, or the watch that waits, if it is to be sent now.
+    /// Returns the list or the waiting watch if it is due.
     pub fn call_due(&self, now: Ms) -> Option<JobWatchCall> {
         if !self.waiting.is_due(now) {
             return None;
@@ -84,58 +83,58 @@
         Some(self.revision.map_or(JobWatchCall::List, |after| JobWatchCall::Watch { after }))
     }
 
-    /// The revision after which to catch up, if what is known is not fresh (as by
-    /// [`JobWatch::is_fresh`]) and no such call is in flight.
-    pub fn catch_up_due(&self, since: Ms, now: Ms, max_age: Ms) -> Option<Revision> {
-        let due = self.catch_up.is_due(now) && !self.is_fresh(since, now, max_age);
-        self.revision.filter(|_| due)
+    /// Returns the revision after which to catch up, if the job cache is not fresh (see
+    /// [`JobWatch::is_fresh`]) and the catch-up watch may be sent.
+    pub fn catch_up_due(&self, since: Ms, now: Ms, max_age_ms: Ms) -> Option<Revision> {
+        let is_due = self.catch_up.is_due(now) && !self.is_fresh(since, now, max_age_ms);
+        self.revision.filter(|_| is_due)
     }
 
-    /// A list or watch was sent.
+    /// Records that a list or watch was sent; the list counts as [`WatchKind::Waiting`].
     pub fn sent(&mut self, kind: WatchKind) {
-        self.repeated(kind).in_flight = true;
+        self.call_mut(kind).in_flight = true;
     }
 
-    /// A watch was answered, whatever the answer; the next one is sent no sooner than `next`.
-    pub fn answered(&mut self, kind: WatchKind, next: Ms) {
-        let call = self.repeated(kind);
+    /// Records any answer to a watch. The next one is sent no earlier than `not_before`.
+    pub fn answered(&mut self, kind: WatchKind, not_before: Ms) {
+        let call = self.call_mut(kind);
         call.in_flight = false;
-        call.not_before = next;
+        call.not_before = not_before;
     }
 
-    /// A watch that was sent at `sent` told of every change up to a revision.
-    pub fn events_received(&mut self, revision: Revision, sent: Ms) {
+    /// Records that a watch sent at `sent_at` returned all changes up to a revision.
+    pub fn events_received(&mut self, revision: Revision, sent_at: Ms) {
         self.revision = self.revision.max(Some(revision));
-        self.as_of = self.as_of.max(Some(sent));
+        self.as_of = self.as_of.max(Some(sent_at));
     }
 
-    /// The jobs are to be listed again: the changes after what is known are not kept any more, or
-    /// more keys count than were listed.
+    /// Requires the jobs to be listed again, because the store no longer keeps the changes after
+    /// the known revision, or because further key ranges are needed.
     pub fn restart_list(&mut self) {
         self.revision = None;
     }
 
-    /// A page of the list was read; gives the revision of its first page, from which the
-    /// watch goes on.
+    /// Records that a page of the list was read. Returns the revision of the list's first page,
+    /// from which the watch continues.
     pub fn page_read(&mut self, revision: Revision) -> Revision {
         *self.list_revision.get_or_insert(revision)
     }
 
-    /// The list failed and begins again, no sooner than `next`.
-    pub fn list_failed(&mut self, next: Ms) {
+    /// Records that the list failed. It restarts no earlier than `not_before`.
+    pub fn list_failed(&mut self, not_before: Ms) {
         self.list_revision = None;
-        self.answered(WatchKind::Waiting, next);
+        self.answered(WatchKind::Waiting, not_before);
     }
 
-    /// The last page was read of a list whose first page was asked for at `sent`.
-    pub fn list_completed(&mut self, sent: Ms) {
+    /// Records that the last page of a list was read whose first page was requested at `sent_at`.
+    pub fn list_completed(&mut self, sent_at: Ms) {
         self.waiting.in_flight = false;
         self.revision = self.list_revision.take();
-        self.as_of = self.as_of.max(Some(sent));
+        self.as_of = self.as_of.max(Some(sent_at));
         self.loaded = true;
     }
 
-    fn repeated(&mut self, kind: WatchKind) -> &mut Repeated {
+    fn call_mut(&mut self, kind: WatchKind) -> &mut RepeatedCall {
         match kind {
             WatchKind::Waiting => &mut self.waiting,
             WatchKind::CatchUp => &mut self.catch_up,
--- a/crates/basaltrail-core/src/jobs/watch_tests.rs
+++ b/crates/basaltrail-core/src/jobs/watch_tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-fn listed(revision: Revision, sent: Ms) -> JobWatch {
+fn listed(revision: Revision, sent_at: Ms) -> JobWatch {
     let mut watch = JobWatch::default();
     watch.sent(WatchKind::Waiting);
     watch.page_read(revision);
-    watch.list_completed(sent);
+    watch.list_completed(sent_at);
     watch
 }
 
 #[test]
-fn the_watch_begins_where_the_first_page_was_read() {
+fn watch_starts_at_the_revision_of_the_first_page() {
     let mut watch = JobWatch::default();
     assert_eq!(watch.call_due(0), Some(JobWatchCall::List));
     watch.sent(WatchKind::Waiting);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_list_that_failed_begins_again_after_a_pause() {
+fn failed_list_restarts_from_the_first_page_after_a_delay() {
     let mut watch = JobWatch::default();
     watch.sent(WatchKind::Waiting);
     watch.page_read(Revision(7));
@@ -36,21 +36,21 @@
     assert_eq!(watch.page_read(Revision(9)), Revision(9));
 }
 
-/// What a call tells is as old as its sending; and one that was sent before the lease was acquired
-/// tells nothing of what ended until then.
+/// The age of the data counts from the time at which the call was sent. A call sent before the
+/// leader lease was acquired may miss jobs that ended before the acquisition.
 #[test]
-fn what_is_known_is_as_fresh_as_the_sending_of_a_call_under_the_lease() {
+fn freshness_counts_from_the_send_time_of_a_call_within_the_leader_lease() {
     let mut watch = listed(Revision(7), 100);
     assert!(watch.is_fresh(100, 300, 200) && !watch.is_fresh(101, 300, 200));
     assert!(!watch.is_fresh(100, 301, 200));
     watch.events_received(Revision(8), 250);
-    // An older watch that is answered later takes nothing back.
+    // A late answer to an older watch resets neither the revision nor the time.
     watch.events_received(Revision(6), 150);
     assert_eq!((watch.revision(), watch.as_of()), (Some(Revision(8)), Some(250)));
 }
 
 #[test]
-fn a_watch_that_hangs_is_overtaken_once_at_a_time() {
+fn hanging_watch_causes_one_catch_up_call_at_a_time() {
     let mut watch = listed(Revision(7), 100);
     watch.sent(WatchKind::Waiting);
     assert_eq!(watch.catch_up_due(100, 300, 200), None);
--- a/crates/basaltrail-core/src/leader/cluster.rs
+++ b/crates/basaltrail-core/src/leader/cluster.rs
@@ -150,7 +150,7 @@
             .filter(|job| job.ended.is_none())
             .map(|job| Progress {
                 job: job.id,
-                done: job.done.count(),
+                done: job.done.len(),
                 running: running.get(&job.id).copied().unwrap_or(0),
             })
             .collect()
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -159,7 +159,7 @@
                             job.ended.is_some()
                                 || reason != ExitReason::Done
                                 || job.spec.is_service()
-                                || job.durable.get(task.index)
+                                || job.durable.contains(task.index)
                         }
                         None => ended(ctx.job_cache, task),
                     };
--- a/crates/basaltrail-core/src/leader/failover/mod.rs
+++ b/crates/basaltrail-core/src/leader/failover/mod.rs
@@ -131,7 +131,8 @@
 
     /// Takes the jobs that the previous leader found in a crash loop.
     fn recover_crash_loops(&mut self, record: LedgerRecord) {
-        self.crash_loops.extend(record.suspects.into_iter().take(MAX_RECORDED_CRASH_LOOPS));
+        self.crash_loops
+            .extend(record.crash_looping_jobs.into_iter().take(MAX_RECORDED_CRASH_LOOPS));
     }
 
     /// Gives a job what was read of it; true if all its tasks are done.
@@ -144,7 +145,7 @@
             job.durable.add_segment(segment, &text);
             job.stored_segments.insert(segment);
         }
-        job.health.recover(self.crash_loops.contains(&job.id), job.done.count() > 0);
+        job.health.recover(self.crash_loops.contains(&job.id), !job.done.is_empty());
         job.is_complete()
     }
 }
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -108,7 +108,7 @@
         job.started = true;
         let place = (machine.clone(), attempt);
         let elsewhere = job.placed.get(&task.index).is_some_and(|placed| *placed != place);
-        if job.ended.is_some() || job.done.get(task.index) || elsewhere {
+        if job.ended.is_some() || job.done.contains(task.index) || elsewhere {
             // Not wanted here. An attempt elsewhere is left alone.
             slot.stop_at_once();
         } else {
@@ -156,7 +156,7 @@
                 return reconciled;
             }
             ExitReason::NoRoom => machine.no_room_until = ctx.now + NO_ROOM_BACK_OFF_MS,
-            ExitReason::Unknown => job.health.back_off(ctx.now + UNKNOWN_EXIT_BACK_OFF_MS),
+            ExitReason::Unknown => job.health.extend_back_off(ctx.now + UNKNOWN_EXIT_BACK_OFF_MS),
             ExitReason::Stopped | ExitReason::Busy => {}
         }
         self.blame_machines(ctx.now, machine_id, task.job, failed_before);
--- a/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
@@ -27,7 +27,7 @@
     let record = LedgerRecord {
         teams: vec![("gone".into(), 5.0, 7.0)],
         leases_end: 0,
-        suspects: vec![JobId(1), JobId(2)],
+        crash_looping_jobs: vec![JobId(1), JobId(2)],
     };
     assert_eq!(room_after_failover(&encode(&record)), 1);
     // As an earlier version wrote it.
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -163,7 +163,7 @@
             return;
         }
         self.ledger_due = false;
-        transaction.pending.ledger = true;
+        transaction.pending.writes_ledger = true;
         let leases_end = ctx.wall + (ctx.cfg.policy.lease_term_s * 1000.0) as WallMs;
         let jobs = sources.cluster.jobs.values();
         let crash_loops = jobs
@@ -190,7 +190,7 @@
             return;
         }
         self.primary_zone_due = false;
-        transaction.pending.primary_zone = true;
+        transaction.pending.writes_primary_zone = true;
         let mod_revision = self.mod_revision(PRIMARY_ZONE_KEY);
         transaction.put(mod_revision, PRIMARY_ZONE_KEY.into(), encode(&primary_zone));
     }
@@ -235,7 +235,7 @@
             if self.is_blocked(&key) {
                 continue;
             }
-            let text = job.done.segment(segment);
+            let text = job.done.encode_segment(segment);
             if !transaction.has_room(1, text.len()) || !budget.acquire(1, CallPriority::Background)
             {
                 return false;
--- a/crates/basaltrail-core/src/leader/persistence/writer.rs
+++ b/crates/basaltrail-core/src/leader/persistence/writer.rs
@@ -142,8 +142,8 @@
         }
         registry.dirty.extend(pending.registry_segments.iter().map(|written| written.segment));
         self.obsolete_completions.extend(pending.deleted_completions);
-        self.ledger_due |= pending.ledger;
-        self.primary_zone_due |= pending.primary_zone;
+        self.ledger_due |= pending.writes_ledger;
+        self.primary_zone_due |= pending.writes_primary_zone;
         self.next_completions_at = self.next_completions_at.min(completions_by);
     }
 }
--- a/crates/basaltrail-core/src/leader/scheduler/accounting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/accounting.rs
@@ -29,7 +29,7 @@
         active_jobs[job.team] += 1;
     }
     for job in cluster.jobs.values_mut().filter(|job| job.ended.is_none()) {
-        let unfinished = job.spec.tasks - job.done.count().min(job.spec.tasks);
+        let unfinished = job.spec.tasks - job.done.len().min(job.spec.tasks);
         let demand = unfinished as f64 * job.spec.cpus;
         let quota = Ledger::quota(ctx.cfg, job.team, fleet_cpus);
         let share = quota / active_jobs[job.team].max(1) as f64;
--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -203,7 +203,7 @@
         let demand = task_demand(job);
         let mut placed = 0;
         while placed < placement.tasks {
-            let Some(index) = job.next_pending() else { break };
+            let Some(index) = job.pop_pending() else { break };
             let Some(counter) = self.scheduler.attempts.checked_add(1) else { break };
             self.scheduler.attempts = counter;
             let attempt = Attempt((token.0 << ATTEMPT_COUNTER_BITS) | u64::from(counter));
@@ -214,7 +214,7 @@
         }
         if job.spec.is_service() && job.health.is_crash_looping() {
             // The next attempt waits for the outcome of this one.
-            job.health.back_off(ctx.now + ctx.cfg.lease_ms);
+            job.health.extend_back_off(ctx.now + ctx.cfg.lease_ms);
         }
         machine.idle_since = None;
         self.used[job.team] += Resources::of_task(&job.spec) * placed as f64;
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -87,7 +87,7 @@
     fn next_wake(&self, ctx: &Context, cluster: &Cluster) -> Ms {
         let open = || cluster.jobs.values().filter(|job| job.pending() > 0);
         let pauses = open().map(|job| job.health.back_off_until());
-        let avoided = open().filter_map(|job| job.health.avoids_until(ctx.now));
+        let avoided = open().filter_map(|job| job.health.next_avoidance_end(ctx.now));
         let machines = cluster.machines.values().map(|machine| machine.no_room_until);
         let back_offs = pauses.chain(avoided).chain(machines).filter(|at| *at > ctx.now);
         let guarantee = ctx
--- a/crates/basaltrail-core/src/store/pending_transaction.rs
+++ b/crates/basaltrail-core/src/store/pending_transaction.rs
@@ -1,45 +1,44 @@
-//! A leader's transaction that is on its way.
+//! A transaction of the leader that is in flight.
 
 use crate::model::{JobId, MachineId};
 
-/// Completions of a job in a transaction.
+/// A segment of a job's completed tasks in a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WrittenCompletions {
     /// The job.
     pub job: JobId,
-    /// The segment of its tasks.
+    /// The index of the segment.
     pub segment: u32,
-    /// The completed tasks of the segment, as they are stored.
+    /// The completed tasks of the segment in their stored form.
     pub text: String,
 }
 
 /// A segment of the machine registry in a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WrittenSegment {
-    /// Its number.
+    /// The index of the segment.
     pub segment: usize,
-    /// Its machines that may hold tasks.
+    /// Machines of the segment that may hold tasks.
     pub in_use: Vec<MachineId>,
 }
 
-/// What a transaction on its way changes, so that its reply can be recorded, or its changes be
-/// written again.
+/// The changes of a transaction in flight: the reply is applied to them, or they are written again.
 #[derive(Debug, Default)]
 pub struct PendingTransaction {
-    /// The leader's own keys in it.
+    /// Keys of the leader that the transaction puts.
     pub keys: Vec<String>,
-    /// Jobs whose outcome it writes.
+    /// Jobs whose outcome the transaction writes.
     pub complete_jobs: Vec<JobId>,
-    /// Completions of unfinished jobs.
+    /// Segments of completed tasks of unfinished jobs.
     pub completions: Vec<WrittenCompletions>,
     /// Segments of the machine registry.
     pub registry_segments: Vec<WrittenSegment>,
-    /// Segments of completions that it deletes, since their job has ended.
+    /// Segments of completed tasks that are deleted because the job has ended.
     pub deleted_completions: Vec<(JobId, u32)>,
-    /// Whether it writes the fairness ledger.
-    pub ledger: bool,
-    /// Whether it writes the primary zone.
-    pub primary_zone: bool,
-    /// Puts and deletes in it.
+    /// True if the transaction writes the fairness ledger.
+    pub writes_ledger: bool,
+    /// True if the transaction writes the primary zone.
+    pub writes_primary_zone: bool,
+    /// Number of puts and deletes.
     pub changes: usize,
 }
--- a/crates/basaltrail-core/src/store/records.rs
+++ b/crates/basaltrail-core/src/store/records.rs
@@ -1,62 +1,63 @@
-//! The records that the store holds, and the keys they stand under.
+//! The records in the store, and their keys.
 //!
-//! Records and keys are read by other versions of this program: a field may be added with a
-//! default, and none may be renamed or given another meaning. Where a field's name in the code
-//! differs from its written name, serde maps it.
+//! Other versions of this program read the same records and keys: a field may be added with a
+//! default, but no field may be renamed or change its meaning. Where a field's name in the code
+//! differs from its stored name, a serde attribute maps it.
 
 use crate::model::{FencingToken, JobId, JobSpec, MachineId, WallMs};
 use serde::{Deserialize, Serialize};
 
-/// What the election watches.
+/// The prefix of the keys that the election watches.
 pub const CONTROL_PREFIX: &str = "c/";
-/// The [`LeaderRecord`], attached to the leader's lease.
+/// The key of the [`LeaderRecord`], attached to the leader lease.
 pub const LEADER_KEY: &str = "c/leader";
-/// The last fencing token that was given out.
+/// The key of the fencing token of the latest term.
 pub const TERM_KEY: &str = "c/term";
-/// The zone with the most machines; the next leader had better be there.
+/// The key of the zone with the most machines, in which the next leader should preferably run.
 pub const PRIMARY_ZONE_KEY: &str = "c/home";
-/// Jobs and admission records, under one watch.
+/// The prefix of jobs and admission records, which one watch covers.
 pub const JOBS_PREFIX: &str = "j/";
-/// A [`JobRecord`] for each active job.
+/// The prefix of the [`JobRecord`]s, one per active job.
 pub const ACTIVE_JOBS_PREFIX: &str = "j/a/";
-/// A [`crate::model::JobOutcome`] for each job that ended.
+/// The prefix of the [`crate::model::JobOutcome`]s, one per ended job.
 pub const OUTCOMES_PREFIX: &str = "j/t/";
-/// Admission quotas and the processes that they are for: under the jobs' prefix, so that one watch
-/// tells of them and of the jobs in the order of their revisions.
+/// The prefix of admission quotas and controller records. It lies under the prefix of the jobs, so
+/// that one watch returns their changes and those of jobs in the order of revisions.
 pub const ADMISSION_PREFIX: &str = "j/q/";
-/// A [`ControllerRecord`] for each controller.
+/// The prefix of the [`ControllerRecord`]s, one per controller.
 pub const CONTROLLERS_PREFIX: &str = "j/q/n/";
-/// A [`basaltrail_admission::AdmissionQuota`] for each team and controller.
+/// The prefix of the [`basaltrail_admission::AdmissionQuota`]s, one per team and controller.
 pub const QUOTAS_PREFIX: &str = "j/q/a/";
-/// Segments of completed tasks, by job.
+/// The prefix of the segments of completed tasks, by job.
 pub const COMPLETIONS_PREFIX: &str = "d/";
-/// Segments of the machine registry.
+/// The prefix of the segments of the machine registry.
 pub const MACHINE_REGISTRY_PREFIX: &str = "r/";
-/// The [`LedgerRecord`].
+/// The key of the [`LedgerRecord`].
 pub const LEDGER_KEY: &str = "l/ledger";
-/// The machine types, as the leader last heard of them.
+/// The key of the machine types, as the leader last received them from the cloud.
 pub const MACHINE_TYPES_KEY: &str = "m/types";
 
-/// Tasks of one job whose completion is stored under one key. A segment takes 1,024 hexadecimal
-/// digits at the most.
+/// The number of tasks of a job whose completion is stored under one key. A segment takes at most
+/// 1,024 hexadecimal digits.
 pub const TASKS_PER_SEGMENT: u32 = 4096;
 
-/// Tasks in one word of a [`TaskSet`].
+/// The number of tasks per word of a [`TaskSet`].
 const TASKS_PER_WORD: u32 = 64;
-/// Hexadecimal digits of a word.
+/// The number of hexadecimal digits per word.
 const DIGITS_PER_WORD: usize = 16;
 
-/// The controller that leads.
+/// The record of the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// The controller.
     #[serde(rename = "node")]
     pub controller: String,
-    /// Its process: differs at every start.
+    /// The process of the controller; a new value at every start.
     pub incarnation: u64,
     /// The fencing token of its term.
     pub token: FencingToken,
-    /// Whether it hands out admission quotas: controllers then accept nothing without one.
+    /// True if the leader allocates admission quotas. If so, no controller accepts a job without
+    /// one.
     #[serde(rename = "allots", default, skip_serializing_if = "is_false")]
     pub allocates_quotas: bool,
 }
@@ -65,100 +66,102 @@
     !value
 }
 
-/// The process that runs as a controller now.
+/// The record of a controller's current process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControllerRecord {
     /// The controller.
     #[serde(rename = "n")]
     pub controller: String,
-    /// Its process: differs at every start.
+    /// The process of the controller; a new value at every start.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
 
-/// An active job.
+/// The record of an active job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Time of day of the first acceptance.
+    /// The wall-clock time of the first acceptance.
     #[serde(rename = "at")]
     pub accepted_at: WallMs,
-    /// What its user asked for.
+    /// The submitted specification.
     pub spec: JobSpec,
-    /// The controller that accepted it out of its quota; none if no quota was needed.
+    /// The controller against whose quota the job was accepted; `None` if no quota was needed.
     #[serde(rename = "by", default, skip_serializing_if = "Option::is_none")]
     pub accepted_by: Option<String>,
 }
 
 impl JobRecord {
-    /// A job that no quota was needed for.
+    /// Creates the record of a job that needed no quota.
     pub fn new(accepted_at: WallMs, spec: JobSpec) -> Self {
         JobRecord { accepted_at, spec, accepted_by: None }
     }
 }
 
-/// A machine that may hold tasks, as the machine registry lists it.
+/// An entry of the machine registry: a machine that may hold tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
     /// The machine.
     pub id: MachineId,
-    /// Its type.
+    /// The machine type.
     #[serde(rename = "ty")]
     pub machine_type: String,
-    /// Its zone.
+    /// The zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// True if the machine is a spot machine.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// Nothing runs there, and nothing is started before this is taken back. A record that does
-    /// not say so may hold anything.
+    /// True if the machine holds no tasks. No task starts there until this flag is stored as false.
+    /// If the field is missing, the machine may hold tasks.
     #[serde(rename = "f", default)]
     pub free: bool,
 }
 
-/// The fair-share ledger, as of the last round.
+/// The fairness ledger as of the last scheduling round.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LedgerRecord {
-    /// Team, CPU-seconds received, CPU-seconds of fair share.
+    /// For each team its name, received CPU-seconds and CPU-seconds of fair share.
     pub teams: Vec<(String, f64, f64)>,
-    /// Time of day at which the grants of the round end.
+    /// The wall-clock time at which the grants of the round end.
     pub leases_end: WallMs,
-    /// Jobs that fail wherever they run: the next leader need not learn it at others' cost.
+    /// Jobs in a crash loop, which the next leader would otherwise have to detect again at the
+    /// expense of other jobs.
     #[serde(rename = "sick", default, skip_serializing_if = "Vec::is_empty")]
-    pub suspects: Vec<JobId>,
+    pub crash_looping_jobs: Vec<JobId>,
 }
 
-/// Where the [`JobRecord`] of an active job stands.
+/// Returns the key of the [`JobRecord`] of an active job.
 pub fn active_job_key(job: JobId) -> String {
     format!("{ACTIVE_JOBS_PREFIX}{job}")
 }
 
-/// Where the outcome of a job stands.
+/// Returns the key of the outcome of a job.
 pub fn outcome_key(job: JobId) -> String {
     format!("{OUTCOMES_PREFIX}{job}")
 }
 
-/// Where the [`ControllerRecord`] of a controller stands.
+/// Returns the key of the [`ControllerRecord`] of a controller.
 pub fn controller_key(controller: &str) -> String {
     format!("{CONTROLLERS_PREFIX}{}", key_part(controller))
 }
 
-/// Where a team's quota at a controller stands.
+/// Returns the key of a team's quota at a controller.
 pub fn quota_key(team: &str, controller: &str) -> String {
     format!("{QUOTAS_PREFIX}{}/{}", key_part(team), key_part(controller))
 }
 
-/// A name as a part of a key, which takes neither spaces nor more than 200 bytes in all: the
-/// first characters that may stand there, and a hash of the whole name.
+/// Encodes a name as a part of a key: its first letters, digits, hyphens and underscores, and a
+/// hash of the whole name. A key must not contain spaces or exceed 200 bytes.
 fn key_part(name: &str) -> String {
-    /// Two parts, with the longest prefix and the hashes, take 121 bytes.
+    /// The maximum length of the readable part. Two parts with the longest prefix and the hashes
+    /// take 121 bytes.
     const MAX_SHOWN: usize = 40;
-    let plain = |c: &char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
-    let shown: String = name.chars().filter(plain).take(MAX_SHOWN).collect();
-    format!("{shown}.{:016x}", fnv1a(name))
+    let is_allowed = |c: &char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_');
+    let readable: String = name.chars().filter(is_allowed).take(MAX_SHOWN).collect();
+    format!("{readable}.{:016x}", fnv1a(name))
 }
 
-/// The 64-bit FNV-1a hash: the same on every version and machine.
+/// Returns the 64-bit FNV-1a hash, which does not depend on the version or the platform.
 fn fnv1a(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -166,79 +169,84 @@
     text.bytes().fold(OFFSET_BASIS, mix)
 }
 
-/// Where a segment of a job's completed tasks stands.
+/// Returns the key of a segment of a job's completed tasks.
 pub fn completions_key(job: JobId, segment: u32) -> String {
     format!("{COMPLETIONS_PREFIX}{job}/{segment}")
 }
 
-/// Where a segment of the machine registry stands.
+/// Returns the key of a segment of the machine registry.
 pub fn machine_registry_key(segment: usize) -> String {
     format!("{MACHINE_REGISTRY_PREFIX}{segment}")
 }
 
-/// The job that a key names; none if the text is not exactly as [`JobId`] is written.
-pub fn parse_job(text: &str) -> Option<JobId> {
+/// Parses a job id in a key. Returns `None` unless the text is exactly as [`JobId`] displays it.
+pub fn parse_job_id(text: &str) -> Option<JobId> {
     let id = JobId(text.parse().ok()?);
     (id.to_string() == text).then_some(id)
 }
 
-/// The job and the segment that a key of completed tasks names.
+/// Parses the job and the segment in a key of completed tasks.
 pub fn parse_completions_key(key: &str) -> Option<(JobId, u32)> {
     let (job, segment) = key.strip_prefix(COMPLETIONS_PREFIX)?.split_once('/')?;
-    Some((parse_job(job)?, segment.parse().ok()?))
+    Some((parse_job_id(job)?, segment.parse().ok()?))
 }
 
-/// A record as the store holds it.
-pub fn encode<T: Serialize>(value: &T) -> String {
-    // Our own records hold no maps with keys other than text, so this does not fail.
-    serde_json::to_string(value).unwrap_or_else(|_| "null".into())
+/// Encodes a record in its stored form, JSON.
+pub fn encode<T: Serialize>(record: &T) -> String {
+    // Serialization cannot fail: no record has a map whose keys are not strings.
+    serde_json::to_string(record).unwrap_or_else(|_| "null".into())
 }
 
-/// The record that a value holds; none if it is not one.
+/// Decodes a stored record. Returns `None` if the text is not a valid record of the type.
 pub fn decode<'a, T: Deserialize<'a>>(text: &'a str) -> Option<T> {
     serde_json::from_str(text).ok()
 }
 
-/// A set of task indexes: a bitmap that grows as it is filled. It is stored in segments of
+/// A set of task indexes, held as a bitmap that grows on insertion and stored in segments of
 /// [`TASKS_PER_SEGMENT`] tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TaskSet {
     words: Vec<u64>,
-    count: u32,
+    len: u32,
 }
 
 impl TaskSet {
-    /// Whether a task is in the set.
-    pub fn get(&self, task: u32) -> bool {
+    /// Returns whether the set contains a task.
+    pub fn contains(&self, task: u32) -> bool {
         let (word, bit) = Self::position(task);
         self.words.get(word).is_some_and(|bits| bits >> bit & 1 == 1)
     }
 
-    /// Adds a task. True if it was not in the set yet.
-    pub fn set(&mut self, task: u32) -> bool {
+    /// Adds a task. Returns whether it was newly added.
+    pub fn insert(&mut self, task: u32) -> bool {
         let (word, bit) = Self::position(task);
         if self.words.len() <= word {
             self.words.resize(word + 1, 0);
         }
         let added = self.words[word] >> bit & 1 == 0;
         self.words[word] |= 1 << bit;
-        self.count += u32::from(added);
+        self.len += u32::from(added);
         added
     }
 
-    /// How many tasks are in the set.
-    pub fn count(&self) -> u32 {
-        self.count
+    /// Returns the number of tasks in the set.
+    pub fn len(&self) -> u32 {
+        self.len
     }
 
-    /// The word of a task, and its bit there.
+    /// Returns whether the set contains no tasks.
+    pub fn is_empty(&self) -> bool {
+        self.len == 0
+    }
+
+    /// Returns the index of a task's word, and the task's bit in the word.
     fn position(task: u32) -> (usize, u32) {
         ((task / TASKS_PER_WORD) as usize, task % TASKS_PER_WORD)
     }
 
-    /// A segment as it is stored: hexadecimal words, the lowest tasks first. Words at the end that
-    /// were never needed are left out.
-    pub fn segment(&self, segment: u32) -> String {
+    /// Returns a segment in its stored form: hexadecimal words, the lowest tasks first. Words
+    /// beyond the end of the bitmap are omitted.
+    pub fn encode_segment(&self, segment: u32) -> String {
         let words_per_segment = (TASKS_PER_SEGMENT / TASKS_PER_WORD) as usize;
         let begin = (segment as usize * words_per_segment).min(self.words.len());
         let end = ((segment as usize + 1) * words_per_segment).min(self.words.len());
@@ -250,8 +258,8 @@
         text
     }
 
-    /// Adds a segment written by [`TaskSet::segment`]. False if the text cannot be one; tasks of
-    /// words before the one that cannot be read are added all the same.
+    /// Adds the tasks of a segment encoded by [`TaskSet::encode_segment`]. Returns false if the
+    /// text is malformed; the tasks of words before a malformed word are still added.
     pub fn add_segment(&mut self, segment: u32, text: &str) -> bool {
         let max_digits = (TASKS_PER_SEGMENT / TASKS_PER_WORD) as usize * DIGITS_PER_WORD;
         if !text.len().is_multiple_of(DIGITS_PER_WORD)
@@ -267,7 +275,7 @@
             };
             let first = segment * TASKS_PER_SEGMENT + index as u32 * TASKS_PER_WORD;
             for bit in (0..TASKS_PER_WORD).filter(|bit| word >> bit & 1 == 1) {
-                self.set(first + bit);
+                self.insert(first + bit);
             }
         }
         true
--- a/crates/basaltrail-core/tests/records.rs
+++ b/crates/basaltrail-core/tests/records.rs
@@ -32,8 +32,8 @@
     let service: JobRecord = same(SERVICE);
     assert!(service.spec.is_service() && service.spec.spread && !service.spec.spot);
     assert!(same::<Vec<MachineRecord>>(ROSTER_PART)[0].free);
-    assert_eq!(same::<LedgerRecord>(LEDGER_VALUE).suspects, [JobId(412)]);
-    assert!(same::<LedgerRecord>(PLAIN_LEDGER).suspects.is_empty());
+    assert_eq!(same::<LedgerRecord>(LEDGER_VALUE).crash_looping_jobs, [JobId(412)]);
+    assert!(same::<LedgerRecord>(PLAIN_LEDGER).crash_looping_jobs.is_empty());
     same::<LeaderRecord>(LEADER_VALUE);
     same::<Vec<MachineType>>(TYPES_VALUE);
     assert_eq!(same::<FencingToken>("41"), FencingToken(41));
@@ -44,7 +44,7 @@
     assert!(
         bits.add_segment(0, &decode::<String>(r#""00000000000000010000000000000040""#).unwrap())
     );
-    assert!(bits.get(0) && bits.get(70) && bits.count() == 2);
+    assert!(bits.contains(0) && bits.contains(70) && bits.len() == 2);
 }
 
 /// Where each record is kept: both earlier versions look for it there.
