--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -171,7 +171,7 @@
                             job.ended.is_some()
                                 || reason != ExitReason::Done
                                 || job.spec.is_service()
-                                || job.durable.get(task.index)
+                                || job.durable.contains(task.index)
                         }
                         None => has_ended(ctx.job_cache, task),
                     };
--- a/crates/basaltrail-core/src/leader/failover/mod.rs
+++ b/crates/basaltrail-core/src/leader/failover/mod.rs
@@ -133,7 +133,8 @@
 
     /// Recovers the jobs that the previous leader recorded as crash-looping.
     fn recover_crash_loops(&mut self, record: LedgerRecord) {
-        self.crash_loops.extend(record.suspects.into_iter().take(MAX_RECORDED_CRASH_LOOPS));
+        self.crash_loops
+            .extend(record.crash_looping_jobs.into_iter().take(MAX_RECORDED_CRASH_LOOPS));
     }
 
     /// Applies the recovered completions and crash loop to a job; true if all its tasks are done.
@@ -146,7 +147,7 @@
             job.durable.add_segment(segment, &text);
             job.stored_segments.insert(segment);
         }
-        job.health.recover(self.crash_loops.contains(&job.id), job.done.count() > 0);
+        job.health.recover(self.crash_loops.contains(&job.id), !job.done.is_empty());
         job.is_complete()
     }
 }
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -119,7 +119,7 @@
         let place = (machine.clone(), attempt);
         let is_placed_elsewhere =
             job.placed.get(&task.index).is_some_and(|placed| *placed != place);
-        if job.ended.is_some() || job.done.get(task.index) || is_placed_elsewhere {
+        if job.ended.is_some() || job.done.contains(task.index) || is_placed_elsewhere {
             // Only this attempt is stopped; one on another machine keeps running.
             slot.stop_at_once();
         } else {
@@ -175,7 +175,7 @@
                 return effects;
             }
             ExitReason::NoRoom => machine.no_room_until = ctx.now + NO_ROOM_BACK_OFF_MS,
-            ExitReason::Unknown => job.health.back_off(ctx.now + UNKNOWN_EXIT_BACK_OFF_MS),
+            ExitReason::Unknown => job.health.extend_back_off(ctx.now + UNKNOWN_EXIT_BACK_OFF_MS),
             ExitReason::Stopped | ExitReason::Busy => {}
         }
         self.record_machine_failures(ctx.now, machine_id, task.job, failed_on);
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -60,7 +60,8 @@
             );
             self.segments.insert(put.key, put.value);
         }
-        let Some(StorePurpose::LeaderTransaction { pending, .. }) = calls.finish_store(op) else {
+        let Some(StorePurpose::LeaderTransaction { pending, .. }) = calls.finish_store_call(op)
+        else {
             panic!("the call is not a transaction of the leader")
         };
         leader.handle_transaction_reply(
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -88,7 +88,8 @@
     fn next_wake_at(&self, ctx: &Context, cluster: &Cluster) -> Ms {
         let waiting_jobs = || cluster.jobs.values().filter(|job| job.pending() > 0);
         let job_back_offs = waiting_jobs().map(|job| job.health.back_off_until());
-        let avoided_machines = waiting_jobs().filter_map(|job| job.health.avoids_until(ctx.now));
+        let avoided_machines =
+            waiting_jobs().filter_map(|job| job.health.next_avoidance_end(ctx.now));
         let full_machines = cluster.machines.values().map(|machine| machine.no_room_until);
         let back_off_ends =
             job_back_offs.chain(avoided_machines).chain(full_machines).filter(|at| *at > ctx.now);
