--- a/crates/basaltrail-core/src/controller/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -1,7 +1,7 @@
-//! What this controller may accept: its admission quotas, and the record of its process by which
-//! it asks for them.
+//! Admission of submissions under this controller's quotas, and the record of its process with
+//! which it requests them.
 
-use super::request_queue::NewJob;
+use super::request_queue::AdmittedSubmission;
 use super::Controller;
 use crate::answer::{Answer, UnavailableReason};
 use crate::events::AdmissionEvent;
@@ -22,33 +22,33 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest that a user is told to wait, in seconds (PROTOCOL: `Retry-After` counts up to 30 s).
+/// Limit on `Retry-After`, in seconds (PROTOCOL: `Retry-After` counts up to 30 s).
 const MAX_RETRY_AFTER_S: u32 = 30;
 
-/// This controller's side of admission.
+/// The admission state of this controller.
 pub(super) struct ControllerAdmission {
     limiter: QuotaLimiter,
     controller: String,
     incarnation: u64,
-    /// The record of this process is being written.
-    announcing: bool,
-    next_announcement: Ms,
-    /// A quota is used up here and not for the leader: this process writes its record again, by
-    /// which it requests another quota, once a round at most.
+    /// Whether a write of this process's record is in flight.
+    record_write_in_flight: bool,
+    next_record_write_at: Ms,
+    /// Whether a quota is used up here but not as the leader counts it. This process then writes
+    /// its record again, at most once per round, to request another quota.
     replacement_needed: bool,
-    next_replacement_request: Ms,
-    /// Submissions that were not admitted since the last line about it, by reason.
-    rejected: BTreeMap<RejectionReason, u64>,
-    /// The same by team, since the process began.
+    next_replacement_request_at: Ms,
+    /// Submissions rejected since the last log event about them, by reason.
+    rejected_by_reason: BTreeMap<RejectionReason, u64>,
+    /// Submissions rejected since the process started, by team.
     rejected_by_team: Vec<u64>,
-    next_log: Ms,
-    /// Keys of records that could not be read: each is logged once.
-    unreadable: BTreeSet<String>,
+    next_log_at: Ms,
+    /// Keys of unreadable records; each is logged once.
+    unreadable_keys: BTreeSet<String>,
 }
 
 impl ControllerAdmission {
-    /// Until a leader is seen, a controller goes by its own policy: where quotas are to bind, it
-    /// accepts nothing before it has one.
+    /// Creates the admission state. Until the controller has seen a leader, its own policy decides
+    /// whether quotas bind; if they do, it accepts nothing before it has a quota.
     pub(super) fn new(cfg: &Settings) -> Self {
         let mode = match cfg.policy.admission {
             Some(_) => QuotaMode::Enforced,
@@ -58,23 +58,23 @@
             limiter: QuotaLimiter::new(&cfg.controller, cfg.incarnation, mode),
             controller: cfg.controller.clone(),
             incarnation: cfg.incarnation,
-            announcing: false,
-            next_announcement: 0,
+            record_write_in_flight: false,
+            next_record_write_at: 0,
             replacement_needed: false,
-            next_replacement_request: 0,
-            rejected: BTreeMap::new(),
+            next_replacement_request_at: 0,
+            rejected_by_reason: BTreeMap::new(),
             rejected_by_team: vec![0; cfg.teams.len()],
-            next_log: 0,
-            unreadable: BTreeSet::new(),
+            next_log_at: 0,
+            unreadable_keys: BTreeSet::new(),
         }
     }
 
-    /// Whether quotas bind.
+    /// Returns whether submissions need an admission quota.
     pub(super) fn quotas_bind(&self) -> bool {
         self.limiter.mode() == QuotaMode::Enforced
     }
 
-    /// Reserves what a submission takes.
+    /// Reserves the demand of a submission in its team's quota.
     pub(super) fn admit(
         &mut self,
         job_cache: &JobCache,
@@ -88,98 +88,117 @@
         admitted
     }
 
-    /// Reserves for a submission anew, out of the present quota.
-    pub(super) fn renew(
+    /// Replaces the reservation of a submission by one in the current quota.
+    pub(super) fn renew_reservation(
         &mut self,
         job_cache: &JobCache,
-        new: &NewJob,
+        submission: &AdmittedSubmission,
     ) -> Result<Reservation, QuotaRejection> {
-        self.limiter.renew(&job_cache.quotas, new.reservation.clone())
+        self.limiter.renew(&job_cache.quotas, submission.reservation.clone())
     }
 
-    /// Whether the quota of a submission has not been replaced, as far as is known.
-    pub(super) fn is_current(&self, job_cache: &JobCache, new: &NewJob) -> bool {
-        self.limiter.is_current(&job_cache.quotas, &new.reservation)
+    /// Returns whether the quota of a submission is the latest one that this controller knows.
+    pub(super) fn has_current_quota(
+        &self,
+        job_cache: &JobCache,
+        submission: &AdmittedSubmission,
+    ) -> bool {
+        self.limiter.is_current(&job_cache.quotas, &submission.reservation)
     }
 
-    /// The quota that must still be as it was when the job is accepted.
-    pub(super) fn precondition(&self, new: &NewJob) -> Option<Precondition> {
-        let (team, mod_revision) = new.reservation.precondition()?;
+    /// Returns the precondition that the quota of a submission is unchanged, or `None` if it needs
+    /// no quota.
+    pub(super) fn quota_precondition(
+        &self,
+        submission: &AdmittedSubmission,
+    ) -> Option<Precondition> {
+        let (team, mod_revision) = submission.reservation.precondition()?;
         Some(Precondition::new(quota_key(team, &self.controller), mod_revision))
     }
 
-    /// Takes what became of an acceptance.
-    pub(super) fn settle(&mut self, new: &NewJob, outcome: AcceptanceOutcome) {
-        self.limiter.settle(&new.reservation, outcome);
+    /// Records the outcome of an acceptance; a reservation that was not used is released.
+    pub(super) fn settle(&mut self, submission: &AdmittedSubmission, outcome: AcceptanceOutcome) {
+        self.limiter.settle(&submission.reservation, outcome);
     }
 
-    /// Whether an acceptance failed since its quota has been replaced. `failed` are the keys of the
-    /// preconditions that failed.
-    pub(super) fn quota_replaced(&mut self, new: &NewJob, failed: &[String]) -> bool {
-        let replaced = self.precondition(new).is_some_and(|quota| failed.contains(&quota.key));
+    /// Returns whether an acceptance failed because its quota was replaced, and marks the quota as
+    /// replaced in that case. `failed` holds the keys of the failed preconditions.
+    pub(super) fn detect_replaced_quota(
+        &mut self,
+        submission: &AdmittedSubmission,
+        failed: &[String],
+    ) -> bool {
+        let replaced =
+            self.quota_precondition(submission).is_some_and(|quota| failed.contains(&quota.key));
         if replaced {
-            self.limiter.mark_replaced(&new.reservation);
+            self.limiter.mark_replaced(&submission.reservation);
         }
         replaced
     }
 
-    /// The answer to a submission that is not admitted. Users who are rejected together do not
-    /// return together.
-    pub(super) fn not_admitted(&mut self, rng: &mut SmallRng, rejection: QuotaRejection) -> Answer {
+    /// Counts a rejected submission and returns its answer. `Retry-After` has a random part, so
+    /// that users who are rejected together do not return together.
+    pub(super) fn rejection_answer(
+        &mut self,
+        rng: &mut SmallRng,
+        rejection: QuotaRejection,
+    ) -> Answer {
         let QuotaRejection { reason, retry_after_s } = rejection;
-        *self.rejected.entry(reason).or_default() += 1;
-        let spread = rng.random_range(0..=retry_after_s / 2 + 1);
-        let retry_after_s = (retry_after_s + spread).clamp(1, MAX_RETRY_AFTER_S);
+        *self.rejected_by_reason.entry(reason).or_default() += 1;
+        let jitter_s = rng.random_range(0..=retry_after_s / 2 + 1);
+        let retry_after_s = (retry_after_s + jitter_s).clamp(1, MAX_RETRY_AFTER_S);
         Answer::Unavailable { retry_after_s, reason: UnavailableReason::NotAdmitted(reason) }
     }
 
-    /// Whether the record of this process has to be written.
-    fn announcement_due(&self, job_cache: &JobCache, now: Ms) -> bool {
-        let known = job_cache.quotas.process(&self.controller);
-        let announced = known.is_some_and(|process| process.incarnation == self.incarnation);
-        let due = match announced {
-            true => self.replacement_needed && now >= self.next_replacement_request,
-            false => now >= self.next_announcement,
+    /// Returns whether the record of this process has to be written.
+    fn record_write_due(&self, job_cache: &JobCache, now: Ms) -> bool {
+        let cached = job_cache.quotas.process(&self.controller);
+        let is_recorded = cached.is_some_and(|process| process.incarnation == self.incarnation);
+        let due = match is_recorded {
+            true => self.replacement_needed && now >= self.next_replacement_request_at,
+            false => now >= self.next_record_write_at,
         };
-        self.quotas_bind() && !self.announcing && due
+        self.quotas_bind() && !self.record_write_in_flight && due
     }
 
-    /// The record of this process was written, or was not: the watch tells which.
-    pub(super) fn announced(&mut self, now: Ms, cfg: &Settings) {
-        self.announcing = false;
+    /// Records that the write of this process's record has ended. The watch of the jobs shows
+    /// whether it was committed.
+    pub(super) fn finish_record_write(&mut self, now: Ms, cfg: &Settings) {
+        self.record_write_in_flight = false;
         self.replacement_needed = false;
-        self.next_announcement = now + cfg.heartbeat_interval_ms / 4;
-        self.next_replacement_request = now + cfg.round_ms();
+        self.next_record_write_at = now + cfg.heartbeat_interval_ms / 4;
+        self.next_replacement_request_at = now + cfg.round_ms();
     }
 
-    /// Submissions of a team that were not admitted since the process began.
-    pub(super) fn rejected_of_team(&self, team: usize) -> u64 {
+    /// Returns the number of submissions of a team that were rejected since the process started.
+    pub(super) fn rejected_count(&self, team: usize) -> u64 {
         self.rejected_by_team.get(team).copied().unwrap_or(0)
     }
 
-    /// What is left of a team's quota here, by entry.
+    /// Returns the unused part of a team's quota, by entry; empty without a quota.
     pub(super) fn remaining(&self, job_cache: &JobCache, team: &str) -> Vec<WorkAmount> {
         self.limiter.remaining(&job_cache.quotas, team)
     }
 }
 
 impl Controller {
-    /// Follows the leader in whether quotas bind, announces this process, and logs.
+    /// Adopts the leader's quota mode, writes the record of this process if due, and logs
+    /// rejections.
     pub(super) fn update_admission(&mut self) {
-        self.follow_quota_mode();
+        self.update_quota_mode();
         if self.job_watch.is_loaded()
-            && self.admission.announcement_due(&self.job_cache, self.now)
+            && self.admission.record_write_due(&self.job_cache, self.now)
             && self.calls.try_acquire(self.now, CallPriority::Request)
             && self.calls.write_rate.try_acquire(self.now, 1.0, CallPriority::Request)
         {
-            self.announce();
+            self.write_controller_record();
         }
         self.log_rejections();
     }
 
-    /// Whether quotas bind is the leader's to say; a controller of an earlier version that leads
-    /// hands out none.
-    fn follow_quota_mode(&mut self) {
+    /// Adopts the leader's decision whether quotas bind. A leader of an earlier version allocates
+    /// no quotas.
+    fn update_quota_mode(&mut self) {
         let Some(quotas_bind) = self.election.leader_allocates_quotas() else { return };
         let mode = if quotas_bind { QuotaMode::Enforced } else { QuotaMode::Unlimited };
         if mode == self.admission.limiter.mode() {
@@ -187,20 +206,21 @@
         }
         self.admission.limiter.set_mode(mode);
         if quotas_bind {
-            // Quotas that were written before are listed only where they bind.
+            // Quotas are part of the list only while they bind, so earlier ones were not read.
             self.job_watch.restart_list();
         }
         self.calls.log(AdmissionEvent::Mode { quotas_bind });
     }
 
-    fn announce(&mut self) {
-        self.admission.announcing = true;
+    /// Writes the record of this process.
+    fn write_controller_record(&mut self) {
+        self.admission.record_write_in_flight = true;
         let ControllerAdmission { controller, incarnation, .. } = &self.admission;
         let record = ControllerRecord { controller: controller.clone(), incarnation: *incarnation };
-        // A write of an earlier process of this name that comes late changes nothing: the mod
-        // revision is another by then.
-        let known = self.job_cache.quotas.process(controller);
-        let mod_revision = known.map_or(Revision::NONE, |process| process.mod_revision);
+        // The precondition makes a late write by an earlier process of this controller fail, since
+        // the mod revision has changed.
+        let cached = self.job_cache.quotas.process(controller);
+        let mod_revision = cached.map_or(Revision::NONE, |process| process.mod_revision);
         let key = controller_key(controller);
         let request = StoreRequest::Transaction {
             preconditions: vec![Precondition::new(key.clone(), mod_revision)],
@@ -208,13 +228,13 @@
             deletes: Vec::new(),
         };
         let timeout_ms = self.cfg.leader_lease_ms() / 4;
-        self.calls.send_to_store(StorePurpose::AnnounceController, request, timeout_ms);
+        self.calls.send_to_store(StorePurpose::WriteControllerRecord, request, timeout_ms);
     }
 
-    /// Takes the record of a controller's process or a quota; `in_order` says whether every change
-    /// before it is known.
-    pub(super) fn apply_admission(&mut self, item: &KeyValue, in_order: bool) {
-        let readable = if item.key.starts_with(CONTROLLERS_PREFIX) {
+    /// Applies the record of a controller's process or of a quota to the job cache. `in_order` is
+    /// true if every earlier change is known.
+    pub(super) fn apply_admission_record(&mut self, item: &KeyValue, in_order: bool) {
+        let applied = if item.key.starts_with(CONTROLLERS_PREFIX) {
             decode::<ControllerRecord>(&item.value).map(|record| {
                 self.job_cache.quotas.put_controller(
                     &record.controller,
@@ -226,12 +246,14 @@
             let quota = decode::<AdmissionQuota>(&item.value).filter(AdmissionQuota::is_valid);
             quota.map(|quota| self.job_cache.put_quota(quota, item.mod_revision, in_order))
         };
-        if readable.is_none() {
-            // Nothing is accepted on it: the quota that it replaced has another mod revision.
+        if applied.is_none() {
+            // No job can be accepted under the quota that it replaced, since the mod revision has
+            // changed.
             self.drop_unreadable_quota(&item.key, item.mod_revision);
         }
     }
 
+    /// Removes a quota whose record is unreadable from the job cache and logs its key.
     fn drop_unreadable_quota(&mut self, key: &str, mod_revision: Revision) {
         for team in &self.cfg.teams {
             for controller in self.job_cache.quotas.controller_names() {
@@ -240,27 +262,27 @@
                 }
             }
         }
-        if self.admission.unreadable.len() < self.cfg.max_active_jobs()
-            && self.admission.unreadable.insert(key.to_string())
+        if self.admission.unreadable_keys.len() < self.cfg.max_active_jobs()
+            && self.admission.unreadable_keys.insert(key.to_string())
         {
             self.calls.log(AdmissionEvent::QuotaUnreadable { key: key.to_string() });
         }
     }
 
-    /// Counts a submission that was not admitted, for operators.
+    /// Counts a rejected submission for the report to operators.
     pub(super) fn count_rejection(&mut self, team: &str) {
         if let Some(team) = self.cfg.team(team) {
             self.admission.rejected_by_team[team] += 1;
         }
     }
 
-    /// Logs once a round how many submissions were not admitted.
+    /// Logs once per round the number of rejected submissions by reason.
     fn log_rejections(&mut self) {
-        if self.now < self.admission.next_log {
+        if self.now < self.admission.next_log_at {
             return;
         }
-        self.admission.next_log = self.now + self.cfg.round_ms();
-        let rejected = std::mem::take(&mut self.admission.rejected);
+        self.admission.next_log_at = self.now + self.cfg.round_ms();
+        let rejected = std::mem::take(&mut self.admission.rejected_by_reason);
         if rejected.is_empty() {
             return;
         }
--- a/crates/basaltrail-core/src/controller/admission_tests.rs
+++ b/crates/basaltrail-core/src/controller/admission_tests.rs
@@ -20,7 +20,7 @@
     let mut controller = Controller::new(Arc::new(cfg), 1);
     controller.job_watch.page_read(Revision(1));
     controller.job_watch.list_completed(0);
-    controller.types = MachineTypes::of(vec![a_type()]);
+    controller.machine_types = MachineTypes::of(vec![a_type()]);
     controller
 }
 
@@ -37,7 +37,7 @@
     KeyValue { key, value, mod_revision: QUOTA_REVISION, lease_id: None }
 }
 
-/// Submits a job and gives the transaction that would accept it, if there is one, and answers.
+/// Submits a job and returns the transaction that accepts it, if one is sent, and all effects.
 fn submit(
     controller: &mut Controller,
     job: u64,
@@ -60,64 +60,68 @@
     (effects.iter().find_map(accepts), effects)
 }
 
-/// A transaction that is carried out after its quota was replaced would accept what nobody
-/// counts any more.
+/// Guards against a transaction that is committed after its quota was replaced: the job would not
+/// count against any quota.
 #[test]
 fn an_acceptance_is_conditional_on_the_revision_of_its_quota() {
     let mut controller = controller(Some(AdmissionPolicy::default()));
-    controller.apply(&quota(1, 9));
+    controller.apply_unordered(&quota(1, 9));
     let (txn, _) = submit(&mut controller, 7, a_job(1, true));
     let Some((_, StoreRequest::Transaction { preconditions, puts, .. })) = txn else {
-        panic!("not sent")
+        panic!("no transaction was sent")
     };
     assert!(
         preconditions.contains(&Precondition::new(quota_key("t", "n0"), QUOTA_REVISION)),
         "{preconditions:?}"
     );
     let record: JobRecord = decode(&puts[0].value).unwrap();
-    assert_eq!(record.accepted_by.as_deref(), Some("n0"), "the leader counts it");
+    assert_eq!(
+        record.accepted_by.as_deref(),
+        Some("n0"),
+        "the leader counts the job by this field"
+    );
 }
 
 #[test]
-fn an_acceptance_whose_quota_was_replaced_waits_for_the_next_one() {
+fn a_submission_whose_quota_was_replaced_waits_for_the_next_one() {
     let mut controller = controller(Some(AdmissionPolicy::default()));
-    controller.apply(&quota(1, 9));
+    controller.apply_unordered(&quota(1, 9));
     let (txn, _) = submit(&mut controller, 7, a_job(1, true));
     let failed = vec![quota_key("t", "n0")];
     let reply = StoreReply::Conflict { failed };
     let effects = controller.step(1_100, 0, Input::Store { op: txn.unwrap().0, reply });
     assert!(!effects.iter().any(|e| matches!(e, Effect::Answer { .. })), "{effects:?}");
     assert_eq!(controller.requests.awaiting_quota.len(), 1);
-    controller.apply(&KeyValue { mod_revision: Revision(12), ..quota(1, 9) });
+    controller.apply_unordered(&KeyValue { mod_revision: Revision(12), ..quota(1, 9) });
     let effects = controller.step(1_200, 0, Input::Tick);
-    let names = |e: &Effect| match e {
+    let uses_new_quota = |e: &Effect| match e {
         Effect::Store { call: StoreRequest::Transaction { preconditions, .. }, .. } => {
             preconditions.contains(&Precondition::new(quota_key("t", "n0"), Revision(12)))
         }
         _ => false,
     };
-    assert!(effects.iter().any(names), "{effects:?}");
+    assert!(effects.iter().any(uses_new_quota), "{effects:?}");
 }
 
-/// Without a quota nothing is accepted: before it is known, of an earlier process, used up,
-/// or not to be read.
+/// Covers a quota that is not known, belongs to an earlier process, is used up, or is unreadable.
 #[test]
 fn nothing_is_accepted_without_a_quota() {
     let unreadable = KeyValue { value: "[]".into(), ..quota(1, 9) };
     for item in [None, Some(quota(2, 9)), Some(quota(1, 0)), Some(unreadable)] {
         let mut controller = controller(Some(AdmissionPolicy::default()));
-        item.iter().for_each(|item| controller.apply(item));
+        item.iter().for_each(|item| controller.apply_unordered(item));
         let (txn, _) = submit(&mut controller, 7, a_job(1, true));
         assert!(txn.is_none(), "{item:?}");
     }
     let (txn, _) = submit(&mut controller(None), 7, a_job(1, true));
-    assert!(txn.is_some(), "without the policy everything is");
+    assert!(txn.is_some(), "everything is accepted without the policy");
 }
 
-/// Another controller took it, by other limits or while this controller had not read of it: a repeat of an
-/// accepted job is never told that it can't run, or that the backlog is full.
+/// Another controller may have accepted a job under other limits, or before this controller read
+/// its record. A repeated submission must not be answered that the job can never run or that the
+/// backlog is full.
 #[test]
-fn a_repeat_of_what_another_controller_accepted_is_not_rejected() {
+fn a_repeated_submission_of_a_job_accepted_elsewhere_is_not_rejected() {
     let too_wide = JobSpec { cpus: 101.0, ..a_job(1, true) };
     for (policy, spec) in [(None, too_wide), (Some(AdmissionPolicy::default()), a_job(1, true))] {
         let mut controller = controller(policy);
@@ -127,7 +131,7 @@
         let answered = |effects: &[Effect]| {
             effects.iter().any(|e| matches!(e, Effect::Answer { req: RequestId(7), .. }))
         };
-        assert!(!answered(&effects), "rejected before it was looked up");
+        assert!(!answered(&effects), "answered before the job was looked up");
         let confirmation = effects.iter().find_map(|e| match e {
             Effect::Store {
                 op,
@@ -143,7 +147,7 @@
         let failed = vec![active_job_key(JobId(7))];
         let reply = StoreReply::Conflict { failed };
         let effects = controller.step(1_600, 0, Input::Store { op: confirmation.unwrap(), reply });
-        let read = effects.iter().find_map(|e| match e {
+        let lookup = effects.iter().find_map(|e| match e {
             Effect::Store { op, call: StoreRequest::Get(key), .. }
                 if *key == active_job_key(JobId(7)) =>
             {
@@ -155,35 +159,36 @@
         let key = active_job_key(JobId(7));
         let item = KeyValue { key, value, mod_revision: ACTIVE_REVISION, lease_id: None };
         let reply = StoreReply::KeyValue(item);
-        let effects = controller.step(1_700, 0, Input::Store { op: read.unwrap(), reply });
-        let known = |e: &Effect| {
+        let effects = controller.step(1_700, 0, Input::Store { op: lookup.unwrap(), reply });
+        let is_job_answer = |e: &Effect| {
             matches!(e, Effect::Answer { req: RequestId(7), answer: Answer::Job { .. } })
         };
-        assert!(effects.iter().any(known), "{effects:?}");
+        assert!(effects.iter().any(is_job_answer), "{effects:?}");
     }
 }
 
-/// Acceptances without an answer count as used here, and if they were not carried out, not for
-/// the leader: it would never replace the quota, and the controller would reject submissions for ever.
+/// A controller counts an acceptance without a reply as used. If it was not committed, the leader
+/// counts the quota as unspent and does not replace it, so the controller would reject submissions
+/// forever.
 #[test]
 fn a_controller_whose_acceptances_were_lost_requests_another_quota() {
     let mut controller = controller(Some(AdmissionPolicy::default()));
     controller.job_cache.quotas.put_controller("n0", 1, Revision(2));
-    controller.apply(&quota(1, 1));
+    controller.apply_unordered(&quota(1, 1));
     let (txn, _) = submit(&mut controller, 7, a_job(1, true));
-    let lost = Input::Store { op: txn.unwrap().0, reply: StoreReply::Unknown };
-    controller.step(1_100, 0, lost);
+    let lost_reply = Input::Store { op: txn.unwrap().0, reply: StoreReply::Unknown };
+    controller.step(1_100, 0, lost_reply);
     let (txn, effects) = submit(&mut controller, 200, a_job(1, true));
     assert!(txn.is_none(), "the quota is used up");
-    let announces = |e: &Effect| match e {
+    let writes_controller_record = |e: &Effect| match e {
         Effect::Store { call: StoreRequest::Transaction { preconditions, puts, .. }, .. } => {
             preconditions.contains(&Precondition::new(controller_key("n0"), Revision(2)))
                 && puts.iter().any(|p| p.key == controller_key("n0"))
         }
         _ => false,
     };
-    assert!(effects.iter().any(announces), "{effects:?}");
-    // The record is newer than the quota, by which the leader knows the request.
+    assert!(effects.iter().any(writes_controller_record), "{effects:?}");
+    // A record that is newer than the quota requests a replacement.
     controller.job_cache.quotas.put_controller("n0", 1, Revision(11));
     let cached = controller.job_cache.quotas.quota("t", "n0").unwrap();
     assert!(controller.job_cache.quotas.replacement_requested(cached));
--- a/crates/basaltrail-core/src/controller/client_requests.rs
+++ b/crates/basaltrail-core/src/controller/client_requests.rs
@@ -1,25 +1,26 @@
-//! Submissions, polls and cancellations as they come in, and what is answered at once.
+//! Receives submissions, polls and cancellations: answers those that need no call to the store and
+//! queues the others.
 
-use super::request_queue::{ClientRequest, NewJob, Rejection, RequestKind};
+use super::request_queue::{AdmittedSubmission, ClientRequest, Rejection, RequestKind};
 use super::Controller;
 use crate::answer::{Answer, InvalidReason, UnavailableReason, UnschedulableReason};
 use crate::model::{JobId, JobSpec, MachineType, RequestId};
 use crate::settings::Settings;
 use crate::store::records::{encode, JobRecord};
 
-/// Requests that may wait at once, per megabyte of memory: one takes a few kilobytes with its
-/// description, and the rest of the memory is for jobs and machines.
-const WAITING_PER_MB: f64 = 40.0;
-/// The least number of requests that may wait at once.
-const MIN_WAITING: f64 = 64.0;
-/// Seconds after which a request is repeated that a moment may help.
+/// Limit on waiting requests, per megabyte of memory. A request takes a few kilobytes with its
+/// description, and the rest of the memory is needed for jobs and machines.
+const WAITING_REQUESTS_PER_MB: f64 = 40.0;
+/// Lower bound of the limit on waiting requests.
+const MIN_WAITING_LIMIT: f64 = 64.0;
+/// `Retry-After` in seconds for conditions that are expected to pass quickly.
 pub(super) const RETRY_SOON_S: u32 = 1;
-/// Seconds after which a submission is repeated while too many jobs are active.
+/// `Retry-After` in seconds while too many jobs are active.
 const RETRY_TOO_MANY_JOBS_S: u32 = 10;
-/// Rounding allowed when a demand is compared with a team's limit, in CPUs or GPUs.
+/// Rounding error allowed in comparing a demand with a team's limit, in CPUs or GPUs.
 const LIMIT_TOLERANCE: f64 = 1e-9;
 
-/// Why a job can never run; none if it can. The answer is the same on every controller.
+/// Returns why a job can never run, or `None` if it can. Every controller returns the same answer.
 fn unschedulable_reason(
     settings: &Settings,
     types: &[MachineType],
@@ -29,10 +30,10 @@
         return Some(UnschedulableReason::UnknownTeam);
     };
     let team = &settings.teams[team];
-    // The replicas of a service run all at once, and for good.
-    let at_once = if spec.is_service() { f64::from(spec.tasks) } else { 1.0 };
-    if spec.cpus * at_once > team.cpus_max + LIMIT_TOLERANCE
-        || spec.gpus * at_once > team.gpus_max + LIMIT_TOLERANCE
+    // All replicas of a service run concurrently and without end.
+    let concurrent_tasks = if spec.is_service() { f64::from(spec.tasks) } else { 1.0 };
+    if spec.cpus * concurrent_tasks > team.cpus_max + LIMIT_TOLERANCE
+        || spec.gpus * concurrent_tasks > team.gpus_max + LIMIT_TOLERANCE
     {
         return Some(UnschedulableReason::OverTeamLimit);
     }
@@ -43,58 +44,59 @@
 }
 
 impl Controller {
-    /// Takes a submission.
-    pub(super) fn submit(&mut self, id: RequestId, job: JobId, spec: Box<JobSpec>) {
-        if self.answer_ended(id, job) || self.reject_overload(id) {
+    /// Answers a submission or queues it.
+    pub(super) fn handle_submission(&mut self, id: RequestId, job: JobId, spec: Box<JobSpec>) {
+        if self.answer_from_outcome(id, job) || self.reject_if_unavailable(id) {
             return;
         }
         let request = ClientRequest::new(id, RequestKind::Submit);
         if self.job_cache.active.contains_key(&job) {
-            return self.requests.confirm(self.now, job, request);
+            return self.requests.queue_confirmation(self.now, job, request);
         }
-        if self.types.known().is_empty() {
+        if self.machine_types.known().is_empty() {
             let reason = UnavailableReason::MachineTypesUnknown;
             return self.answer_unavailable(id, RETRY_SOON_S, reason);
         }
-        // It may be known all the same: then its user is told so.
+        // Another controller may have accepted the job. The store is asked before the rejection is
+        // answered.
         if let Some(rejection) = self.permanent_rejection(&spec) {
             let request = ClientRequest::rejected(id, rejection);
-            return self.requests.confirm(self.now, job, request);
+            return self.requests.queue_confirmation(self.now, job, request);
         }
         if self.job_cache.active.len() >= self.cfg.max_active_jobs() {
             let reason = UnavailableReason::TooManyJobs;
             return self.answer_unavailable(id, RETRY_TOO_MANY_JOBS_S, reason);
         }
-        let mut waiting =
+        let mut queued =
             self.requests.submissions.iter_mut().chain(&mut self.requests.awaiting_quota);
-        if let Some(new) = waiting.find(|new| new.job == job) {
-            self.requests.waiting += 1;
-            return new.requests.push(request);
+        if let Some(submission) = queued.find(|submission| submission.job == job) {
+            self.requests.waiting_count += 1;
+            return submission.requests.push(request);
         }
         match self.admission.admit(&self.job_cache, &spec) {
             Ok(reservation) => {
-                self.requests.waiting += 1;
-                self.requests.submissions.push(NewJob {
+                self.requests.waiting_count += 1;
+                self.requests.submissions.push(AdmittedSubmission {
                     job,
                     spec,
                     requests: vec![request],
-                    alone: false,
+                    own_transaction: false,
                     reservation,
                     quota_wait_until: self.now,
                 });
             }
-            // It may be known all the same: then its user is told so.
+            // As above, another controller may have accepted the job.
             Err(rejection) => {
                 self.count_rejection(&spec.team);
                 let request = ClientRequest::rejected(id, Rejection::NotAdmitted(rejection));
-                self.requests.confirm(self.now, job, request);
+                self.requests.queue_confirmation(self.now, job, request);
             }
         }
     }
 
-    /// Why a submission is not accepted here at any time, if it is not.
+    /// Returns why this controller never accepts a submission, or `None` if it may accept it.
     fn permanent_rejection(&self, spec: &JobSpec) -> Option<Rejection> {
-        if let Some(reason) = unschedulable_reason(&self.cfg, self.types.known(), spec) {
+        if let Some(reason) = unschedulable_reason(&self.cfg, self.machine_types.known(), spec) {
             return Some(Rejection::Unschedulable(reason));
         }
         let accepted_by = Some(self.cfg.controller.clone());
@@ -103,22 +105,22 @@
         too_long.then_some(Rejection::Invalid(InvalidReason::DescriptionTooLong))
     }
 
-    /// Takes a poll or a cancellation.
-    pub(super) fn poll_or_cancel(&mut self, id: RequestId, job: JobId, kind: RequestKind) {
-        if self.answer_ended(id, job) || self.reject_overload(id) {
+    /// Answers a poll or a cancellation or queues it.
+    pub(super) fn handle_poll_or_cancel(&mut self, id: RequestId, job: JobId, kind: RequestKind) {
+        if self.answer_from_outcome(id, job) || self.reject_if_unavailable(id) {
             return;
         }
         let request = ClientRequest::new(id, kind);
         if kind == RequestKind::Cancel {
-            self.requests.waiting += 1;
+            self.requests.waiting_count += 1;
             self.cancel(job, vec![request]);
         } else {
-            self.requests.confirm(self.now, job, request);
+            self.requests.queue_confirmation(self.now, job, request);
         }
     }
 
-    /// Answers a request for a job whose outcome is known; false if it is not.
-    fn answer_ended(&mut self, id: RequestId, job: JobId) -> bool {
+    /// Answers a request for a job whose outcome is cached. Returns false if it is not cached.
+    fn answer_from_outcome(&mut self, id: RequestId, job: JobId) -> bool {
         if self.job_cache.outcome(job).is_none() {
             return false;
         }
@@ -127,12 +129,13 @@
         true
     }
 
-    /// Answers that no request can be taken now; false if it can.
-    fn reject_overload(&mut self, id: RequestId) -> bool {
-        let max_waiting = (self.cfg.memory_mb * WAITING_PER_MB).max(MIN_WAITING) as usize;
+    /// Rejects a request if this controller is starting or overloaded. Returns whether it did.
+    fn reject_if_unavailable(&mut self, id: RequestId) -> bool {
+        let max_waiting =
+            (self.cfg.memory_mb * WAITING_REQUESTS_PER_MB).max(MIN_WAITING_LIMIT) as usize;
         let reason = if !self.job_watch.is_loaded() {
             UnavailableReason::Starting
-        } else if self.requests.waiting >= max_waiting {
+        } else if self.requests.waiting_count >= max_waiting {
             UnavailableReason::TooManyRequests
         } else {
             return false;
@@ -141,12 +144,12 @@
         true
     }
 
-    /// Answers a request that does not count as waiting.
+    /// Answers 503 to a request that does not count as waiting.
     fn answer_unavailable(&mut self, id: RequestId, retry_after_s: u32, reason: UnavailableReason) {
         self.calls.answer(id, Answer::Unavailable { retry_after_s, reason });
     }
 
-    /// Answers requests that wait, and counts them as waiting no more.
+    /// Answers 503 to waiting requests and removes them from the count of waiting requests.
     pub(super) fn answer_waiting_unavailable(
         &mut self,
         requests: Vec<ClientRequest>,
@@ -158,9 +161,9 @@
         }
     }
 
-    /// Answers a request that waits, and counts it as waiting no more.
+    /// Answers a waiting request and removes it from the count of waiting requests.
     pub(super) fn answer_waiting(&mut self, id: RequestId, answer: Answer) {
-        self.requests.waiting = self.requests.waiting.saturating_sub(1);
+        self.requests.waiting_count = self.requests.waiting_count.saturating_sub(1);
         self.calls.answer(id, answer);
     }
 }
--- a/crates/basaltrail-core/src/controller/cloud_replies.rs
+++ b/crates/basaltrail-core/src/controller/cloud_replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the cloud: each goes to the part of the controller that made the call.
+//! Dispatches replies of the cloud to the part of the controller that made the call.
 
 use super::Controller;
 use crate::io::CloudReply;
@@ -6,23 +6,23 @@
 use crate::store::calls::CloudPurpose;
 
 impl Controller {
-    /// Takes a reply of the cloud, or that a call was given up.
-    pub(super) fn cloud_replied(&mut self, call: CallId, reply: CloudReply) {
+    /// Handles the reply to a cloud call, or its timeout.
+    pub(super) fn handle_cloud_reply(&mut self, call: CallId, reply: CloudReply) {
         let Some(purpose) = self.calls.finish_cloud(call) else { return };
         match purpose {
-            CloudPurpose::MachineTypes => self.machine_types_told(reply),
+            CloudPurpose::MachineTypes => self.handle_cloud_machine_types(reply),
             CloudPurpose::Provision { token, requisition } => {
-                self.with_leader_of(token, |leader, ctx, calls| {
+                self.with_leader_of_term(token, |leader, ctx, calls| {
                     leader.provisioning_answer(ctx, calls, &requisition, reply);
                 });
             }
             CloudPurpose::Terminate { token, machines } => {
-                self.with_leader_of(token, |leader, ctx, calls| {
+                self.with_leader_of_term(token, |leader, ctx, calls| {
                     leader.termination_answer(ctx, calls, machines, reply);
                 });
             }
             CloudPurpose::List { token } => {
-                self.with_leader_of(token, |leader, ctx, calls| {
+                self.with_leader_of_term(token, |leader, ctx, calls| {
                     leader.inventory_answer(ctx, calls, reply);
                 });
             }
--- a/crates/basaltrail-core/src/controller/heartbeats.rs
+++ b/crates/basaltrail-core/src/controller/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of workers: whether this controller may answer them, and what is logged of the
-//! answers. The rules of an answer that renews a worker's lease stand in [`crate::lease_renewal`].
+//! Answers heartbeats of workers and logs the answers. [`crate::lease_renewal`] has the rules under
+//! which an answer may renew a worker's lease.
 
 use super::Controller;
 use crate::answer::Answer;
@@ -10,8 +10,8 @@
 
 impl Controller {
     /// Answers a heartbeat.
-    pub(super) fn heartbeat(&mut self, id: RequestId, heartbeat: &Heartbeat) {
-        let decision = self.answer_worker(heartbeat);
+    pub(super) fn handle_heartbeat(&mut self, id: RequestId, heartbeat: &Heartbeat) {
+        let decision = self.decide_answer(heartbeat);
         self.log_decision(heartbeat, &decision);
         let answer = match decision {
             Ok(answer) => answer,
@@ -22,36 +22,38 @@
                 refusal.answer(leader.map(str::to_string))
             }
         };
-        self.check_renewal(heartbeat, &answer);
+        self.check_renewal_invariant(heartbeat, &answer);
         self.calls.answer(id, answer);
     }
 
-    /// What this controller may rely on now.
-    fn knowledge(&self) -> RenewalEvidence<'_> {
+    /// Returns the evidence on which an answer to a heartbeat may rely now.
+    fn renewal_evidence(&self) -> RenewalEvidence<'_> {
         let holds_valid_lease = self.election.holds_valid_lease(self.now);
         RenewalEvidence {
             cfg: &self.cfg,
             job_cache: &self.job_cache,
             now: self.now,
-            // The lease may have been acquired in this very step.
+            // The lease may have been acquired in this step, before `lease_held_since` is updated.
             lease_held_since: holds_valid_lease.then(|| self.lease_held_since.unwrap_or(self.now)),
             jobs_as_of: self.job_watch.as_of(),
         }
     }
 
-    fn answer_worker(&mut self, heartbeat: &Heartbeat) -> Result<Answer, RenewalRefusal> {
-        let knowledge = self.knowledge();
-        let permit = knowledge.permit(heartbeat);
-        let unknown = match permit {
-            // Without a valid lease or a fresh job cache the heartbeat is not even taken.
+    /// Decides on the answer to a heartbeat and applies the heartbeat to the leader state.
+    fn decide_answer(&mut self, heartbeat: &Heartbeat) -> Result<Answer, RenewalRefusal> {
+        let evidence = self.renewal_evidence();
+        let permit = evidence.permit(heartbeat);
+        let unknown_jobs = match permit {
+            // Without a valid lease or a fresh job cache, the heartbeat is not applied to the
+            // leader state.
             Err(refusal @ (RenewalRefusal::NoValidLease | RenewalRefusal::JobsNotRead)) => {
                 return Err(refusal)
             }
-            Err(_) => knowledge.unknown_jobs(heartbeat),
+            Err(_) => evidence.unknown_jobs(heartbeat),
             Ok(_) => BTreeSet::new(),
         };
         self.with_leader(|leader, ctx, calls, rng| {
-            for job in unknown {
+            for job in unknown_jobs {
                 leader.read_job(ctx, job);
             }
             leader.heartbeat(ctx, calls, heartbeat, permit, rng)
@@ -59,13 +61,13 @@
         .unwrap_or(Err(RenewalRefusal::NoValidLease))
     }
 
-    /// Checks the invariant of [`crate::lease_renewal`] by the answer alone. A violation is logged
-    /// and the answer goes out: ending the process would help nobody.
-    fn check_renewal(&mut self, heartbeat: &Heartbeat, answer: &Answer) {
+    /// Checks the invariant of [`crate::lease_renewal`] on the final answer alone. A violation is
+    /// logged and the answer is sent anyway, since ending the process would not help any user.
+    fn check_renewal_invariant(&mut self, heartbeat: &Heartbeat, answer: &Answer) {
         let Answer::Commands { commands, .. } = answer else { return };
         self.heartbeat_counters.count_renewal(commands);
-        let kept = self.knowledge().kept_without_evidence(heartbeat, answer);
-        for task in &kept {
+        let kept_tasks = self.renewal_evidence().kept_without_evidence(heartbeat, answer);
+        for task in &kept_tasks {
             self.heartbeat_counters.violations += 1;
             let machine = heartbeat.machine.clone();
             self.calls.log(HeartbeatEvent::RenewalViolation { machine, task: *task });
@@ -93,12 +95,12 @@
         });
     }
 
-    /// Logs once a round how heartbeats were answered, and on what knowledge.
+    /// Logs once per round the counts of answers to heartbeats and the state they relied on.
     pub(super) fn log_heartbeat_summary(&mut self) {
-        if self.now < self.next_heartbeat_summary {
+        if self.now < self.next_heartbeat_summary_at {
             return;
         }
-        self.next_heartbeat_summary = self.now + self.cfg.round_ms();
+        self.next_heartbeat_summary_at = self.now + self.cfg.round_ms();
         if self.heartbeat_counters == AnswerCounters::default() {
             return;
         }
@@ -112,8 +114,8 @@
         }));
     }
 
-    /// Logs whenever this controller learns of another leader.
-    pub(super) fn log_leader(&mut self) {
+    /// Logs every change of the leader that this controller knows of.
+    pub(super) fn log_leader_change(&mut self) {
         let leader = self.election.leader_hint();
         if leader == self.logged_leader.as_deref() {
             return;
--- a/crates/basaltrail-core/src/controller/inspection.rs
+++ b/crates/basaltrail-core/src/controller/inspection.rs
@@ -1,4 +1,4 @@
-//! What operators are told of limits, use and quotas.
+//! The report for operators: limits, use and admission quotas.
 
 use super::Controller;
 use crate::answer::Answer;
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 
 impl Controller {
-    /// Answers an operator.
-    pub(super) fn inspect(&mut self, id: RequestId) {
+    /// Answers an operator's request for the report.
+    pub(super) fn answer_inspection(&mut self, id: RequestId) {
         let used = self.with_leader(|leader, ctx, _, _| leader.use_by_team(ctx));
-        let used = used.filter(|_| self.leading());
+        let used = used.filter(|_| self.is_leading());
         let teams = (0..self.cfg.teams.len()).map(|team| self.team_report(team, used.as_deref()));
         let report = LimitsReport {
             controller: self.cfg.controller.clone(),
@@ -23,36 +23,38 @@
         self.calls.answer(id, Answer::Limits(Box::new(report)));
     }
 
-    /// `used` are the CPUs that each team uses, which only the leader knows.
+    /// Returns the report of one team. `used` holds the CPUs in use by team; only the leader has
+    /// it.
     fn team_report(&self, index: usize, used: Option<&[f64]>) -> TeamReport {
         let team = &self.cfg.teams[index];
         let mut classes: BTreeMap<String, ClassReport> = BTreeMap::new();
-        let empty = |name: &str| ClassReport { class: name.into(), ..ClassReport::default() };
+        let empty_report =
+            |name: &str| ClassReport { class: name.into(), ..ClassReport::default() };
         for job in self.job_cache.active.values().filter(|job| job.spec.team == team.name) {
             let name = &job.spec.class;
-            classes.entry(name.clone()).or_insert_with(|| empty(name)).jobs += 1;
+            classes.entry(name.clone()).or_insert_with(|| empty_report(name)).jobs += 1;
         }
         let cached = self.job_cache.quotas.quota(&team.name, &self.cfg.controller);
         let remaining = self.admission.remaining(&self.job_cache, &team.name);
-        let binds = self.admission.quotas_bind() && !remaining.is_empty();
-        if let Some(cached) = cached.filter(|_| binds) {
-            let pair = |amount: WorkAmount| Some((amount.jobs, amount.work));
+        let quota_applies = self.admission.quotas_bind() && !remaining.is_empty();
+        if let Some(cached) = cached.filter(|_| quota_applies) {
+            let jobs_and_work = |amount: WorkAmount| Some((amount.jobs, amount.work));
             for (entry, remaining) in cached.quota.classes.iter().zip(remaining) {
                 let name = &entry.class;
-                let report = classes.entry(name.clone()).or_insert_with(|| empty(name));
-                report.allotted = pair(entry.amount());
-                report.left = pair(remaining);
+                let report = classes.entry(name.clone()).or_insert_with(|| empty_report(name));
+                report.allotted = jobs_and_work(entry.amount());
+                report.left = jobs_and_work(remaining);
             }
         }
         // The entry for all other classes comes last.
-        let others = classes.remove(OTHER_CLASSES);
+        let other_classes = classes.remove(OTHER_CLASSES);
         TeamReport {
             team: team.name.clone(),
             guaranteed: team.cpus,
             limit: team.cpus_max.is_finite().then_some(team.cpus_max),
             used: used.map(|used| used[index]),
-            refused: self.admission.rejected_of_team(index),
-            classes: classes.into_values().chain(others).collect(),
+            refused: self.admission.rejected_count(index),
+            classes: classes.into_values().chain(other_classes).collect(),
         }
     }
 }
--- a/crates/basaltrail-core/src/controller/job_lookups.rs
+++ b/crates/basaltrail-core/src/controller/job_lookups.rs
@@ -1,5 +1,5 @@
-//! Requests for jobs that may be known: the calls that confirm, read and cancel jobs, and what is
-//! answered after them.
+//! Confirms, reads and cancels jobs in the store, and answers the requests that wait for these
+//! calls.
 
 use super::client_requests::RETRY_SOON_S;
 use super::request_queue::{ClientRequest, JobConfirmation, JobLookup, Rejection, RequestKind};
@@ -12,54 +12,55 @@
 use crate::store::rate_limiter::CallPriority;
 use crate::store::records::{active_job_key, encode, outcome_key};
 
-/// Confirmations that wait for a reply at once.
+/// Limit on confirmations in flight.
 const MAX_CONFIRMATIONS_IN_FLIGHT: u32 = 4;
-/// The longest that requests are gathered for one confirmation: what a user takes for an answer at
-/// once.
-const MAX_GATHERING_MS: Ms = 150;
-/// How long confirmations may wait for the rate limit before their requests are answered that it is
-/// not possible; a user waits 2 s for an answer (PROTOCOL, "GET /api/jobs/{id}").
+/// Longest time for which requests are collected for one confirmation, in milliseconds. Users still
+/// perceive an answer with this delay as immediate.
+const MAX_BATCHING_MS: Ms = 150;
+/// Longest time for which confirmations wait for the rate limit, in milliseconds, before their
+/// requests are answered 503. A user waits 2 s for an answer (PROTOCOL, "GET /api/jobs/{id}").
 const MAX_CONFIRMATION_WAIT_MS: Ms = 1_000;
-/// Lookups that may wait when the leader adds those of jobs it does not know.
-const MAX_LOOKUPS: usize = 16;
-/// Changes of a cancellation: the outcome is put and the active record deleted.
+/// Number of queued lookups above which no lookups of the leader's unknown jobs are added.
+const MAX_QUEUED_LOOKUPS: usize = 16;
+/// Changes in the transaction of a cancellation: the outcome is put and the active record deleted.
 const CANCELLATION_CHANGES: usize = 2;
 
 impl Controller {
-    /// How long a call waits that a user waits for, too.
+    /// Returns the timeout of store calls that a user waits for, in milliseconds.
     pub(super) fn request_timeout_ms(&self) -> Ms {
         self.cfg.leader_lease_ms() / 5
     }
 
-    /// Sends confirmations, if the rate limits allow. Requests are gathered for a moment and
-    /// confirmed together.
+    /// Sends a confirmation if the rate limit allows it. Requests are collected for a short time
+    /// and confirmed together.
     pub(super) fn send_confirmations(&mut self) {
         let max_preconditions = self.cfg.transaction_ops * 4;
-        let jobs = self.requests.jobs_to_confirm();
-        if jobs == 0 || self.requests.confirmations_in_flight >= MAX_CONFIRMATIONS_IN_FLIGHT {
+        let unconfirmed = self.requests.unconfirmed_count();
+        if unconfirmed == 0 || self.requests.confirmations_in_flight >= MAX_CONFIRMATIONS_IN_FLIGHT
+        {
             return;
         }
-        let gathering = (self.cfg.heartbeat_interval_ms / 10).min(MAX_GATHERING_MS);
-        let full = jobs * 2 >= max_preconditions;
-        if !full && self.now < self.requests.gathering_since + gathering {
+        let batching_ms = (self.cfg.heartbeat_interval_ms / 10).min(MAX_BATCHING_MS);
+        let batch_is_full = unconfirmed * 2 >= max_preconditions;
+        if !batch_is_full && self.now < self.requests.batch_started_at + batching_ms {
             return;
         }
         if self.calls.try_acquire(self.now, CallPriority::Request) {
             let (jobs, preconditions) =
-                self.requests.take_confirmations(&self.job_cache, max_preconditions.max(2));
+                self.requests.next_confirmations(&self.job_cache, max_preconditions.max(2));
             self.requests.confirmations_in_flight += 1;
-            self.requests.gathering_since = self.now;
+            self.requests.batch_started_at = self.now;
             let request =
                 StoreRequest::Transaction { preconditions, puts: Vec::new(), deletes: Vec::new() };
             let timeout_ms = self.request_timeout_ms();
             self.calls.send_to_store(StorePurpose::ConfirmJobs(jobs), request, timeout_ms);
-        } else if self.now > self.requests.gathering_since + MAX_CONFIRMATION_WAIT_MS {
-            let requests = self.requests.drop_confirmations();
+        } else if self.now > self.requests.batch_started_at + MAX_CONFIRMATION_WAIT_MS {
+            let requests = self.requests.drain_confirmations();
             self.answer_not_confirmed(requests);
         }
     }
 
-    /// Reads records, as many as the rate limit allows.
+    /// Sends queued lookups, as many as the rate limit allows.
     pub(super) fn send_lookups(&mut self) {
         while !self.requests.lookups.is_empty()
             && self.calls.try_acquire(self.now, CallPriority::Request)
@@ -72,31 +73,34 @@
         }
     }
 
-    /// Has the records read of jobs that the leader does not know.
-    pub(super) fn look_up_unknown_jobs(&mut self) {
+    /// Queues lookups of jobs that the leader does not know.
+    pub(super) fn queue_unknown_job_lookups(&mut self) {
         let Some(leader) = self.leader.as_mut() else { return };
-        if leader.failover.unknown_jobs.is_empty() || self.requests.lookups.len() > MAX_LOOKUPS {
+        if leader.failover.unknown_jobs.is_empty()
+            || self.requests.lookups.len() > MAX_QUEUED_LOOKUPS
+        {
             return;
         }
-        // Each is read once a second at the most, by taking it off the list here; the next
-        // heartbeats of workers add it again while it stays unknown.
+        // Removing a job from the set limits its lookups to one per second: while it stays unknown,
+        // the next heartbeats of workers add it again.
         while let Some(job) = leader.failover.unknown_jobs.pop_first() {
-            self.requests.look_up(job, Vec::new());
-            if self.requests.lookups.len() > MAX_LOOKUPS {
+            self.requests.queue_lookup(job, Vec::new());
+            if self.requests.lookups.len() > MAX_QUEUED_LOOKUPS {
                 break;
             }
         }
     }
 
-    /// Takes the reply to a confirmation.
-    pub(super) fn jobs_confirmed(&mut self, jobs: Vec<JobConfirmation>, reply: StoreReply) {
+    /// Handles the reply to a confirmation.
+    pub(super) fn handle_confirm_reply(&mut self, jobs: Vec<JobConfirmation>, reply: StoreReply) {
         self.requests.confirmations_in_flight -= 1;
         match reply {
             StoreReply::Committed { .. } => {
-                for JobConfirmation { job, requests, known } in jobs {
-                    // What was confirmed is a record that was deleted since: it has an outcome.
-                    if known && self.requests.job_answer(&self.job_cache, job).is_none() {
-                        self.requests.look_up(job, requests);
+                for JobConfirmation { job, requests, expects_active } in jobs {
+                    // The confirmed record has been removed from the job cache since, so the job
+                    // has an outcome.
+                    if expects_active && self.requests.job_answer(&self.job_cache, job).is_none() {
+                        self.requests.queue_lookup(job, requests);
                     } else {
                         self.answer_confirmed(job, requests);
                     }
@@ -106,12 +110,12 @@
                 for JobConfirmation { job, requests, .. } in jobs {
                     let keys = [active_job_key(job), outcome_key(job)];
                     if keys.iter().any(|key| failed.contains(key)) {
-                        self.requests.look_up(job, requests);
+                        self.requests.queue_lookup(job, requests);
                     } else {
-                        self.requests.confirm_again(job, requests);
+                        self.requests.requeue_confirmation(job, requests);
                     }
                 }
-                self.requests.gathering_since = self.now;
+                self.requests.batch_started_at = self.now;
             }
             _ => {
                 for confirmation in jobs {
@@ -121,17 +125,17 @@
         }
     }
 
-    /// Takes the reply to a lookup of an active record.
-    pub(super) fn active_job_read(
+    /// Handles the reply to a lookup of an active record.
+    pub(super) fn handle_active_job_reply(
         &mut self,
         job: JobId,
         requests: Vec<ClientRequest>,
         reply: StoreReply,
     ) {
         match reply {
-            StoreReply::KeyValue(item) => self.job_read(&item, job, requests),
-            // The outcome is read after the active record was found missing: a job only ever
-            // goes from one to the other, so missing both means it never was.
+            StoreReply::KeyValue(item) => self.handle_found_record(&item, job, requests),
+            // An active record is only ever replaced by an outcome. The outcome is read after the
+            // active record was found missing, so a job without either was never accepted.
             StoreReply::NotFound => {
                 let request = StoreRequest::Get(outcome_key(job));
                 let timeout_ms = self.request_timeout_ms();
@@ -139,27 +143,28 @@
                 let purpose = StorePurpose::ReadOutcome { job, requests };
                 self.calls.send_to_store(purpose, request, timeout_ms);
             }
-            _ => self.lookup_failed(job, requests),
+            _ => self.handle_failed_lookup(job, requests),
         }
     }
 
-    /// Takes the reply to a lookup of an outcome.
-    pub(super) fn outcome_read(
+    /// Handles the reply to a lookup of an outcome.
+    pub(super) fn handle_outcome_reply(
         &mut self,
         job: JobId,
         requests: Vec<ClientRequest>,
         reply: StoreReply,
     ) {
         match reply {
-            StoreReply::KeyValue(item) => self.job_read(&item, job, requests),
+            StoreReply::KeyValue(item) => self.handle_found_record(&item, job, requests),
             StoreReply::NotFound => self.answer_confirmed(job, requests),
-            _ => self.lookup_failed(job, requests),
+            _ => self.handle_failed_lookup(job, requests),
         }
     }
 
-    fn job_read(&mut self, item: &KeyValue, job: JobId, requests: Vec<ClientRequest>) {
-        self.apply(item);
-        // A record that cannot be read does not mean that there is none.
+    /// Applies a record that was looked up and answers the requests that waited for it.
+    fn handle_found_record(&mut self, item: &KeyValue, job: JobId, requests: Vec<ClientRequest>) {
+        self.apply_unordered(item);
+        // An unreadable record does not mean that the job does not exist, so the answer is not 404.
         match self.requests.job_answer(&self.job_cache, job) {
             Some(_) => self.answer_confirmed(job, requests),
             None => {
@@ -169,20 +174,20 @@
         }
     }
 
-    fn lookup_failed(&mut self, job: JobId, requests: Vec<ClientRequest>) {
+    fn handle_failed_lookup(&mut self, job: JobId, requests: Vec<ClientRequest>) {
         if requests.is_empty() {
             if let Some(leader) = self.leader.as_mut() {
-                // Read again while it is not known; see `look_up_unknown_jobs`.
+                // The lookup was for the leader and is repeated by `queue_unknown_job_lookups`.
                 leader.failover.unknown_jobs.insert(job);
             }
         }
         self.answer_not_confirmed(requests);
     }
 
-    /// Cancels a job: the outcome replaces the active record, if that is still as it is known.
+    /// Cancels a job: replaces its active record by the outcome if the cached record is current.
     pub(super) fn cancel(&mut self, job: JobId, requests: Vec<ClientRequest>) {
         let Some(active) = self.job_cache.active.get(&job) else {
-            return self.requests.look_up(job, requests);
+            return self.requests.queue_lookup(job, requests);
         };
         let mod_revision = active.mod_revision;
         let priority = CallPriority::Request;
@@ -199,8 +204,8 @@
         self.calls.send_to_store(StorePurpose::CancelJob { job, requests }, request, timeout_ms);
     }
 
-    /// Takes the reply to a cancellation.
-    pub(super) fn job_cancelled(
+    /// Handles the reply to a cancellation.
+    pub(super) fn handle_cancel_reply(
         &mut self,
         job: JobId,
         requests: Vec<ClientRequest>,
@@ -212,7 +217,7 @@
                 self.calls.log(JobEvent::Cancelled { job });
                 self.answer_confirmed(job, requests);
             }
-            StoreReply::Conflict { .. } => self.requests.look_up(job, requests),
+            StoreReply::Conflict { .. } => self.requests.queue_lookup(job, requests),
             _ => {
                 let reason = UnavailableReason::NotDecided;
                 self.answer_waiting_unavailable(requests, RETRY_SOON_S, reason);
@@ -220,28 +225,29 @@
         }
     }
 
-    /// Answers requests for a job whose record was confirmed or read just now.
+    /// Answers requests for a job whose state was just confirmed or read.
     fn answer_confirmed(&mut self, job: JobId, requests: Vec<ClientRequest>) {
         for request in requests {
             if request.kind == RequestKind::Cancel && self.job_cache.active.contains_key(&job) {
                 self.cancel(job, vec![request]);
                 continue;
             }
-            let known = self.requests.job_answer(&self.job_cache, job);
-            let answer = match (known, request.kind) {
+            let job_answer = self.requests.job_answer(&self.job_cache, job);
+            let answer = match (job_answer, request.kind) {
                 (Some(answer), _) => answer,
-                (None, RequestKind::Submit) => self.not_accepted(request.rejection),
+                (None, RequestKind::Submit) => self.not_accepted_answer(request.rejection),
                 (None, _) => Answer::NotFound,
             };
             self.answer_waiting(request.id, answer);
         }
     }
 
-    /// The answer to a submission that is neither accepted nor known.
-    fn not_accepted(&mut self, rejection: Option<Rejection>) -> Answer {
+    /// Returns the answer to a submission that was not accepted and whose job the store does not
+    /// know.
+    fn not_accepted_answer(&mut self, rejection: Option<Rejection>) -> Answer {
         match rejection {
             Some(Rejection::NotAdmitted(rejection)) => {
-                self.admission.not_admitted(&mut self.rng, rejection)
+                self.admission.rejection_answer(&mut self.rng, rejection)
             }
             Some(Rejection::Unschedulable(reason)) => Answer::Unschedulable(reason),
             Some(Rejection::Invalid(reason)) => Answer::Invalid(reason),
@@ -252,6 +258,7 @@
         }
     }
 
+    /// Answers 503 to requests whose job could not be confirmed.
     fn answer_not_confirmed(&mut self, requests: Vec<ClientRequest>) {
         let reason = UnavailableReason::NotConfirmed;
         self.answer_waiting_unavailable(requests, RETRY_SOON_S, reason);
--- a/crates/basaltrail-core/src/controller/job_watching.rs
+++ b/crates/basaltrail-core/src/controller/job_watching.rs
@@ -1,5 +1,5 @@
-//! How the job cache is kept up to date: the list of the jobs, the watches that follow it, and the
-//! records that they bring.
+//! Keeps the job cache up to date: lists the jobs, watches them for changes, and applies the
+//! records that were read.
 
 use super::Controller;
 use crate::events::{JobEvent, StoreEvent};
@@ -14,11 +14,11 @@
 };
 use std::collections::BTreeSet;
 
-/// Keys of one page of the list; the store gives 1,000 at the most (PROTOCOL, "GET /kv").
-const PAGE_KEYS: u32 = 500;
+/// Limit on the keys in a page of the list. The store allows up to 1,000 (PROTOCOL, "GET /kv").
+const MAX_PAGE_KEYS: u32 = 500;
 
 impl Controller {
-    /// Lists the jobs, or opens the watch again, if that is due and the rate limit allows.
+    /// Lists the jobs or reopens the watch, if that is due and the rate limit allows it.
     pub(super) fn watch_jobs(&mut self) {
         let Some(call) = self.job_watch.call_due(self.now) else { return };
         if !self.calls.try_acquire(self.now, CallPriority::Request) {
@@ -28,7 +28,7 @@
         match call {
             JobWatchCall::List => self.send_list(ListPart::Jobs, None, self.now),
             JobWatchCall::Watch { after } => {
-                // Short enough that a watch that hangs costs little of `cancel_s`.
+                // The timeout is short so that a watch that hangs uses up little of `cancel_s`.
                 let wait_ms = self.cfg.watch_timeout_ms();
                 let timeout_ms = wait_ms + self.cfg.leader_lease_ms() / 2;
                 self.send_watch(WatchKind::Waiting, after, wait_ms, timeout_ms);
@@ -36,33 +36,35 @@
         }
     }
 
-    /// Overtakes a watch that hangs, or that was opened before the leader's lease was acquired.
-    pub(super) fn catch_up(&mut self) {
+    /// Sends a watch that is answered at once if the job cache is too old. The open watch may hang
+    /// or may have been sent before the leader lease was acquired.
+    pub(super) fn send_catch_up_watch(&mut self) {
         let Some(since) = self.lease_held_since else { return };
         let timeout_ms = self.cfg.leader_lease_ms() / 4;
-        let max_age = self.cfg.watch_timeout_ms() + timeout_ms;
-        if let Some(after) = self.job_watch.catch_up_due(since, self.now, max_age) {
+        let max_age_ms = self.cfg.watch_timeout_ms() + timeout_ms;
+        if let Some(after) = self.job_watch.catch_up_due(since, self.now, max_age_ms) {
             self.job_watch.sent(WatchKind::CatchUp);
             self.calls.try_acquire(self.now, CallPriority::Lease);
             self.send_watch(WatchKind::CatchUp, after, 0, timeout_ms);
         }
     }
 
-    /// Whether what ended before our lease was acquired is known, and what is known is no older
-    /// than a watch that is answered leaves it. Users may have been told elsewhere that a job is
-    /// cancelled while this process stood still, was cut off or held no lease: until that is read,
-    /// no task is started.
+    /// Returns whether the job cache was read after the current leader lease was acquired and is no
+    /// older than an answered watch leaves it. No task is started while it is not: other
+    /// controllers may have answered that a job is cancelled while this process was paused,
+    /// partitioned or without a lease.
     pub(super) fn job_cache_is_fresh(&self) -> bool {
-        let max_age = self.cfg.watch_timeout_ms()
+        let max_age_ms = self.cfg.watch_timeout_ms()
             + self.cfg.leader_lease_ms() / 2
             + self.cfg.heartbeat_interval_ms;
-        self.lease_held_since.is_some_and(|since| self.job_watch.is_fresh(since, self.now, max_age))
+        self.lease_held_since
+            .is_some_and(|since| self.job_watch.is_fresh(since, self.now, max_age_ms))
     }
 
     fn send_list(&mut self, part: ListPart, after: Option<String>, sent: Ms) {
         let timeout_ms = self.cfg.leader_lease_ms() / 2;
         let prefix = part.prefix().to_string();
-        let request = StoreRequest::List { prefix, after: after.clone(), limit: PAGE_KEYS };
+        let request = StoreRequest::List { prefix, after: after.clone(), limit: MAX_PAGE_KEYS };
         self.calls.send_to_store(StorePurpose::ListJobs { part, after, sent }, request, timeout_ms);
     }
 
@@ -72,14 +74,14 @@
         self.calls.send_to_store(purpose, request, timeout_ms);
     }
 
-    /// Takes the reply to a watch of the jobs.
-    pub(super) fn watch_replied(&mut self, kind: WatchKind, sent: Ms, reply: StoreReply) {
-        // Changes come in crowds; one watch for each would cost too much.
-        let soon = self.now + self.cfg.heartbeat_interval_ms / 10;
-        let later = self.now + self.cfg.heartbeat_interval_ms / 4;
+    /// Handles the reply to a watch of the jobs.
+    pub(super) fn handle_watch_reply(&mut self, kind: WatchKind, sent: Ms, reply: StoreReply) {
+        // Changes come in bursts. A delay collects them, since a watch for each costs too much.
+        let next_watch_at = self.now + self.cfg.heartbeat_interval_ms / 10;
+        let retry_at = self.now + self.cfg.heartbeat_interval_ms / 4;
         match reply {
             StoreReply::Events { revision, events } => {
-                self.job_watch.answered(kind, soon);
+                self.job_watch.answered(kind, next_watch_at);
                 for event in &events {
                     self.apply_event(event);
                 }
@@ -94,15 +96,15 @@
                 }
             }
             StoreReply::Compacted => {
-                self.job_watch.answered(kind, soon);
+                self.job_watch.answered(kind, next_watch_at);
                 self.job_watch.restart_list();
             }
-            _ => self.job_watch.answered(kind, later),
+            _ => self.job_watch.answered(kind, retry_at),
         }
     }
 
-    /// Takes a page of the list.
-    pub(super) fn list_replied(
+    /// Handles a page of the list.
+    pub(super) fn handle_list_reply(
         &mut self,
         part: ListPart,
         after: Option<String>,
@@ -114,13 +116,13 @@
             return;
         };
         for item in &items {
-            self.apply(item);
+            self.apply_unordered(item);
         }
         if part == ListPart::Jobs {
             self.remove_unlisted(&items, after.as_deref(), more, revision);
         }
-        // The watch starts where the first page was read.
-        let first = self.job_watch.page_read(revision);
+        // The watch starts at the revision of the first page.
+        let list_revision = self.job_watch.page_read(revision);
         if more {
             return self.send_list(part, items.last().map(|item| item.key.clone()), sent);
         }
@@ -129,13 +131,14 @@
         }
         self.job_watch.list_completed(sent);
         self.calls.log(JobEvent::Listed {
-            revision: first,
+            revision: list_revision,
             active: self.job_cache.active.len(),
             took_ms: self.now - sent,
         });
     }
 
-    /// Removes active jobs whose keys are in the range of a page and that are not listed there.
+    /// Removes the active jobs that the job cache holds and a page does not list, in the page's key
+    /// range.
     fn remove_unlisted(
         &mut self,
         items: &[KeyValue],
@@ -151,8 +154,8 @@
             let key = active_job_key(**job);
             in_range(&key) && !listed.contains(key.as_str())
         };
-        let gone: Vec<JobId> = self.job_cache.active.keys().filter(unlisted).copied().collect();
-        for job in gone {
+        let removed: Vec<JobId> = self.job_cache.active.keys().filter(unlisted).copied().collect();
+        for job in removed {
             self.job_cache.remove_active(job, revision.next());
         }
     }
@@ -168,12 +171,12 @@
         }
     }
 
-    /// Takes a record that was read alone or from a list.
-    pub(super) fn apply(&mut self, item: &KeyValue) {
+    /// Applies a record that was read alone or from a list, so earlier changes may be unknown.
+    pub(super) fn apply_unordered(&mut self, item: &KeyValue) {
         self.apply_record(item, false);
     }
 
-    /// Takes a record; `in_order` says whether every change before it is known.
+    /// Applies a record to the job cache. `in_order` is true if every earlier change is known.
     fn apply_record(&mut self, item: &KeyValue, in_order: bool) {
         if let Some(job) = item.key.strip_prefix(ACTIVE_JOBS_PREFIX).and_then(parse_job) {
             match decode::<JobRecord>(&item.value) {
@@ -185,7 +188,7 @@
                 self.job_cache.put_outcome(job, outcome);
             }
         } else if item.key.starts_with(ADMISSION_PREFIX) {
-            self.apply_admission(item, in_order);
+            self.apply_admission_record(item, in_order);
         }
     }
 }
--- a/crates/basaltrail-core/src/controller/machine_types.rs
+++ b/crates/basaltrail-core/src/controller/machine_types.rs
@@ -1,4 +1,5 @@
-//! Calls that keep the machine types known: see [`crate::machines::types`].
+//! Sends the calls that read, store and refresh the machine types. [`crate::machines::types`]
+//! decides which call is due.
 
 use super::Controller;
 use crate::io::{CloudReply, CloudRequest, Precondition, PutRequest, StoreReply, StoreRequest};
@@ -9,15 +10,18 @@
 use crate::store::records::MACHINE_TYPES_KEY;
 
 impl Controller {
-    /// Reads, writes or asks for the machine types, if that is due and the rate limits allow.
+    /// Reads or writes the stored machine types or requests them from the cloud, if that is due and
+    /// the rate limits allow it.
     pub(super) fn update_machine_types(&mut self) {
         let leads = self.leader.is_some();
-        let Some(call) = self.types.call_due(self.now, self.cfg.value_bytes, leads) else { return };
+        let Some(call) = self.machine_types.call_due(self.now, self.cfg.value_bytes, leads) else {
+            return;
+        };
         let timeout_ms = self.cfg.lease_ms / 3;
         match call {
             TypesCall::Read => {
                 if self.calls.try_acquire(self.now, CallPriority::Request) {
-                    self.types.sent();
+                    self.machine_types.sent();
                     let request = StoreRequest::Get(MACHINE_TYPES_KEY.into());
                     self.calls.send_to_store(StorePurpose::ReadMachineTypes, request, timeout_ms);
                 }
@@ -26,13 +30,13 @@
                 if self.calls.try_acquire(self.now, CallPriority::Request)
                     && self.calls.write_rate.try_acquire(self.now, 1.0, CallPriority::Request)
                 {
-                    self.types.sent();
+                    self.machine_types.sent();
                     self.write_machine_types(value, mod_revision, timeout_ms);
                 }
             }
             TypesCall::AskCloud => {
                 if self.calls.cloud_rate.try_acquire(self.now, 1.0, CallPriority::Lease) {
-                    self.types.sent();
+                    self.machine_types.sent();
                     let request = CloudRequest::Types;
                     self.calls.send_to_cloud(CloudPurpose::MachineTypes, request, timeout_ms);
                 }
@@ -49,15 +53,15 @@
         self.calls.send_to_store(StorePurpose::WriteMachineTypes, request, timeout_ms);
     }
 
-    /// Takes the machine types that were read from the store.
-    pub(super) fn machine_types_read(&mut self, reply: StoreReply) {
-        self.types.read(reply, self.now + self.cfg.heartbeat_interval_ms / 4);
+    /// Handles the store's reply to the read of the machine types.
+    pub(super) fn handle_stored_machine_types(&mut self, reply: StoreReply) {
+        self.machine_types.read(reply, self.now + self.cfg.heartbeat_interval_ms / 4);
     }
 
-    /// Takes the cloud's reply.
-    pub(super) fn machine_types_told(&mut self, reply: CloudReply) {
+    /// Handles the cloud's reply to the request for machine types.
+    pub(super) fn handle_cloud_machine_types(&mut self, reply: CloudReply) {
         let retry_at = self.now + self.cfg.lease_ms / 8;
-        let next_at = self.now + self.cfg.lease_ms * 6;
-        self.types.cloud_replied(reply, retry_at, next_at);
+        let refresh_at = self.now + self.cfg.lease_ms * 6;
+        self.machine_types.cloud_replied(reply, retry_at, refresh_at);
     }
 }
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -1,8 +1,7 @@
-//! One replica of the service: the state machine that ties the parts together.
+//! The controller: a state machine that turns inputs into effects.
 //!
-//! [`Controller::step`] takes an input and gives effects; it does no I/O and reads no clock. Every
-//! controller answers users and keeps the job cache; the one that holds the leader's lease runs a
-//! [`Leader`] as well.
+//! [`Controller::step`] does no I/O and reads no clock. Every controller answers users and
+//! maintains the job cache; the one that holds the leader lease also runs a [`Leader`].
 
 mod admission;
 mod client_requests;
@@ -34,25 +33,26 @@
 use request_queue::{RequestKind, RequestQueue};
 use std::sync::Arc;
 
-/// Part of the limits that is used: the rest is for calls that the service counts late.
-const RATE_USED: f64 = 0.9;
-/// Part of the store's rates that the leader has; the others share the rest.
-const LEADER_STORE_PART: f64 = 0.5;
-/// Part of the cloud's rate that the leader has; the others share the rest.
-const LEADER_CLOUD_PART: f64 = 0.8;
-/// The same, of all others together.
-const OTHERS_CLOUD_PART: f64 = 0.2;
-/// Outcomes of jobs that are remembered, per megabyte of memory. Older ones are read again.
-const OUTCOMES_PER_MB: f64 = 1000.0;
-/// The least number of outcomes that are remembered.
-const MIN_OUTCOMES: f64 = 1000.0;
+/// Fraction of the store's rate limits that is used. The rest is headroom for calls that the store
+/// counts later than they were sent.
+const RATE_LIMIT_USAGE: f64 = 0.9;
+/// Leader's share of the store's rate limits; the followers split the rest.
+const LEADER_STORE_SHARE: f64 = 0.5;
+/// Leader's share of the cloud's rate limit.
+const LEADER_CLOUD_SHARE: f64 = 0.8;
+/// Share of the cloud's rate limit that all followers split.
+const FOLLOWERS_CLOUD_SHARE: f64 = 0.2;
+/// Job outcomes that are cached, per megabyte of memory. Older ones are read from the store again.
+const CACHED_OUTCOMES_PER_MB: f64 = 1000.0;
+/// Lower bound of the number of job outcomes that are cached.
+const MIN_CACHED_OUTCOMES: f64 = 1000.0;
 
-/// One controller.
+/// The state of one controller.
 pub struct Controller {
     cfg: Arc<Settings>,
-    /// The steady clock, as of the present step.
+    /// Steady clock at the current step, in milliseconds.
     now: Ms,
-    /// The time of day, as of the present step.
+    /// Wall clock at the current step, in milliseconds.
     wall: WallMs,
     rng: SmallRng,
     calls: Calls,
@@ -61,31 +61,33 @@
     job_watch: JobWatch,
     requests: RequestQueue,
     admission: ControllerAdmission,
-    types: MachineTypes,
-    /// Since when this controller has held a valid leader's lease without a break.
+    machine_types: MachineTypes,
+    /// Start of the current uninterrupted period with a valid leader lease; `None` without a lease.
     lease_held_since: Option<Ms>,
-    /// Present while this controller leads.
+    /// Leader state; present from election until deposition.
     leader: Option<Leader>,
-    /// When the store last replied by anything but a refusal.
-    store_reachable_at: Ms,
-    /// When a peer last told of progress, as only a leader does.
-    leader_heard_at: Ms,
-    /// Whether the rate limiters are set for a leader; none before the first step.
-    rates_for_leader: Option<bool>,
-    /// Whether single answers and watches are logged, which takes time for each of them.
+    /// Time of the store's last reply other than a refusal or an unknown result.
+    last_store_reply_at: Ms,
+    /// Time of the last progress message from a peer; only leaders send them.
+    last_peer_progress_at: Ms,
+    /// Whether the rate limiters are set for a leader; `None` before the first step.
+    rates_set_for_leader: Option<bool>,
+    /// Whether each answer to a heartbeat and each watch reply is logged, which costs time per
+    /// event.
     verbose: bool,
-    /// How heartbeats were answered since the last line about it.
+    /// Answers to heartbeats since the last summary was logged.
     heartbeat_counters: AnswerCounters,
-    next_heartbeat_summary: Ms,
-    /// The leader that this controller last knew of, as logged.
+    next_heartbeat_summary_at: Ms,
+    /// Leader in the last `leader_seen` event that was logged.
     logged_leader: Option<String>,
 }
 
 impl Controller {
-    /// A controller that knows nothing yet. `seed` is that of its random choices.
+    /// Creates a controller without any cached state. `seed` initializes its random generator.
     pub fn new(cfg: Arc<Settings>, seed: u64) -> Self {
         let lease_ttl = cfg.leader_lease_ms();
-        let max_outcomes = (cfg.memory_mb * OUTCOMES_PER_MB).max(MIN_OUTCOMES) as usize;
+        let max_outcomes =
+            (cfg.memory_mb * CACHED_OUTCOMES_PER_MB).max(MIN_CACHED_OUTCOMES) as usize;
         Controller {
             now: 0,
             wall: 0,
@@ -102,68 +104,70 @@
             job_watch: JobWatch::default(),
             requests: RequestQueue::default(),
             admission: ControllerAdmission::new(&cfg),
-            types: MachineTypes::default(),
+            machine_types: MachineTypes::default(),
             lease_held_since: None,
             leader: None,
-            store_reachable_at: 0,
-            leader_heard_at: 0,
-            rates_for_leader: None,
+            last_store_reply_at: 0,
+            last_peer_progress_at: 0,
+            rates_set_for_leader: None,
             verbose: false,
             heartbeat_counters: AnswerCounters::default(),
-            next_heartbeat_summary: 0,
+            next_heartbeat_summary_at: 0,
             logged_leader: None,
             cfg,
         }
     }
 
-    /// Sets whether single answers to workers and watches of the jobs are logged.
+    /// Sets whether each answer to a heartbeat and each watch reply is logged.
     pub fn set_verbose(&mut self, verbose: bool) {
         self.verbose = verbose;
     }
 
-    /// Whether this controller can take requests (PROTOCOL, "GET /ready").
-    pub fn ready(&self) -> bool {
-        // In an outage no controller does better: the users stay where they are. A controller
-        // that still hears a leader, which is one only by the store, has lost the store alone, and
-        // the others serve its users.
-        let leader_heard = self.now <= self.leader_heard_at + self.cfg.heartbeat_interval_ms * 2;
-        let patience = match leader_heard && !self.leading() {
+    /// Returns whether this controller can serve requests (PROTOCOL, "GET /ready").
+    pub fn is_ready(&self) -> bool {
+        // An outage of the store affects all controllers, so moving users to another one does not
+        // help. A leader needs the store to stay leader, so a follower that still receives progress
+        // has lost the store alone, and other controllers can serve its users.
+        let leader_is_active =
+            self.now <= self.last_peer_progress_at + self.cfg.heartbeat_interval_ms * 2;
+        let max_silence_ms = match leader_is_active && !self.is_leading() {
             true => self.cfg.leader_lease_ms(),
             false => self.cfg.lease_ms,
         };
         self.job_watch.is_loaded()
-            && !self.types.known().is_empty()
-            && self.now <= self.store_reachable_at + patience
+            && !self.machine_types.known().is_empty()
+            && self.now <= self.last_store_reply_at + max_silence_ms
     }
 
-    /// Whether this controller leads: it holds a valid lease and has loaded what the previous
-    /// leader left.
-    pub fn leading(&self) -> bool {
+    /// Returns whether this controller leads: it holds a valid lease and has loaded the records of
+    /// the previous leader.
+    pub fn is_leading(&self) -> bool {
         self.leader.as_ref().is_some_and(Leader::loaded)
             && self.election.holds_valid_lease(self.now)
     }
 
-    /// Machines and tasks that the present leader has looked at in its scheduling cycles.
+    /// Returns how many machines and tasks the leader has visited since it was elected; 0 without a
+    /// leader state.
     pub fn visited(&self) -> u64 {
         self.leader.as_ref().map_or(0, |leader| leader.scheduler.visited)
     }
 
-    /// Takes an input, does what is due, and gives the effects in order. `now` is the steady clock,
-    /// `wall` the time of day.
+    /// Processes an input and all work that is due, and returns the effects in order. `now` is the
+    /// steady clock and `wall` the wall clock, both in milliseconds.
     pub fn step(&mut self, now: Ms, wall: WallMs, input: Input) -> Vec<Effect> {
         self.now = self.now.max(now);
         self.wall = wall;
         match input {
             Input::Tick => {}
-            Input::Submit { req, job, spec } => self.submit(req, job, spec),
-            Input::Poll { req, job } => self.poll_or_cancel(req, job, RequestKind::Poll),
-            Input::Cancel { req, job } => self.poll_or_cancel(req, job, RequestKind::Cancel),
-            Input::Inspect { req } => self.inspect(req),
-            Input::Heartbeat { req, heartbeat } => self.heartbeat(req, &heartbeat),
-            Input::Store { op, reply } => self.store_replied(op, reply),
-            Input::Cloud { op, reply } => self.cloud_replied(op, reply),
+            Input::Submit { req, job, spec } => self.handle_submission(req, job, spec),
+            Input::Poll { req, job } => self.handle_poll_or_cancel(req, job, RequestKind::Poll),
+            Input::Cancel { req, job } => self.handle_poll_or_cancel(req, job, RequestKind::Cancel),
+            Input::Inspect { req } => self.answer_inspection(req),
+            Input::Heartbeat { req, heartbeat } => self.handle_heartbeat(req, &heartbeat),
+            Input::Store { op, reply } => self.handle_store_reply(op, reply),
+            Input::Cloud { op, reply } => self.handle_cloud_reply(op, reply),
             Input::Peer { progress } => {
-                self.leader_heard_at = self.now;
+                self.last_peer_progress_at = self.now;
                 if self.leader.is_none() {
                     self.requests.update_progress(&self.job_cache, &progress);
                 }
@@ -173,7 +177,7 @@
         std::mem::take(&mut self.calls.effects)
     }
 
-    /// Calls `f` with the leader's state, if this controller has one.
+    /// Calls `f` with the leader state, if there is one.
     fn with_leader<T>(
         &mut self,
         f: impl FnOnce(&mut Leader, &Context, &mut Calls, &mut SmallRng) -> T,
@@ -182,7 +186,7 @@
         let leader = self.leader.as_mut()?;
         let ctx = Context {
             cfg: &self.cfg,
-            types: self.types.known(),
+            types: self.machine_types.known(),
             job_cache: &self.job_cache,
             now: self.now,
             wall: self.wall,
@@ -192,8 +196,8 @@
         Some(f(leader, &ctx, &mut self.calls, &mut self.rng))
     }
 
-    /// Calls `f` with the leader's state, if it is that of the term that a call was made in.
-    fn with_leader_of<T>(
+    /// Calls `f` with the leader state, if it belongs to the term with this token.
+    fn with_leader_of_term<T>(
         &mut self,
         token: FencingToken,
         f: impl FnOnce(&mut Leader, &Context, &mut Calls) -> T,
@@ -204,56 +208,57 @@
         .flatten()
     }
 
-    /// Everything that may be due after an input. The order matters: leases come first, and the
-    /// leader schedules by what the job cache has just learned.
+    /// Performs all work that is due. The order matters: leader leases come first, and the leader
+    /// schedules after the job cache has been updated.
     fn run_due_work(&mut self) {
-        self.set_rates();
-        self.run_election();
-        self.follow_election();
+        self.update_rate_limits();
+        self.send_election_requests();
+        self.update_leader_state();
         self.watch_jobs();
-        self.catch_up();
+        self.send_catch_up_watch();
         self.update_machine_types();
         self.update_admission();
         self.send_submissions();
         self.send_confirmations();
         self.send_lookups();
         self.run_leader();
-        self.look_up_unknown_jobs();
-        self.tell_progress();
+        self.queue_unknown_job_lookups();
+        self.broadcast_progress();
         self.log_heartbeat_summary();
-        self.log_leader();
+        self.log_leader_change();
     }
 
-    /// Sets the rate limiters whenever this controller becomes the leader or ceases to be.
-    fn set_rates(&mut self) {
+    /// Sets the rate limiters when this controller starts or stops leading.
+    fn update_rate_limits(&mut self) {
         let leads = self.leader.is_some();
-        if self.rates_for_leader == Some(leads) {
+        if self.rates_set_for_leader == Some(leads) {
             return;
         }
-        self.rates_for_leader = Some(leads);
-        let others = (self.cfg.controller_count.max(2) - 1) as f64;
-        let part = match (self.cfg.controller_count, leads) {
+        self.rates_set_for_leader = Some(leads);
+        let follower_count = (self.cfg.controller_count.max(2) - 1) as f64;
+        let store_share = match (self.cfg.controller_count, leads) {
             (0 | 1, _) => 1.0,
-            (_, true) => LEADER_STORE_PART,
-            (_, false) => (1.0 - LEADER_STORE_PART) / others,
-        } * RATE_USED;
-        let cloud_part = if leads { LEADER_CLOUD_PART } else { OTHERS_CLOUD_PART / others };
-        self.calls.store_rate.set_rate(self.cfg.store_rps * part);
-        self.calls.write_rate.set_rate(self.cfg.write_rps * part);
-        self.calls.cloud_rate.set_rate(self.cfg.cloud_rps * cloud_part);
+            (_, true) => LEADER_STORE_SHARE,
+            (_, false) => (1.0 - LEADER_STORE_SHARE) / follower_count,
+        } * RATE_LIMIT_USAGE;
+        let cloud_share =
+            if leads { LEADER_CLOUD_SHARE } else { FOLLOWERS_CLOUD_SHARE / follower_count };
+        self.calls.store_rate.set_rate(self.cfg.store_rps * store_share);
+        self.calls.write_rate.set_rate(self.cfg.write_rps * store_share);
+        self.calls.cloud_rate.set_rate(self.cfg.cloud_rps * cloud_share);
     }
 
-    /// Sends the election's calls.
-    fn run_election(&mut self) {
-        // The jitter keeps the controllers that saw a leader go from all asking at once.
+    /// Sends the election requests that are due and updates `lease_held_since`.
+    fn send_election_requests(&mut self) {
+        // The jitter keeps controllers that lost the same leader from campaigning at the same time.
         let mut jitter = self.rng.random_range(0..self.cfg.leader_lease_ms() / 25 + 1);
-        // A network partition between zones costs a leader the machines of the others: let those
-        // where most machines are go first.
+        // A leader loses the machines of other zones if a network partition separates the zones.
+        // Controllers outside the primary zone, which has the most machines, campaign later.
         if self.election.primary_zone().unwrap_or(self.cfg.busiest_zone()) != self.cfg.zone {
             jitter += self.cfg.leader_lease_ms() / 8;
         }
         for due in self.election.requests(self.now, jitter) {
-            // Leases come first and never wait; they are few.
+            // Election requests are few. They are counted by the rate limiter but never delayed.
             self.calls.try_acquire(self.now, CallPriority::Lease);
             let purpose = StorePurpose::Election(due.call);
             self.calls.send_to_store(purpose, due.request, due.timeout_ms);
@@ -263,15 +268,15 @@
             holds_valid_lease.then(|| self.lease_held_since.unwrap_or(self.now));
     }
 
-    /// Begins and ends the leader's state with the election's terms.
-    fn follow_election(&mut self) {
+    /// Creates the leader state when a term begins and drops it when the term ends.
+    fn update_leader_state(&mut self) {
         let term = self.election.leader_term();
-        let same = match (&self.leader, term) {
+        let unchanged = match (&self.leader, term) {
             (Some(leader), Some(term)) => leader.token == term.token,
             (None, None) => true,
             _ => false,
         };
-        if same {
+        if unchanged {
             return;
         }
         if let Some(leader) = self.leader.take() {
@@ -281,7 +286,7 @@
         self.calls.log(LeadershipEvent::Elected { token: term.token });
         let ctx = Context {
             cfg: &self.cfg,
-            types: self.types.known(),
+            types: self.machine_types.known(),
             job_cache: &self.job_cache,
             now: self.now,
             wall: self.wall,
@@ -291,7 +296,8 @@
         self.leader = Some(Leader::new(&ctx, term.token, term.mod_revision));
     }
 
-    /// Has the leader do what is due.
+    /// Applies job changes to the leader state, runs the leader, and resigns if it lost its
+    /// workers.
     fn run_leader(&mut self) {
         let changed = std::mem::take(&mut self.job_cache.changed);
         if !changed.is_empty() {
@@ -305,16 +311,17 @@
         let lost_workers = self
             .with_leader(|leader, ctx, _, _| ctx.holds_valid_lease && leader.liveness.lost_workers);
         if lost_workers == Some(true) {
-            // Another controller may still reach them, and their leases run. One that is able takes
-            // over within a leader's lease; where none is, nobody leads for no longer.
+            // Another controller may still reach the workers before their leases expire. If one
+            // can, it takes over within one leader lease. Otherwise this controller may campaign
+            // again after two, which bounds the time without a leader.
             let reason = ResignReason::WorkersSilent;
             self.calls.log(LeadershipEvent::Resigned { reason });
             self.election.resign(self.now, self.cfg.leader_lease_ms() * 2);
         }
     }
 
-    /// Tells the peers of progress, as a leader does once in a heartbeat interval.
-    fn tell_progress(&mut self) {
+    /// Sends task progress to the peers once per heartbeat interval while this controller leads.
+    fn broadcast_progress(&mut self) {
         if !self.election.holds_valid_lease(self.now) {
             return;
         }
--- a/crates/basaltrail-core/src/controller/request_queue.rs
+++ b/crates/basaltrail-core/src/controller/request_queue.rs
@@ -1,9 +1,8 @@
-//! Requests of users that wait for the store, on every controller alike.
+//! Requests of users that wait for the store. Every controller has such a queue.
 //!
-//! Outcomes of jobs never change and are told from memory. Anything else is told only after the
-//! store has confirmed, since the request came, that what this controller holds is still so
-//! (PROTOCOL, "GET /api/jobs/{id}": nobody may be given an older answer than another controller
-//! gave).
+//! Outcomes of jobs never change and are answered from the job cache. Any other answer waits
+//! until the store has confirmed, since the request arrived, that the cached record is current
+//! (PROTOCOL, "GET /api/jobs/{id}": no user may get an older answer than another controller gave).
 
 use crate::answer::{Answer, InvalidReason, UnschedulableReason};
 use crate::io::{Precondition, Progress};
@@ -13,94 +12,94 @@
 use basaltrail_admission::{QuotaRejection, Reservation};
 use std::collections::{HashMap, VecDeque};
 
-/// What a user asks for.
+/// The kind of a user's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// To run a job.
+    /// Submits a job.
     Submit,
-    /// The status of a job.
+    /// Asks for the status of a job.
     Poll,
-    /// To cancel a job.
+    /// Cancels a job.
     Cancel,
 }
 
-/// A request of a user that is not answered yet.
+/// A user's request that has not been answered.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// The request to answer.
+    /// Identifier under which the request is answered.
     pub id: RequestId,
-    /// What is asked for.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// Why a submission is not accepted here, if the job is not known either.
+    /// Reason to reject the submission if the store does not know the job; `None` otherwise.
     pub rejection: Option<Rejection>,
 }
 
 impl ClientRequest {
-    /// A request that was not rejected.
+    /// Creates a request without a rejection.
     pub fn new(id: RequestId, kind: RequestKind) -> Self {
         ClientRequest { id, kind, rejection: None }
     }
 
-    /// A submission that is not accepted here.
+    /// Creates a submission that this controller does not accept.
     pub fn rejected(id: RequestId, rejection: Rejection) -> Self {
         ClientRequest { id, kind: RequestKind::Submit, rejection: Some(rejection) }
     }
 }
 
-/// Why a submission is not accepted here. Another controller may have accepted it all the same, by
-/// other settings or out of another quota, and its repeat must not be rejected then.
+/// Reason for which this controller does not accept a submission. Another controller may have
+/// accepted the job under other settings or another quota; a repeated submission of it must not be
+/// rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Not now.
+    /// The quota does not admit it now.
     NotAdmitted(QuotaRejection),
-    /// It can never run.
+    /// The job can never run.
     Unschedulable(UnschedulableReason),
-    /// It cannot be kept.
+    /// The job cannot be stored.
     Invalid(InvalidReason),
 }
 
-/// A job whose record is to be read, and the requests that wait for it. The leader has records
-/// read that no request waits for.
+/// A lookup of a job's record. Lookups made for the leader have no waiting requests.
 #[derive(Clone, Debug)]
 pub struct JobLookup {
-    /// The job.
+    /// Job to look up.
     pub job: JobId,
-    /// The requests.
+    /// Requests that wait for the lookup.
     pub requests: Vec<ClientRequest>,
 }
 
-/// A job of which the store is asked to confirm what the job cache holds.
+/// A job whose cached state the store is asked to confirm.
 pub struct JobConfirmation {
-    /// The job.
+    /// Job to confirm.
     pub job: JobId,
-    /// The requests that wait for it.
+    /// Requests that wait for the confirmation.
     pub requests: Vec<ClientRequest>,
-    /// Whether its active record is confirmed, or that there is none.
-    pub known: bool,
+    /// True to confirm the active record; false to confirm that there is no record.
+    pub expects_active: bool,
 }
 
-/// A submission that is admitted and not accepted yet.
-pub struct NewJob {
-    /// The job.
+/// A submission that was admitted by the quota and is not accepted by the store yet.
+pub struct AdmittedSubmission {
+    /// Job that was submitted.
     pub job: JobId,
-    /// What it asks for.
+    /// Description of the job.
     pub spec: Box<JobSpec>,
-    /// The requests that wait for it.
+    /// Requests that wait for the acceptance.
     pub requests: Vec<ClientRequest>,
-    /// The store rejected it among others: it goes in a transaction of its own.
-    pub alone: bool,
-    /// What is reserved for it of a quota.
+    /// Whether it is sent in a transaction of its own because the store rejected a batch with it.
+    pub own_transaction: bool,
+    /// Reservation in the quota.
     pub reservation: Reservation,
-    /// Until when it waits for a newer quota, if its own has been replaced.
+    /// Time until which it waits for a newer quota after its own was replaced.
     pub quota_wait_until: Ms,
 }
 
-/// Task counts of a job, for display.
+/// Task counts of a job, used for display only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Completed tasks.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Running tasks.
+    /// Number of running tasks.
     pub running: u32,
 }
 
@@ -110,64 +109,64 @@
     }
 }
 
-/// Requests of users by what they wait for.
+/// Waiting requests of users, grouped by the call that they wait for.
 #[derive(Default)]
 pub struct RequestQueue {
-    /// Jobs to be confirmed, with the requests that wait for them.
+    /// Requests that wait for an unsent confirmation, by job.
     unconfirmed: HashMap<JobId, Vec<ClientRequest>>,
-    /// The same jobs as they came: none may starve behind others.
+    /// Jobs of `unconfirmed` in the order of their first request, so that none starves.
     unconfirmed_order: VecDeque<JobId>,
-    /// Since when requests are gathered for the next confirmation.
-    pub gathering_since: Ms,
-    /// Confirmations that wait for a reply of the store.
+    /// Time at which collecting requests for the next confirmation began.
+    pub batch_started_at: Ms,
+    /// Number of confirmations that wait for a reply of the store.
     pub confirmations_in_flight: u32,
-    /// Submissions that are to be sent.
-    pub submissions: Vec<NewJob>,
-    /// Batches of submissions that wait for a reply of the store.
+    /// Submissions to send, in order.
+    pub submissions: Vec<AdmittedSubmission>,
+    /// Number of batches of submissions that wait for a reply of the store.
     pub submissions_in_flight: u32,
-    /// Submissions whose quota has been replaced and whose next one is not known yet.
-    pub awaiting_quota: Vec<NewJob>,
-    /// Jobs whose records are to be read, in order.
+    /// Submissions whose quota was replaced and that wait for the next one.
+    pub awaiting_quota: Vec<AdmittedSubmission>,
+    /// Lookups to send, in order.
     pub lookups: Vec<JobLookup>,
-    /// Requests that are not answered yet, wherever they wait, by which their number is bounded.
-    pub waiting: usize,
-    /// What the leader last told of tasks, for display.
+    /// Number of unanswered requests, in this queue or in calls in flight, which is limited.
+    pub waiting_count: usize,
+    /// Task counts last received from the leader.
     pub task_counts: HashMap<JobId, TaskCounts>,
 }
 
 impl RequestQueue {
-    /// Has a job confirmed for a request.
-    pub fn confirm(&mut self, now: Ms, job: JobId, request: ClientRequest) {
+    /// Queues a confirmation of a job for a new request and counts the request as waiting.
+    pub fn queue_confirmation(&mut self, now: Ms, job: JobId, request: ClientRequest) {
         if self.unconfirmed.is_empty() {
-            self.gathering_since = now;
+            self.batch_started_at = now;
         }
-        self.waiting += 1;
-        self.confirm_again(job, vec![request]);
+        self.waiting_count += 1;
+        self.requeue_confirmation(job, vec![request]);
     }
 
-    /// Has a job confirmed for requests that are counted already.
-    pub fn confirm_again(&mut self, job: JobId, requests: Vec<ClientRequest>) {
-        let gathered = self.unconfirmed.entry(job).or_default();
-        if gathered.is_empty() {
+    /// Queues a confirmation of a job for requests that already count as waiting.
+    pub fn requeue_confirmation(&mut self, job: JobId, requests: Vec<ClientRequest>) {
+        let job_requests = self.unconfirmed.entry(job).or_default();
+        if job_requests.is_empty() {
             self.unconfirmed_order.push_back(job);
         }
-        gathered.extend(requests);
+        job_requests.extend(requests);
     }
 
-    /// How many jobs are to be confirmed.
-    pub fn jobs_to_confirm(&self) -> usize {
+    /// Returns the number of jobs whose confirmation has not been sent.
+    pub fn unconfirmed_count(&self) -> usize {
         self.unconfirmed_order.len()
     }
 
-    /// Drops all confirmations that were not sent yet; the requests are to be answered.
-    pub fn drop_confirmations(&mut self) -> Vec<ClientRequest> {
+    /// Removes all unsent confirmations and returns their requests, which the caller must answer.
+    pub fn drain_confirmations(&mut self) -> Vec<ClientRequest> {
         self.unconfirmed_order.clear();
         self.unconfirmed.drain().flat_map(|(_, requests)| requests).collect()
     }
 
-    /// As many jobs as so many preconditions allow, and the preconditions that confirm what the
-    /// job cache holds of them.
-    pub fn take_confirmations(
+    /// Removes the next jobs to confirm from the queue, up to `max_preconditions`, and returns them
+    /// with the preconditions that confirm their cached state.
+    pub fn next_confirmations(
         &mut self,
         job_cache: &JobCache,
         max_preconditions: usize,
@@ -187,26 +186,27 @@
                     preconditions.push(Precondition::absent(outcome_key(job)));
                 }
             }
-            jobs.push(JobConfirmation { job, requests, known: active.is_some() });
+            jobs.push(JobConfirmation { job, requests, expects_active: active.is_some() });
         }
         (jobs, preconditions)
     }
 
-    /// Has a record read.
-    pub fn look_up(&mut self, job: JobId, requests: Vec<ClientRequest>) {
+    /// Queues a lookup of a job's record.
+    pub fn queue_lookup(&mut self, job: JobId, requests: Vec<ClientRequest>) {
         self.lookups.push(JobLookup { job, requests });
     }
 
-    /// Takes what the leader tells of tasks. Of many jobs it tells in several parts, so what an
-    /// earlier part told stays, as long as the job is active.
+    /// Applies progress received from the leader. The progress of many jobs arrives in several
+    /// messages, so counts from earlier messages are kept while their jobs are active.
     pub fn update_progress(&mut self, job_cache: &JobCache, progress: &[Progress]) {
-        let active = |job: &JobId| job_cache.active.contains_key(job);
-        self.task_counts.retain(|job, _| active(job));
-        let known = progress.iter().filter(|progress| active(&progress.job));
-        self.task_counts.extend(known.map(|progress| (progress.job, progress.into())));
+        let is_active = |job: &JobId| job_cache.active.contains_key(job);
+        self.task_counts.retain(|job, _| is_active(job));
+        let active_jobs = progress.iter().filter(|progress| is_active(&progress.job));
+        self.task_counts.extend(active_jobs.map(|progress| (progress.job, progress.into())));
     }
 
-    /// What a user is told of a job whose record has just been confirmed; none if it is not known.
+    /// Returns the answer for a job whose cached state has just been confirmed, or `None` if the
+    /// job is not known.
     pub fn job_answer(&self, job_cache: &JobCache, job: JobId) -> Option<Answer> {
         let answer = |status, done, running| Some(Answer::Job { job, status, done, running });
         match job_cache.outcome(job) {
@@ -216,7 +216,7 @@
         }
         let active = job_cache.active.get(&job)?;
         let counts = self.task_counts.get(&job).copied().unwrap_or_default();
-        // Done is told only from the durable outcome, never from counts.
+        // Only a durable outcome makes a job done, never the task counts.
         let done = counts.done.min(active.spec.tasks);
         let status = if counts.running > 0 { JobStatus::Running } else { JobStatus::Queued };
         answer(status, done, counts.running)
--- a/crates/basaltrail-core/src/controller/request_queue_tests.rs
+++ b/crates/basaltrail-core/src/controller/request_queue_tests.rs
@@ -3,43 +3,43 @@
 use crate::settings::sample::a_job;
 use crate::store::records::JobRecord;
 
-/// Were the lowest ids confirmed first, a crowd of them would keep others waiting for
-/// as long as it asks.
+/// If jobs were confirmed by ascending id, steady requests for low ids would starve the others.
 #[test]
 fn jobs_are_confirmed_in_the_order_of_their_requests() {
     let job_cache = JobCache::new(10);
     let mut queue = RequestQueue::default();
-    let poll = |n| ClientRequest::new(RequestId(n), RequestKind::Poll);
-    queue.confirm(0, JobId(900), poll(1));
+    let poll = |id| ClientRequest::new(RequestId(id), RequestKind::Poll);
+    queue.queue_confirmation(0, JobId(900), poll(1));
     for n in 0..20 {
-        queue.confirm(0, JobId(n), poll(2 + n));
+        queue.queue_confirmation(0, JobId(n), poll(2 + n));
     }
-    queue.confirm(0, JobId(900), poll(30));
-    let (jobs, preconditions) = queue.take_confirmations(&job_cache, 8);
+    queue.queue_confirmation(0, JobId(900), poll(30));
+    let (jobs, preconditions) = queue.next_confirmations(&job_cache, 8);
     assert_eq!(jobs[0].job, JobId(900));
     assert_eq!(jobs[0].requests.len(), 2);
     assert_eq!((jobs.len(), preconditions.len()), (4, 8));
-    assert_eq!(queue.jobs_to_confirm(), 17);
+    assert_eq!(queue.unconfirmed_count(), 17);
 }
 
-/// The second part of a leader's progress replaced the first: its jobs showed as queued.
+/// Guards against a second progress message replacing the counts of the first, so that jobs of the
+/// first were shown as queued.
 #[test]
-fn progress_told_in_parts_is_shown_whole() {
+fn progress_in_several_messages_is_merged() {
     let mut job_cache = JobCache::new(10);
     for job in [1, 2] {
         let record = JobRecord::new(0, a_job(4, false));
         job_cache.put_active(JobId(job), Revision(job), record);
     }
     let mut queue = RequestQueue::default();
-    let part = |job| [Progress { job: JobId(job), done: 1, running: 2 }];
-    queue.update_progress(&job_cache, &part(1));
-    queue.update_progress(&job_cache, &part(2));
-    queue.update_progress(&job_cache, &part(3));
+    let message = |job| [Progress { job: JobId(job), done: 1, running: 2 }];
+    queue.update_progress(&job_cache, &message(1));
+    queue.update_progress(&job_cache, &message(2));
+    queue.update_progress(&job_cache, &message(3));
     let counts = |queue: &RequestQueue, job| queue.task_counts.get(&JobId(job)).copied();
     assert_eq!(counts(&queue, 1), Some(TaskCounts { done: 1, running: 2 }));
     assert_eq!(counts(&queue, 2), Some(TaskCounts { done: 1, running: 2 }));
     assert_eq!(counts(&queue, 3), None, "no such job");
     job_cache.put_outcome(JobId(1), JobOutcome::Done);
-    queue.update_progress(&job_cache, &part(2));
-    assert_eq!(counts(&queue, 1), None, "an ended job needs no display");
+    queue.update_progress(&job_cache, &message(2));
+    assert_eq!(counts(&queue, 1), None, "counts of an ended job are removed");
 }
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the store: each goes to the part of the controller that made the call.
+//! Dispatches replies of the store to the part of the controller that made the call.
 
 use super::Controller;
 use crate::election::ElectionCall;
@@ -11,75 +11,83 @@
 use crate::store::rate_limiter::CallPriority;
 use basaltrail_admission::QuotaWrite;
 
-/// How long the revocation of a lease waits for its reply. Nothing depends on it: the lease
-/// expires by itself as well.
+/// Timeout of a lease revocation, in milliseconds. A lost revocation is harmless: the lease expires
+/// without it.
 const REVOKE_TIMEOUT_MS: Ms = 1_000;
-/// Changes of the transaction that takes the leader key: the key and the term.
-const TAKE_LEADERSHIP_CHANGES: f64 = 2.0;
+/// Changes in the transaction of a campaign: the leader key and the term.
+const CAMPAIGN_CHANGES: f64 = 2.0;
 
 impl Controller {
-    /// Takes a reply of the store, or that a call was given up.
-    pub(super) fn store_replied(&mut self, call: CallId, reply: StoreReply) {
+    /// Handles the reply to a store call, or its timeout.
+    pub(super) fn handle_store_reply(&mut self, call: CallId, reply: StoreReply) {
         let Some(purpose) = self.calls.finish_store(call) else { return };
         if !matches!(reply, StoreReply::Unknown | StoreReply::Refused) {
-            self.store_reachable_at = self.now;
+            self.last_store_reply_at = self.now;
         }
         match purpose {
-            StorePurpose::Election(call) => self.election_replied(call, reply),
+            StorePurpose::Election(call) => self.handle_election_reply(call, reply),
             StorePurpose::ListJobs { part, after, sent } => {
-                self.list_replied(part, after, sent, reply);
+                self.handle_list_reply(part, after, sent, reply);
             }
-            StorePurpose::WatchJobs { sent, kind } => self.watch_replied(kind, sent, reply),
-            StorePurpose::AcceptJobs(batch) => self.jobs_accepted(batch, reply),
-            StorePurpose::ConfirmJobs(jobs) => self.jobs_confirmed(jobs, reply),
+            StorePurpose::WatchJobs { sent, kind } => self.handle_watch_reply(kind, sent, reply),
+            StorePurpose::AcceptJobs(batch) => self.handle_accept_reply(batch, reply),
+            StorePurpose::ConfirmJobs(jobs) => self.handle_confirm_reply(jobs, reply),
             StorePurpose::ReadActiveJob { job, requests } => {
-                self.active_job_read(job, requests, reply);
+                self.handle_active_job_reply(job, requests, reply);
+            }
+            StorePurpose::ReadOutcome { job, requests } => {
+                self.handle_outcome_reply(job, requests, reply)
+            }
+            StorePurpose::CancelJob { job, requests } => {
+                self.handle_cancel_reply(job, requests, reply)
+            }
+            StorePurpose::ReadMachineTypes => self.handle_stored_machine_types(reply),
+            StorePurpose::WriteMachineTypes => self.machine_types.written(&reply),
+            StorePurpose::WriteControllerRecord => {
+                self.admission.finish_record_write(self.now, &self.cfg)
             }
-            StorePurpose::ReadOutcome { job, requests } => self.outcome_read(job, requests, reply),
-            StorePurpose::CancelJob { job, requests } => self.job_cancelled(job, requests, reply),
-            StorePurpose::ReadMachineTypes => self.machine_types_read(reply),
-            StorePurpose::WriteMachineTypes => self.types.written(&reply),
-            StorePurpose::AnnounceController => self.admission.announced(self.now, &self.cfg),
             StorePurpose::LoadLeaderState { token } => {
-                self.with_leader_of(token, |leader, ctx, calls| {
+                self.with_leader_of_term(token, |leader, ctx, calls| {
                     leader.load_reply(ctx, calls, reply);
                 });
             }
             StorePurpose::LeaderTransaction { token, pending } => {
-                self.leader_transaction_replied(token, *pending, reply);
+                self.handle_leader_transaction_reply(token, *pending, reply);
             }
             StorePurpose::RefreshRevision { token, key } => {
-                self.with_leader_of(token, |leader, _, _| leader.refresh_reply(key, reply));
+                self.with_leader_of_term(token, |leader, _, _| leader.refresh_reply(key, reply));
             }
             StorePurpose::WriteQuotas { token, writes } => {
-                self.quotas_written(token, &writes, &reply);
+                self.handle_quotas_reply(token, &writes, &reply);
             }
         }
     }
 
-    fn election_replied(&mut self, call: ElectionCall, reply: StoreReply) {
+    fn handle_election_reply(&mut self, call: ElectionCall, reply: StoreReply) {
         if let Some(lease_id) = self.election.reply(self.now, call, reply) {
             let purpose = StorePurpose::Election(ElectionCall::RevokeLease { lease_id });
             let request = StoreRequest::RevokeLease { lease_id };
             self.calls.send_to_store(purpose, request, REVOKE_TIMEOUT_MS);
         }
         if let Some(due) = self.election.campaign_request() {
-            // Leases come first; the change is counted and never waits.
-            let changes = TAKE_LEADERSHIP_CHANGES;
+            // Campaigns are never delayed: the rate limiter counts the changes but its result is
+            // ignored.
+            let changes = CAMPAIGN_CHANGES;
             self.calls.write_rate.try_acquire(self.now, changes, CallPriority::Lease);
             let purpose = StorePurpose::Election(due.call);
             self.calls.send_to_store(purpose, due.request, due.timeout_ms);
         }
     }
 
-    fn leader_transaction_replied(
+    fn handle_leader_transaction_reply(
         &mut self,
         token: FencingToken,
         pending: PendingTransaction,
         reply: StoreReply,
     ) {
-        let outcome = self
-            .with_leader_of(token, |leader, ctx, _| leader.transaction_reply(ctx, pending, reply));
+        let outcome = self.with_leader_of_term(token, |leader, ctx, _| {
+            leader.transaction_reply(ctx, pending, reply)
+        });
         let Some(WriteOutcome { deposed, completed_jobs, jobs_to_read, rejected_keys }) = outcome
         else {
             return;
@@ -92,16 +100,22 @@
             self.calls.log(StoreEvent::WriteRejected { keys });
         }
         for job in jobs_to_read {
-            self.requests.look_up(job, Vec::new());
+            self.requests.queue_lookup(job, Vec::new());
         }
         if deposed {
             self.election.step_down(self.now);
         }
     }
 
-    fn quotas_written(&mut self, token: FencingToken, writes: &[QuotaWrite], reply: &StoreReply) {
-        let deposed = self
-            .with_leader_of(token, |leader, _, _| leader.quota_allocator.replied(writes, reply));
+    fn handle_quotas_reply(
+        &mut self,
+        token: FencingToken,
+        writes: &[QuotaWrite],
+        reply: &StoreReply,
+    ) {
+        let deposed = self.with_leader_of_term(token, |leader, _, _| {
+            leader.quota_allocator.replied(writes, reply)
+        });
         if deposed == Some(true) {
             self.election.step_down(self.now);
         }
--- a/crates/basaltrail-core/src/controller/submissions.rs
+++ b/crates/basaltrail-core/src/controller/submissions.rs
@@ -1,7 +1,7 @@
-//! Submissions that are admitted: the transactions that accept them, and what becomes of them.
+//! Sends admitted submissions to the store in batches and handles the replies.
 
 use super::client_requests::RETRY_SOON_S;
-use super::request_queue::{ClientRequest, NewJob, Rejection};
+use super::request_queue::{AdmittedSubmission, ClientRequest, Rejection};
 use super::Controller;
 use crate::answer::{Answer, UnavailableReason};
 use crate::events::StoreEvent;
@@ -12,28 +12,29 @@
 use crate::store::records::{active_job_key, encode, outcome_key, JobRecord};
 use basaltrail_admission::{AcceptanceOutcome, RejectionReason};
 
-/// Batches of submissions that wait for a reply at once: while one is committed, the next is
-/// gathered.
+/// Limit on batches of submissions in flight. Submissions that arrive in the meantime are collected
+/// for the next batch.
 const MAX_BATCHES_IN_FLIGHT: u32 = 2;
-/// Bytes of descriptions in one batch. With keys and preconditions it stays within the 64 KiB of a
-/// transaction (PROTOCOL, "POST /txn").
-const MAX_BATCH_BYTES: usize = 48 * 1024;
-/// Seconds after which a submission is repeated if more wait than can be written soon.
+/// Limit on the size of the records in one batch, in bytes. With keys and preconditions the batch
+/// stays within the 64 KiB of a transaction (PROTOCOL, "POST /txn").
+const MAX_BATCH_RECORD_BYTES: usize = 48 * 1024;
+/// `Retry-After` in seconds if more submissions wait than can be written soon.
 const RETRY_OVERLOAD_S: u32 = 2;
 
-/// A transaction that accepts submissions, as it is filled.
+/// A transaction that accepts submissions, while it is being built.
 #[derive(Default)]
 struct Batch {
-    jobs: Vec<NewJob>,
+    submissions: Vec<AdmittedSubmission>,
     preconditions: Vec<Precondition>,
     puts: Vec<PutRequest>,
-    /// Bytes of the descriptions.
-    bytes: usize,
+    /// Size of the records, in bytes.
+    record_bytes: usize,
 }
 
 impl Controller {
-    /// Sends submissions that wait, if the rate limits allow. New jobs go out at once; those that
-    /// come meanwhile go together next.
+    /// Sends queued submissions if the rate limits allow it. A submission is sent at once unless
+    /// the limit on batches in flight is reached; the submissions that wait for it are sent
+    /// together.
     pub(super) fn send_submissions(&mut self) {
         self.renew_reservations();
         let waiting = self.requests.submissions.len();
@@ -45,154 +46,173 @@
         if self.calls.try_acquire_write(self.now, jobs, CallPriority::Request) {
             self.send_batch(jobs);
         } else if waiting > max_jobs * 2 {
-            // More than can be written soon: say so now.
-            for new in std::mem::take(&mut self.requests.submissions) {
-                self.admission.settle(&new, AcceptanceOutcome::NotUsed);
+            // More submissions wait than can be written soon, so all of them are answered now.
+            for submission in std::mem::take(&mut self.requests.submissions) {
+                self.admission.settle(&submission, AcceptanceOutcome::NotUsed);
                 let reason = UnavailableReason::TooManySubmissions;
-                self.answer_waiting_unavailable(new.requests, RETRY_OVERLOAD_S, reason);
+                self.answer_waiting_unavailable(submission.requests, RETRY_OVERLOAD_S, reason);
             }
         }
     }
 
-    /// Sends up to so many submissions in one transaction, each on the precondition that its quota
-    /// has not been replaced.
+    /// Sends up to `max_jobs` submissions in one transaction, with the precondition that their
+    /// quotas have not been replaced.
     fn send_batch(&mut self, max_jobs: usize) {
-        let batch = self.fill_batch(max_jobs);
-        if batch.jobs.is_empty() {
+        let batch = self.build_batch(max_jobs);
+        if batch.submissions.is_empty() {
             return;
         }
         self.requests.submissions_in_flight += 1;
-        let Batch { jobs, preconditions, puts, .. } = batch;
+        let Batch { submissions, preconditions, puts, .. } = batch;
         let request = StoreRequest::Transaction { preconditions, puts, deletes: Vec::new() };
         let timeout_ms = self.request_timeout_ms();
-        self.calls.send_to_store(StorePurpose::AcceptJobs(jobs), request, timeout_ms);
+        self.calls.send_to_store(StorePurpose::AcceptJobs(submissions), request, timeout_ms);
     }
 
-    fn fill_batch(&mut self, max_jobs: usize) -> Batch {
+    /// Removes the next submissions from the queue and builds a batch of them.
+    fn build_batch(&mut self, max_jobs: usize) -> Batch {
         let mut batch = Batch::default();
-        while batch.jobs.len() < max_jobs && !self.requests.submissions.is_empty() {
-            let new = self.requests.submissions.remove(0);
-            if !self.admission.is_current(&self.job_cache, &new) {
-                self.requests.awaiting_quota.push(NewJob { quota_wait_until: self.now, ..new });
+        while batch.submissions.len() < max_jobs && !self.requests.submissions.is_empty() {
+            let submission = self.requests.submissions.remove(0);
+            if !self.admission.has_current_quota(&self.job_cache, &submission) {
+                self.requests
+                    .awaiting_quota
+                    .push(AdmittedSubmission { quota_wait_until: self.now, ..submission });
                 continue;
             }
-            let value = encode(&self.record_of(&new));
-            batch.bytes += value.len();
-            let alone = new.alone || batch.jobs.first().is_some_and(|first| first.alone);
-            if (alone || batch.bytes > MAX_BATCH_BYTES) && !batch.jobs.is_empty() {
-                self.requests.submissions.insert(0, new);
+            let value = encode(&self.job_record(&submission));
+            batch.record_bytes += value.len();
+            let own_transaction = submission.own_transaction
+                || batch.submissions.first().is_some_and(|first| first.own_transaction);
+            if (own_transaction || batch.record_bytes > MAX_BATCH_RECORD_BYTES)
+                && !batch.submissions.is_empty()
+            {
+                self.requests.submissions.insert(0, submission);
                 break;
             }
-            batch.preconditions.push(Precondition::absent(active_job_key(new.job)));
-            batch.preconditions.push(Precondition::absent(outcome_key(new.job)));
-            if let Some(quota) = self.admission.precondition(&new) {
+            batch.preconditions.push(Precondition::absent(active_job_key(submission.job)));
+            batch.preconditions.push(Precondition::absent(outcome_key(submission.job)));
+            if let Some(quota) = self.admission.quota_precondition(&submission) {
                 if !batch.preconditions.contains(&quota) {
                     batch.preconditions.push(quota);
                 }
             }
-            batch.puts.push(PutRequest::new(active_job_key(new.job), value));
-            batch.jobs.push(new);
+            batch.puts.push(PutRequest::new(active_job_key(submission.job), value));
+            batch.submissions.push(submission);
         }
         batch
     }
 
-    /// The record of a job that this controller accepts now.
-    fn record_of(&self, new: &NewJob) -> JobRecord {
-        let accepted_by = self.admission.precondition(new).map(|_| self.cfg.controller.clone());
-        JobRecord { accepted_at: self.wall, spec: (*new.spec).clone(), accepted_by }
+    /// Returns the record under which this controller accepts a submission now.
+    fn job_record(&self, submission: &AdmittedSubmission) -> JobRecord {
+        let accepted_by =
+            self.admission.quota_precondition(submission).map(|_| self.cfg.controller.clone());
+        JobRecord { accepted_at: self.wall, spec: (*submission.spec).clone(), accepted_by }
     }
 
-    /// Takes the reply to a batch.
-    pub(super) fn jobs_accepted(&mut self, batch: Vec<NewJob>, reply: StoreReply) {
+    /// Handles the reply to a batch.
+    pub(super) fn handle_accept_reply(
+        &mut self,
+        batch: Vec<AdmittedSubmission>,
+        reply: StoreReply,
+    ) {
         self.requests.submissions_in_flight -= 1;
         match reply {
             StoreReply::Committed { revision } => self.batch_committed(batch, revision),
             StoreReply::Conflict { failed } => self.batch_conflicted(batch, &failed),
             StoreReply::Rejected if batch.len() > 1 => {
-                // One that cannot be kept must not cost the others their place.
-                let alone = batch.into_iter().map(|new| NewJob { alone: true, ..new }).collect();
-                self.send_again_first(alone);
+                // One invalid submission must not fail or delay the others: each is sent again in a
+                // transaction of its own.
+                let separate = batch
+                    .into_iter()
+                    .map(|submission| AdmittedSubmission { own_transaction: true, ..submission })
+                    .collect();
+                self.requeue_first(separate);
             }
             StoreReply::Refused | StoreReply::Rejected => {
-                for new in batch {
+                for submission in batch {
                     if reply == StoreReply::Rejected {
-                        let keys = active_job_key(new.job);
+                        let keys = active_job_key(submission.job);
                         self.calls.log(StoreEvent::WriteRejected { keys });
                     }
-                    self.admission.settle(&new, AcceptanceOutcome::NotUsed);
+                    self.admission.settle(&submission, AcceptanceOutcome::NotUsed);
                     let reason = UnavailableReason::StoreRefused;
-                    self.answer_waiting_unavailable(new.requests, RETRY_SOON_S, reason);
+                    self.answer_waiting_unavailable(submission.requests, RETRY_SOON_S, reason);
                 }
             }
             _ => {
-                for new in batch {
-                    // It may yet be carried out.
-                    self.admission.settle(&new, AcceptanceOutcome::Used);
+                for submission in batch {
+                    // The transaction may have been committed, or may be committed later.
+                    self.admission.settle(&submission, AcceptanceOutcome::Used);
                     let reason = UnavailableReason::NotDecided;
-                    self.answer_waiting_unavailable(new.requests, RETRY_SOON_S, reason);
+                    self.answer_waiting_unavailable(submission.requests, RETRY_SOON_S, reason);
                 }
             }
         }
     }
 
-    fn batch_committed(&mut self, batch: Vec<NewJob>, revision: Revision) {
-        for new in batch {
-            self.admission.settle(&new, AcceptanceOutcome::Used);
-            let record = self.record_of(&new);
-            self.job_cache.put_active(new.job, revision, record);
-            for request in new.requests {
-                self.answer_waiting(request.id, Answer::Created { job: new.job });
+    fn batch_committed(&mut self, batch: Vec<AdmittedSubmission>, revision: Revision) {
+        for submission in batch {
+            self.admission.settle(&submission, AcceptanceOutcome::Used);
+            let record = self.job_record(&submission);
+            self.job_cache.put_active(submission.job, revision, record);
+            for request in submission.requests {
+                self.answer_waiting(request.id, Answer::Created { job: submission.job });
             }
         }
     }
 
-    fn batch_conflicted(&mut self, batch: Vec<NewJob>, failed: &[String]) {
-        let mut others = Vec::new();
-        for new in batch {
-            let keys = [active_job_key(new.job), outcome_key(new.job)];
+    fn batch_conflicted(&mut self, batch: Vec<AdmittedSubmission>, failed: &[String]) {
+        let mut unaffected = Vec::new();
+        for submission in batch {
+            let keys = [active_job_key(submission.job), outcome_key(submission.job)];
             if keys.iter().any(|key| failed.contains(key)) {
-                self.admission.settle(&new, AcceptanceOutcome::NotUsed);
-                self.requests.look_up(new.job, new.requests);
-            } else if self.admission.quota_replaced(&new, failed) {
+                self.admission.settle(&submission, AcceptanceOutcome::NotUsed);
+                self.requests.queue_lookup(submission.job, submission.requests);
+            } else if self.admission.detect_replaced_quota(&submission, failed) {
                 let quota_wait_until = self.now + self.cfg.heartbeat_interval_ms;
-                self.requests.awaiting_quota.push(NewJob { quota_wait_until, ..new });
+                self.requests
+                    .awaiting_quota
+                    .push(AdmittedSubmission { quota_wait_until, ..submission });
             } else {
-                others.push(new);
+                unaffected.push(submission);
             }
         }
-        // One duplicate must not cost the others their place.
-        self.send_again_first(others);
+        // One duplicate must not delay the other submissions.
+        self.requeue_first(unaffected);
     }
 
-    /// Puts submissions before those that wait.
-    fn send_again_first(&mut self, mut submissions: Vec<NewJob>) {
+    /// Puts submissions at the front of the queue.
+    fn requeue_first(&mut self, mut submissions: Vec<AdmittedSubmission>) {
         submissions.append(&mut self.requests.submissions);
         self.requests.submissions = submissions;
     }
 
-    /// Renews the reservations of submissions whose quota has been replaced. They wait for the next
-    /// quota for a moment only.
+    /// Renews the reservations of submissions whose quota was replaced. A submission waits for the
+    /// next quota until `quota_wait_until` and is rejected after that.
     fn renew_reservations(&mut self) {
-        for new in std::mem::take(&mut self.requests.awaiting_quota) {
-            match self.admission.renew(&self.job_cache, &new) {
+        for submission in std::mem::take(&mut self.requests.awaiting_quota) {
+            match self.admission.renew_reservation(&self.job_cache, &submission) {
                 Ok(reservation) => {
-                    self.requests.submissions.push(NewJob { reservation, ..new });
+                    self.requests
+                        .submissions
+                        .push(AdmittedSubmission { reservation, ..submission });
                 }
                 Err(rejection)
                     if rejection.reason == RejectionReason::QuotaReplaced
-                        && self.now < new.quota_wait_until =>
+                        && self.now < submission.quota_wait_until =>
                 {
-                    self.requests.awaiting_quota.push(new);
+                    self.requests.awaiting_quota.push(submission);
                 }
                 Err(rejection) => {
-                    self.count_rejection(&new.spec.team);
+                    self.count_rejection(&submission.spec.team);
                     let rejection = Some(Rejection::NotAdmitted(rejection));
-                    let requests = new
+                    let requests = submission
                         .requests
                         .into_iter()
                         .map(|request| ClientRequest { rejection, ..request })
                         .collect();
-                    self.requests.confirm_again(new.job, requests);
+                    self.requests.requeue_confirmation(submission.job, requests);
                 }
             }
         }
--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the store and the cloud that wait for a reply, and the rates at which they go out.
 
 use crate::answer::Answer;
-use crate::controller::request_queue::{ClientRequest, JobConfirmation, NewJob};
+use crate::controller::request_queue::{AdmittedSubmission, ClientRequest, JobConfirmation};
 use crate::election::ElectionCall;
 use crate::events::LogEvent;
 use crate::io::{CloudRequest, Effect, StoreRequest};
@@ -54,7 +54,7 @@
         kind: WatchKind,
     },
     /// Accepts submissions, all in one transaction.
-    AcceptJobs(Vec<NewJob>),
+    AcceptJobs(Vec<AdmittedSubmission>),
     /// Confirms that what the job cache holds is still so.
     ConfirmJobs(Vec<JobConfirmation>),
     /// Reads the active record of a job.
@@ -102,7 +102,7 @@
         key: String,
     },
     /// Writes the record of this controller's process.
-    AnnounceController,
+    WriteControllerRecord,
     /// Writes admission quotas.
     WriteQuotas {
         /// The term.
--- a/crates/basaltrail-core/tests/scale.rs
+++ b/crates/basaltrail-core/tests/scale.rs
@@ -485,7 +485,7 @@
     cluster.run(RESTART_AT_MS + 12_000);
     let starts = cluster.count.starts;
     println!("12 s after a restart: {:?}", cluster.count);
-    assert!(cluster.controller.leading() && starts > 500, "{starts} starts after a restart");
+    assert!(cluster.controller.is_leading() && starts > 500, "{starts} starts after a restart");
     assert!(cluster.count.largest_transaction <= 64 * 1024);
     cluster.run(DAY_MS);
     assert!(cluster.count.done > 4_000, "{:?}", cluster.count);
--- a/crates/basaltrail-core/tests/simulation/versions.rs
+++ b/crates/basaltrail-core/tests/simulation/versions.rs
@@ -45,6 +45,6 @@
     }
 
     pub fn leading(&self) -> bool {
-        self.0.leading()
+        self.0.is_leading()
     }
 }
--- a/crates/basaltrail/src/driver.rs
+++ b/crates/basaltrail/src/driver.rs
@@ -140,7 +140,7 @@
         for effect in self.core.step(now, wall, input) {
             self.carry_out(effect);
         }
-        self.handle.set_ready(self.core.ready());
+        self.handle.set_ready(self.core.is_ready());
     }
 
     fn carry_out(&mut self, effect: Effect) {
--- a/tests/mixed-versions/tests/versions/mod.rs
+++ b/tests/mixed-versions/tests/versions/mod.rs
@@ -76,7 +76,7 @@
         match self {
             Process::E26460f(node) => node.leading(),
             Process::V9b39f4b(node) => node.leading(),
-            Process::Current(node) => node.leading(),
+            Process::Current(node) => node.is_leading(),
         }
     }
 }
