--- a/crates/basaltrail-core/src/controller/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -30,10 +30,10 @@
     limiter: QuotaLimiter,
     controller: String,
     incarnation: u64,
-    /// Whether a write of this process's record is in flight.
+    /// True while a write of this process's record is in flight.
     record_write_in_flight: bool,
     next_record_write_at: Ms,
-    /// Whether a quota is used up here but not as the leader counts it. This process then writes
+    /// True if a quota is used up here but not in the leader's count. This process then writes
     /// its record again, at most once per round, to request another quota.
     replacement_needed: bool,
     next_replacement_request_at: Ms,
--- a/crates/basaltrail-core/src/controller/client_requests.rs
+++ b/crates/basaltrail-core/src/controller/client_requests.rs
@@ -23,7 +23,7 @@
 /// Returns why a job can never run, or `None` if it can. Every controller returns the same answer.
 fn unschedulable_reason(
     settings: &Settings,
-    types: &[MachineType],
+    machine_types: &[MachineType],
     spec: &JobSpec,
 ) -> Option<UnschedulableReason> {
     let Some(team) = settings.team(&spec.team) else {
@@ -37,7 +37,7 @@
     {
         return Some(UnschedulableReason::OverTeamLimit);
     }
-    if !types.iter().any(|machine| machine.allowed(spec) && machine.holds(spec) > 0) {
+    if !machine_types.iter().any(|machine| machine.allowed(spec) && machine.holds(spec) > 0) {
         return Some(UnschedulableReason::NoMachineType);
     }
     None
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -70,9 +70,9 @@
     last_store_reply_at: Ms,
     /// Time of the last progress message from a peer; only leaders send them.
     last_peer_progress_at: Ms,
-    /// Whether the rate limiters are set for a leader; `None` before the first step.
+    /// True if the rate limiters are set for a leader; `None` before the first step.
     rates_set_for_leader: Option<bool>,
-    /// Whether each answer to a heartbeat and each watch reply is logged, which costs time per
+    /// True if each answer to a heartbeat and each watch reply is logged, which costs time per
     /// event.
     verbose: bool,
     /// Answers to heartbeats since the last summary was logged.
--- a/crates/basaltrail-core/src/controller/request_queue.rs
+++ b/crates/basaltrail-core/src/controller/request_queue.rs
@@ -86,7 +86,7 @@
     pub spec: Box<JobSpec>,
     /// Requests that wait for the acceptance.
     pub requests: Vec<ClientRequest>,
-    /// Whether it is sent in a transaction of its own because the store rejected a batch with it.
+    /// True if it is sent in a transaction of its own because the store rejected a batch with it.
     pub own_transaction: bool,
     /// Reservation in the quota.
     pub reservation: Reservation,
