--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the store and the cloud that await a reply, and the limits on their rates.
 
 use crate::answer::Answer;
-use crate::controller::request_queue::{ClientRequest, JobConfirmation, NewJob};
+use crate::controller::request_queue::{AdmittedSubmission, ClientRequest, JobConfirmation};
 use crate::election::ElectionCall;
 use crate::events::LogEvent;
 use crate::io::{CloudRequest, Effect, StoreRequest};
@@ -55,7 +55,7 @@
         kind: WatchKind,
     },
     /// Accepts submissions in one transaction.
-    AcceptJobs(Vec<NewJob>),
+    AcceptJobs(Vec<AdmittedSubmission>),
     /// Confirms that cached active records are unchanged.
     ConfirmJobs(Vec<JobConfirmation>),
     /// Reads the active record of a job.
@@ -103,7 +103,7 @@
         key: String,
     },
     /// Writes the controller record of this process.
-    AnnounceController,
+    WriteControllerRecord,
     /// Writes admission quotas.
     WriteQuotas {
         /// The term.
