--- a/crates/basaltrail/src/clients_tests.rs
+++ b/crates/basaltrail/src/clients_tests.rs
@@ -4,11 +4,11 @@
 use serde_json::json;
 use warp::Filter;
 
-/// A controller that was away watches for what changed meanwhile. An answer beyond its bound used
-/// to count as none: the same watch was opened again and answered at the same length again, and
-/// the controller never caught up.
+/// A controller that was disconnected watches for the changes since then. A response that
+/// exceeds the size limit must not count as no response: the controller would repeat the same watch,
+/// get an equally long response and never catch up.
 #[tokio::test]
-async fn a_watch_answer_that_is_too_long_is_replaced_by_a_list() {
+async fn a_watch_response_that_is_too_long_is_reported_as_compacted() {
     let value = "x".repeat(4_000);
     let changes = warp::path!("changes").map(move || {
         let put = json!({"put": "j/a/000001", "v": value, "stamp": 7});
@@ -16,13 +16,15 @@
     });
     let address = serve(changes).await.unwrap();
     let watch = StoreRequest::Watch { prefix: "j/".into(), after: Revision(0), wait_ms: 0 };
-    let small = HttpClient::new(14.0).call_store(address, &watch, 5_000).await;
-    assert_eq!(small, StoreReply::Compacted);
-    let large = HttpClient::new(700.0).call_store(address, &watch, 5_000).await;
-    let StoreReply::Events { revision: Revision(7), events } = large else { panic!("{large:?}") };
+    let small_reply = HttpClient::new(14.0).call_store(address, &watch, 5_000).await;
+    assert_eq!(small_reply, StoreReply::Compacted);
+    let large_reply = HttpClient::new(700.0).call_store(address, &watch, 5_000).await;
+    let StoreReply::Events { revision: Revision(7), events } = large_reply else {
+        panic!("{large_reply:?}")
+    };
     assert_eq!(events.len(), 1_000);
     let list = StoreRequest::List { prefix: "j/".into(), after: None, limit: 500 };
-    let nobody = "127.0.0.1:1".parse().unwrap();
-    let unanswered = HttpClient::new(14.0).call_store(nobody, &list, 500).await;
-    assert_eq!(unanswered, StoreReply::Unknown);
+    let closed_port = "127.0.0.1:1".parse().unwrap();
+    let refused_reply = HttpClient::new(14.0).call_store(closed_port, &list, 500).await;
+    assert_eq!(refused_reply, StoreReply::Unknown);
 }
--- a/crates/basaltrail/src/inspect.rs
+++ b/crates/basaltrail/src/inspect.rs
@@ -1,4 +1,4 @@
-//! `inspect`: reads a running controller over its administration listener.
+//! The `inspect` commands: query a running controller through its administration listener.
 
 use crate::clients::HttpClient;
 use basaltrail_protocol::administration::{Class, Limits, Room, Team};
@@ -6,42 +6,44 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
+/// Time limit of the request, in milliseconds.
 const TIMEOUT_MS: u64 = 5_000;
-/// Memory for which the length of an answer is bounded, in MB.
-const MEMORY_MB: f64 = 64.0;
+/// Memory from which the client derives its limit on response bodies, in MB.
+const CLIENT_MEMORY_MB: f64 = 64.0;
 const LIMITS_PATH: &str = "/limits";
-/// Columns of the table.
+/// Column headers of the table of limits.
 const COLUMNS: [&str; 8] =
-    ["team", "class", "guaranteed", "limit", "used", "jobs", "left here", "refused here"];
+    ["team", "class", "guaranteed", "limit", "used", "jobs", "local quota", "local refusals"];
 
-/// What is read.
+/// The `inspect` commands.
 #[derive(Subcommand)]
-pub enum Inspect {
-    /// Teams and classes: guarantee, limit, use, backlog, allotment, refusals
+pub enum InspectCommand {
+    /// Shows the guarantee, limit, use, backlog, quota and refusals of each team and class
     Limits {
-        /// The controller's administration listener
+        /// Address of the controller's administration listener
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
-        /// The controller's answer as it is
+        /// Print the response as JSON, unchanged
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Why a controller could not be read.
+/// Reasons why a controller could not be queried.
 #[derive(Debug, thiserror::Error)]
 enum InspectError {
     #[error("{0}")]
     Runtime(#[from] std::io::Error),
-    #[error("no answer; is it the administration listener of a node that runs?")]
-    NoAnswer,
+    #[error("no response; check that this is the administration listener of a running controller")]
+    NoResponse,
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// Prints the answer. Status 1, with one line, if the controller gives none.
-pub fn run(command: &Inspect) -> ExitCode {
-    let Inspect::Limits { at, json } = command;
+/// Runs a command and prints its result. On failure, prints one line on standard error and returns
+/// exit status 1.
+pub fn run(command: &InspectCommand) -> ExitCode {
+    let InspectCommand::Limits { at, json } = command;
     match read_limits(*at) {
         Ok((body, _)) if *json => println!("{body}"),
         Ok((_, limits)) => print!("{}", limits_table(&limits)),
@@ -53,19 +55,20 @@
     ExitCode::SUCCESS
 }
 
-/// The body of the answer, and the same parsed.
+/// Reads the limits of a controller. Returns the response body and its parsed form.
 fn read_limits(at: SocketAddr) -> Result<(String, Limits), InspectError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let read = async { HttpClient::new(MEMORY_MB).read(at, LIMITS_PATH, TIMEOUT_MS).await };
-    let body = runtime.block_on(read).ok_or(InspectError::NoAnswer)?;
+    let response =
+        async { HttpClient::new(CLIENT_MEMORY_MB).get(at, LIMITS_PATH, TIMEOUT_MS).await };
+    let body = runtime.block_on(response).ok_or(InspectError::NoResponse)?;
     let limits = serde_json::from_slice(&body)?;
     Ok((String::from_utf8_lossy(&body).into_owned(), limits))
 }
 
 fn limits_table(limits: &Limits) -> String {
     let leader = limits.leader.as_deref().unwrap_or("none");
-    let binding = if limits.allotted { "bind" } else { "do not bind" };
-    let mut table = format!("{}, leader {leader}, allotments {binding}\n", limits.node);
+    let quota_state = if limits.allotted { "enforced" } else { "not enforced" };
+    let mut table = format!("{}, leader {leader}, quotas {quota_state}\n", limits.node);
     let mut rows = vec![COLUMNS.map(String::from)];
     rows.extend(limits.teams.iter().flat_map(team_rows));
     let width = |column: usize| rows.iter().map(|row| row[column].len()).max().unwrap_or(0);
@@ -79,32 +82,32 @@
     table
 }
 
-/// One row for each class; one for the team if it has none.
+/// Returns one row for each class of a team, or one row for the team if it has no classes.
 fn team_rows(team: &Team) -> Vec<[String; COLUMNS.len()]> {
     if team.classes.is_empty() {
-        return vec![row(team, None)];
+        return vec![table_row(team, None)];
     }
-    team.classes.iter().map(|class| row(team, Some(class))).collect()
+    team.classes.iter().map(|class| table_row(team, Some(class))).collect()
 }
 
-fn row(team: &Team, class: Option<&Class>) -> [String; COLUMNS.len()] {
+fn table_row(team: &Team, class: Option<&Class>) -> [String; COLUMNS.len()] {
     let class_name = |class: &Class| class.class.clone().unwrap_or("(others)".into());
     [
         team.team.clone(),
         class.map_or("-".into(), class_name),
-        amount(Some(team.guaranteed)),
-        amount(team.limit),
-        amount(team.used),
+        format_amount(Some(team.guaranteed)),
+        format_amount(team.limit),
+        format_amount(team.used),
         class.map_or("0".into(), |class| class.jobs.to_string()),
-        remaining_quota(class.and_then(|class| class.left)),
+        format_quota(class.and_then(|class| class.left)),
         team.refused.to_string(),
     ]
 }
 
-fn amount(value: Option<f64>) -> String {
+fn format_amount(value: Option<f64>) -> String {
     value.map_or("-".into(), |value| value.to_string())
 }
 
-fn remaining_quota(left: Option<Room>) -> String {
-    left.map_or("-".into(), |left| format!("{} jobs, {:.0} CPU s", left.jobs, left.work))
+fn format_quota(remaining: Option<Room>) -> String {
+    remaining.map_or("-".into(), |quota| format!("{} jobs, {:.0} CPU s", quota.jobs, quota.work))
 }
--- a/crates/basaltrail/src/logging.rs
+++ b/crates/basaltrail/src/logging.rs
@@ -1,6 +1,6 @@
-//! Logs on standard error, one event a line: `LEVEL event=NAME field=value ...`.
+//! Writes logs to standard error, one event per line: `LEVEL event=NAME field=value ...`.
 //!
-//! The core's [`LogEvent`]s become `tracing` fields here and nowhere else.
+//! Only this module converts the core's [`LogEvent`]s to `tracing` fields.
 
 use basaltrail_core::events::{
     AdmissionEvent, HeartbeatEvent, HeartbeatSummary, HeartbeatVerdict, JobEvent, LeadershipEvent,
@@ -14,24 +14,25 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// `LOG_LEVEL` is `error`, `info` or `debug`; anything else is reported and read as `info`.
+/// Initializes logging at the level of `LOG_LEVEL`: `error`, `info` or `debug`. Any other value is
+/// logged as an error and treated as `info`.
 pub fn init() {
-    let asked = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
-    let level = match asked.as_str() {
+    let requested_level = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
+    let level = match requested_level.as_str() {
         "error" => tracing::Level::ERROR,
         "debug" => tracing::Level::DEBUG,
         _ => tracing::Level::INFO,
     };
-    // Our own events only: the libraries' would drown them at `debug`.
-    let ours = Targets::new().with_target("basaltrail", level);
-    tracing_subscriber::registry().with(layer(std::io::stderr).with_filter(ours)).init();
-    if !matches!(asked.as_str(), "error" | "info" | "debug") {
-        error!(event = %"log_level_unknown", value = ?asked, used = %"info");
+    // Events of libraries are excluded, since they would outnumber ours at `debug`.
+    let filter = Targets::new().with_target("basaltrail", level);
+    tracing_subscriber::registry().with(line_layer(std::io::stderr).with_filter(filter)).init();
+    if !matches!(requested_level.as_str(), "error" | "info" | "debug") {
+        error!(event = %"log_level_unknown", value = ?requested_level, used = %"info");
     }
 }
 
-/// The form of the lines: no time and no target, the level first.
-fn layer<S, W>(writer: W) -> impl Layer<S>
+/// Returns the layer that formats log lines: the level first, without time and target.
+fn line_layer<S, W>(writer: W) -> impl Layer<S>
 where
     S: Subscriber + for<'span> LookupSpan<'span>,
     W: for<'writer> MakeWriter<'writer> + 'static,
@@ -43,12 +44,12 @@
         .with_target(false)
 }
 
-/// Whether lines of the level `debug` are written.
+/// Returns whether events of level `debug` are written.
 pub fn is_debug() -> bool {
     tracing::enabled!(tracing::Level::DEBUG)
 }
 
-/// Writes an event of the core as one line.
+/// Writes an event of the core as one log line.
 pub fn write(event: &LogEvent) {
     match event {
         LogEvent::Leadership(event) => write_leadership(event),
@@ -74,11 +75,11 @@
             let leader = leader.as_deref().unwrap_or("none");
             info!(event = %"leader_seen", leader = %leader, term = term.0, revision = revision.0);
         }
-        LeadershipEvent::Round(summary) => write_round(summary),
+        LeadershipEvent::Round(summary) => write_round_summary(summary),
     }
 }
 
-fn write_round(summary: &RoundSummary) {
+fn write_round_summary(summary: &RoundSummary) {
     let teams = summary
         .teams
         .iter()
@@ -93,7 +94,7 @@
         running_cpus = summary.running_cpus,
         saving_cpus = summary.saving_cpus,
         waiting_cpus = summary.waiting_cpus,
-        teams = %joined(teams),
+        teams = %join(teams),
     );
 }
 
@@ -193,7 +194,7 @@
         stops = counters.stops,
         forgets = counters.forgets,
         violations = counters.violations,
-        refused = %joined(refused),
+        refused = %join(refused),
     );
 }
 
@@ -208,13 +209,13 @@
                 event = %"quota_planned",
                 team = %team,
                 controller = %controller,
-                classes = %joined(classes),
+                classes = %join(classes),
             );
         }
         AdmissionEvent::Refused { reasons } => {
             let reasons =
                 reasons.iter().map(|(reason, count)| format!("{}:{count}", reason.name()));
-            info!(event = %"submissions_refused", reasons = %joined(reasons));
+            info!(event = %"submissions_refused", reasons = %join(reasons));
         }
         AdmissionEvent::QuotaUnreadable { key } => {
             error!(event = %"quota_unreadable", key = %key);
@@ -232,8 +233,8 @@
     }
 }
 
-/// A list as one field's value.
-fn joined(parts: impl Iterator<Item = String>) -> String {
+/// Joins a list with commas into the value of one field.
+fn join(parts: impl Iterator<Item = String>) -> String {
     parts.collect::<Vec<_>>().join(",")
 }
 
--- a/crates/basaltrail/src/logging_tests.rs
+++ b/crates/basaltrail/src/logging_tests.rs
@@ -1,4 +1,4 @@
-//! The form of a log line.
+//! Tests of the format of log lines.
 
 use super::*;
 use basaltrail_core::events::ReleaseReason;
@@ -6,13 +6,13 @@
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
 
-/// Where the lines of a test go.
+/// A buffer that collects the log lines of a test.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<u8>>>);
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Lines {
+impl Write for LogBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.0.lock().expect("no writer panics").extend_from_slice(bytes);
+        self.0.lock().expect("lock is poisoned").extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -21,17 +21,17 @@
     }
 }
 
-fn written(events: &[LogEvent]) -> String {
-    let lines = Lines::default();
-    let writer = lines.clone();
-    let subscriber = tracing_subscriber::registry().with(layer(move || writer.clone()));
+fn write_to_string(events: &[LogEvent]) -> String {
+    let buffer = LogBuffer::default();
+    let writer = buffer.clone();
+    let subscriber = tracing_subscriber::registry().with(line_layer(move || writer.clone()));
     tracing::subscriber::with_default(subscriber, || events.iter().for_each(write));
-    let bytes = lines.0.lock().expect("no writer panics").clone();
-    String::from_utf8(bytes).expect("lines are text")
+    let bytes = buffer.0.lock().expect("lock is poisoned").clone();
+    String::from_utf8(bytes).expect("log lines are UTF-8")
 }
 
 #[test]
-fn an_event_is_one_line_that_begins_with_its_name() {
+fn each_event_is_written_as_one_line_that_starts_with_level_and_name() {
     let machine = MachineId("m-000001".into());
     let task = TaskId { job: JobId(7), index: 3 };
     let events = [
@@ -51,5 +51,5 @@
  INFO event=task_failed job=000007 task=3 machine=m-000001 crash_looping=true ran_ms=20
  INFO event=leader_seen leader=none term=0 revision=4
 ";
-    assert_eq!(written(&events), expected);
+    assert_eq!(write_to_string(&events), expected);
 }
--- a/crates/basaltrail/src/main.rs
+++ b/crates/basaltrail/src/main.rs
@@ -1,7 +1,7 @@
-//! basaltrail: one controller of a cluster, and the commands of its operators.
+//! basaltrail: runs one controller of a cluster and provides the operators' commands.
 //!
-//! `main` parses the command line, `settings` and `policy` the files. `driver` runs the core
-//! between `server`, `clients` and `peers`; `logging` writes its events.
+//! `main` parses the command line; `settings` and `policy` parse the files. `driver` connects the
+//! core to `server`, `clients` and `peers`; `logging` writes the core's events.
 #![warn(missing_docs)]
 
 mod bounded_listener;
@@ -22,39 +22,39 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit status: the command line or a file is invalid.
-const STATUS_INVALID: u8 = 2;
+/// Exit status if the command line or a file is invalid.
+const EXIT_INVALID_INPUT: u8 = 2;
 
-/// One controller of a basaltrail cluster.
+/// Runs one controller of a basaltrail cluster.
 #[derive(Parser)]
 #[command(version, about, args_conflicts_with_subcommands = true)]
 struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
     #[command(flatten)]
-    files: Option<Files>,
-    /// Validate the settings and exit
+    files: Option<ConfigFiles>,
+    /// Validate the settings and the policy, and exit
     #[arg(long)]
     check: bool,
 }
 
 #[derive(Args)]
-struct Files {
-    /// The settings file that the platform hands over (TOML)
+struct ConfigFiles {
+    /// Settings file provided by the platform (TOML)
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// The operators' own settings (S-expressions)
+    /// Policy file written by the operators (S-expressions)
     #[arg(long, value_name = "FILE")]
     policy: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Validates the settings
-    Check(Files),
-    /// Reads a running controller over its administration listener
+    /// Validates the settings and the policy, and exits
+    Check(ConfigFiles),
+    /// Queries a running controller through its administration listener
     #[command(subcommand)]
-    Inspect(inspect::Inspect),
+    Inspect(inspect::InspectCommand),
 }
 
 fn main() -> ExitCode {
@@ -64,16 +64,16 @@
         (Some(Command::Check(files)), _) => (files, true),
         (None, Some(files)) => (files, check),
         (None, None) => {
-            eprintln!("basaltrail: no --config FILE; see --help");
-            return ExitCode::from(STATUS_INVALID);
+            eprintln!("basaltrail: missing --config FILE; see --help");
+            return ExitCode::from(EXIT_INVALID_INPUT);
         }
     };
     logging::init();
-    let settings = match load(&files) {
+    let settings = match load_settings(&files) {
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("basaltrail: {error}");
-            return ExitCode::from(STATUS_INVALID);
+            return ExitCode::from(EXIT_INVALID_INPUT);
         }
     };
     if check {
@@ -89,13 +89,13 @@
     }
 }
 
-/// Reads the settings, and the policy if there is one.
-fn load(files: &Files) -> Result<ProcessSettings, ConfigError> {
+/// Loads the settings file and, if one is given, the policy file.
+fn load_settings(files: &ConfigFiles) -> Result<ProcessSettings, ConfigError> {
     let mut settings = settings::load(&files.config)?;
     if let Some(path) = &files.policy {
-        let operator = policy::load(path, &settings.core)?;
-        settings.core.policy = operator.policy;
-        settings.administration = operator.administration;
+        let operator_settings = policy::load(path, &settings.core)?;
+        settings.core.policy = operator_settings.policy;
+        settings.administration = operator_settings.administration;
     }
     Ok(settings)
 }
