--- a/crates/basaltrail/src/bounded_listener.rs
+++ b/crates/basaltrail/src/bounded_listener.rs
@@ -1,4 +1,4 @@
-//! A TCP listener with a bound on its open connections.
+//! A TCP listener that limits the number of open connections.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -6,18 +6,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// A listener with a bound on its open connections.
+/// A TCP listener that limits the number of open connections.
 pub struct BoundedListener {
-    /// The listener.
+    /// Listener that accepts the connections.
     pub listener: TcpListener,
-    /// Connections that may be open at once; others are closed as soon as they are accepted.
+    /// Largest number of open connections. Further connections are closed once accepted.
     pub max_connections: usize,
-    /// How long the listener waits after it could not accept a connection.
-    pub accept_retry: Duration,
+    /// Delay before the next attempt after a connection could not be accepted.
+    pub accept_retry_delay: Duration,
 }
 
 impl BoundedListener {
-    /// Serves each connection in a task of its own, until the process ends.
+    /// Accepts connections until the process ends and serves each one in its own task.
     pub async fn serve<F>(self, serve_connection: impl Fn(TcpStream) -> F)
     where
         F: Future<Output = ()> + Send + 'static,
@@ -25,7 +25,7 @@
         let connections = Arc::new(Semaphore::new(self.max_connections));
         loop {
             let Ok((stream, _)) = self.listener.accept().await else {
-                tokio::time::sleep(self.accept_retry).await;
+                tokio::time::sleep(self.accept_retry_delay).await;
                 continue;
             };
             let Ok(permit) = connections.clone().try_acquire_owned() else { continue };
--- a/crates/basaltrail/src/config_error.rs
+++ b/crates/basaltrail/src/config_error.rs
@@ -1,13 +1,13 @@
-//! What is wrong with a settings or policy file, and where. Each error is printed as one line.
+//! Errors of settings and policy files, with their location. Each error is printed as one line.
 
 use std::fmt;
 
-/// A place in a file.
+/// A location in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// The file, as it was named on the command line.
+    /// Path of the file, as given on the command line.
     pub file: String,
-    /// The line, counted from 1, if the problem has one.
+    /// Line number, counted from 1. `None` if the problem concerns no particular line.
     pub line: Option<usize>,
 }
 
@@ -20,24 +20,24 @@
     }
 }
 
-/// Why a file cannot be used.
+/// An error that makes a settings or policy file unusable.
 #[derive(Debug, thiserror::Error)]
 #[error("{location}: {problem}")]
 pub struct ConfigError {
-    /// Where the problem is.
+    /// Location of the problem.
     pub location: Location,
-    /// What the problem is.
+    /// The problem.
     pub problem: Problem,
 }
 
 impl ConfigError {
-    /// An error at a line of a file, or in the whole file.
+    /// Creates an error for a line of a file, or for the whole file if `line` is `None`.
     pub fn new(file: &str, line: Option<usize>, problem: impl Into<Problem>) -> Self {
         ConfigError { location: Location { file: file.into(), line }, problem: problem.into() }
     }
 }
 
-/// What is wrong with a file.
+/// A problem in a file.
 #[derive(Debug, thiserror::Error)]
 pub enum Problem {
     /// The file cannot be read.
@@ -51,35 +51,35 @@
     Policy(#[from] PolicyProblem),
 }
 
-/// What is wrong with a settings file. Names are those of the keys.
+/// A problem in a settings file. `name` fields hold keys of the file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsProblem {
-    /// The file is not TOML, lacks a key, or has a value of another type.
+    /// The file is not valid TOML, lacks a required key, or has a value of the wrong type.
     #[error("{0}")]
     Toml(String),
-    /// A value is not an address.
-    #[error("{name} is not an address: {value:?}")]
-    Address {
-        /// The key.
+    /// A value is not a socket address.
+    #[error("{name} must be an IP address and a port, not {value:?}")]
+    InvalidSocketAddress {
+        /// Full key of the value.
         name: &'static str,
-        /// The value.
+        /// The invalid value.
         value: String,
     },
-    /// An amount is 0, negative, or too large to be one.
+    /// An amount is 0, negative, not a number, or too large.
     #[error("params.{name} must be above 0")]
-    NotPositive {
+    InvalidAmount {
         /// The key below `params`.
         name: String,
     },
-    /// An amount is below what the controller needs.
+    /// An amount is below the minimum that the controller needs.
     #[error("params.{name} must be {minimum} or more")]
     BelowMinimum {
         /// The key below `params`.
         name: String,
-        /// The smallest amount.
+        /// Smallest valid amount.
         minimum: f64,
     },
-    /// There are no teams.
+    /// The list of teams is empty.
     #[error("params.teams names no team")]
     NoTeams,
     /// Two teams have the same name.
@@ -88,13 +88,13 @@
         /// The team.
         team: String,
     },
-    /// An amount of a team is negative or infinite.
+    /// An amount of a team is negative or not finite.
     #[error("team {team:?} has an amount below 0")]
-    NegativeTeamAmount {
+    InvalidTeamAmount {
         /// The team.
         team: String,
     },
-    /// A limit of a team is below its guarantee.
+    /// A limit of a team is below the team's guarantee.
     #[error("team {team:?} has a limit below its guarantee")]
     LimitBelowGuarantee {
         /// The team.
@@ -102,18 +102,18 @@
     },
 }
 
-/// What is wrong with a policy file.
+/// A problem in a policy file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum PolicyProblem {
-    /// The file is not an S-expression.
+    /// The file is not a valid S-expression.
     #[error("{0}")]
     Syntax(String),
-    /// The file is not a policy.
+    /// The outermost expression is not a `policy` list.
     #[error("expected (policy (KEY VALUE) ...)")]
-    NotAPolicy,
-    /// An entry has no key.
+    InvalidPolicy,
+    /// An entry is not a list that starts with a key.
     #[error("expected (KEY VALUE)")]
-    NotAnEntry,
+    InvalidEntry,
     /// A key is set twice.
     #[error("{key} is set twice")]
     DuplicateKey {
@@ -126,37 +126,37 @@
         /// The key.
         key: String,
     },
-    /// A key has no value or more than one.
-    #[error("{key} takes one number")]
+    /// A key does not have exactly one value.
+    #[error("{key} requires exactly one number")]
     NotOneNumber {
         /// The key.
         key: String,
     },
-    /// A value is not a number or out of its range.
+    /// A value is not a number or is out of range.
     #[error("{key} must be a number from {low} to {high}")]
     OutOfRange {
         /// The key.
         key: String,
-        /// The smallest value.
+        /// Smallest valid value.
         low: f64,
-        /// The largest value.
+        /// Largest valid value.
         high: f64,
     },
-    /// The value of `administration` is not an address.
+    /// The value of `administration` is not a socket address.
     #[error("administration takes an address, such as \"127.0.0.1:7190\"")]
-    NotAnAddress,
-    /// An entry of `weights` is not a team with a weight.
+    InvalidAddress,
+    /// An entry of `weights` is not a team and its weight.
     #[error("expected (TEAM WEIGHT) with a weight above 0")]
-    NotAWeight,
-    /// A team is not in the settings.
+    InvalidWeight,
+    /// A team of the policy is not in the settings file.
     #[error("no team {team:?} in the settings")]
     UnknownTeam {
         /// The team.
         team: String,
     },
-    /// An entry of `admission` has no key.
-    #[error("admission takes (KEY VALUE) ...")]
-    NotAnAdmissionEntry,
+    /// An entry of `admission` is not a list that starts with a key.
+    #[error("expected (admission (KEY VALUE) ...)")]
+    InvalidAdmissionEntry,
     /// A key of `admission` is unknown.
     #[error("admission has no {key:?}")]
     UnknownAdmissionKey {
--- a/crates/basaltrail/src/core_handle.rs
+++ b/crates/basaltrail/src/core_handle.rs
@@ -1,24 +1,24 @@
-//! The way of a request from the HTTP servers to the core, and of its answer back.
+//! Passes requests from the HTTP servers to the core and returns the answers.
 
 use basaltrail_core::{Answer, Input, RequestId, UnavailableReason};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// After how many seconds a request is to be repeated that the core could not take.
+/// Seconds after which a client may repeat a request that did not fit into the queue.
 const RETRY_AFTER_S: u32 = 1;
 
-/// A request that waits for the core.
+/// A request in the queue of the core.
 pub struct PendingRequest {
     /// Identifies the request to the core.
     pub id: RequestId,
     /// The input for the core.
     pub input: Input,
-    /// Where the answer is sent.
+    /// Channel for the answer.
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// Hands requests to the core; clones share one queue.
+/// A handle that sends requests to the core. Clones share one queue.
 #[derive(Clone)]
 pub struct CoreHandle {
     requests: mpsc::Sender<PendingRequest>,
@@ -27,7 +27,7 @@
 }
 
 impl CoreHandle {
-    /// A handle with a queue of a length, and the core's end of the queue.
+    /// Returns a handle with a queue of the given length, and the receiving end of the queue.
     pub fn new(queue_length: usize) -> (Self, mpsc::Receiver<PendingRequest>) {
         let (requests, receiver) = mpsc::channel(queue_length);
         let handle = CoreHandle {
@@ -38,8 +38,8 @@
         (handle, receiver)
     }
 
-    /// Hands a request to the core and waits for its answer. With a full queue it is answered at
-    /// once that the controller is unavailable.
+    /// Sends a request to the core and waits for the answer. If the queue is full, returns
+    /// `Answer::Unavailable` at once.
     pub async fn request(&self, input: impl FnOnce(RequestId) -> Input) -> Answer {
         let unavailable = Answer::Unavailable {
             retry_after_s: RETRY_AFTER_S,
@@ -53,7 +53,7 @@
         receiver.await.unwrap_or(unavailable)
     }
 
-    /// Whether the controller is ready to serve.
+    /// Returns whether the controller is ready to serve.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
--- a/crates/basaltrail/src/driver.rs
+++ b/crates/basaltrail/src/driver.rs
@@ -1,4 +1,5 @@
-//! The loop around the core: it feeds inputs in and carries effects out. It decides nothing.
+//! Runs the event loop around the core: it passes inputs to the core and executes the effects that
+//! the core returns. It makes no decisions itself.
 
 use crate::clients::HttpClient;
 use crate::core_handle::{CoreHandle, PendingRequest};
@@ -13,38 +14,39 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Requests that may wait for the core, per MB of memory. After a stall every worker sends its
-/// heartbeat at once: one that is refused asks another controller, and returns only after that.
-const QUEUE_PER_MB: f64 = 8.0;
-const MIN_QUEUE: f64 = 64.0;
-/// Replies of the state service and the cloud that may wait for the core.
-const REPLY_QUEUE: usize = 512;
-/// Frames of other controllers that may wait for the core.
-const PEER_QUEUE: usize = 4;
-/// Interval of the core's ticks.
-const TICK: Duration = Duration::from_millis(50);
+/// Length of the request queue per MB of memory. After a stall every worker sends its heartbeat at
+/// once, and a worker whose heartbeat is refused tries another controller before it returns.
+const QUEUED_REQUESTS_PER_MB: f64 = 8.0;
+/// Smallest length of the request queue.
+const MIN_QUEUED_REQUESTS: f64 = 64.0;
+/// Length of the queue of replies from the store and the cloud.
+const REPLY_QUEUE_LENGTH: usize = 512;
+/// Length of the queue of frames from other controllers.
+const PEER_QUEUE_LENGTH: usize = 4;
+/// Interval between two ticks of the core.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What feeds inputs into the core.
+/// Receivers of the core's inputs.
 struct Inputs {
     requests: mpsc::Receiver<PendingRequest>,
     replies: mpsc::Receiver<Input>,
     peers: mpsc::Receiver<Vec<Progress>>,
 }
 
-/// The core, and where its effects go.
+/// State of the event loop: the core and the channels and clients that its effects use.
 struct Driver {
     core: Controller,
-    started: Instant,
+    started_at: Instant,
     handle: CoreHandle,
-    /// Requests that the core has not answered yet.
-    unanswered: HashMap<RequestId, oneshot::Sender<Answer>>,
+    /// Reply channels of the requests that the core has not answered yet.
+    pending_answers: HashMap<RequestId, oneshot::Sender<Answer>>,
     client: HttpClient,
-    state_service: SocketAddr,
+    store: SocketAddr,
     cloud: SocketAddr,
-    /// Replies to calls. Those who carry them wait while the core is behind.
+    /// Queue of replies to calls. A sender waits while the queue is full.
     replies: mpsc::Sender<Input>,
-    /// The newest frame for the other controllers.
-    frame: watch::Sender<Vec<u8>>,
+    /// Latest frame to send to the other controllers.
+    latest_frame: watch::Sender<Vec<u8>>,
 }
 
 /// Runs the controller until the process ends.
@@ -53,25 +55,26 @@
 ///
 /// If a listener cannot be bound.
 pub async fn run(settings: ProcessSettings) -> std::io::Result<()> {
-    let queue_length = (settings.core.memory_mb * QUEUE_PER_MB).max(MIN_QUEUE) as usize;
+    let queue_length =
+        (settings.core.memory_mb * QUEUED_REQUESTS_PER_MB).max(MIN_QUEUED_REQUESTS) as usize;
     let (handle, requests) = CoreHandle::new(queue_length);
-    let (replies, reply_receiver) = mpsc::channel(REPLY_QUEUE);
-    let (peer_progress, peer_receiver) = mpsc::channel(PEER_QUEUE);
-    let (frame, newest_frame) = watch::channel(Vec::new());
-    start_servers(&settings, &handle, peer_progress, newest_frame).await?;
+    let (replies, reply_receiver) = mpsc::channel(REPLY_QUEUE_LENGTH);
+    let (peer_progress, peer_receiver) = mpsc::channel(PEER_QUEUE_LENGTH);
+    let (latest_frame, frame_receiver) = watch::channel(Vec::new());
+    start_servers(&settings, &handle, peer_progress, frame_receiver).await?;
     let controller = settings.core.controller.clone();
     let listen = settings.listen;
-    let driver = Driver::new(settings, handle, replies, frame);
+    let driver = Driver::new(settings, handle, replies, latest_frame);
     tracing::info!(event = %"started", controller = %controller, listen = %listen);
     driver.run(Inputs { requests, replies: reply_receiver, peers: peer_receiver }).await
 }
 
-/// Binds all listeners, and starts the servers and the connections to the other controllers.
+/// Binds all listeners and starts the servers and the senders of frames to other controllers.
 async fn start_servers(
     settings: &ProcessSettings,
     handle: &CoreHandle,
     peer_progress: mpsc::Sender<Vec<Progress>>,
-    newest_frame: watch::Receiver<Vec<u8>>,
+    frame_receiver: watch::Receiver<Vec<u8>>,
 ) -> std::io::Result<()> {
     let listener = TcpListener::bind(settings.listen).await?;
     let peer_listener = TcpListener::bind(settings.peer_listen).await?;
@@ -79,13 +82,13 @@
         let listener = TcpListener::bind(address).await?;
         tokio::spawn(server::serve_operators(listener, handle.clone()));
     }
-    // The rest is for the controller's own calls and for connections that are being closed.
+    // The remaining sockets are for outgoing calls and for connections that are closing.
     let max_clients = settings.max_connections * 3 / 4;
     tokio::spawn(server::serve_clients(listener, max_clients, handle.clone()));
     let max_peers = settings.max_connections / 16 + 4;
-    tokio::spawn(peers::listen(peer_listener, max_peers, peer_progress));
+    tokio::spawn(peers::receive_frames(peer_listener, max_peers, peer_progress));
     for peer in &settings.peers {
-        tokio::spawn(peers::send(*peer, newest_frame.clone()));
+        tokio::spawn(peers::send_frames(*peer, frame_receiver.clone()));
     }
     Ok(())
 }
@@ -95,7 +98,7 @@
         settings: ProcessSettings,
         handle: CoreHandle,
         replies: mpsc::Sender<Input>,
-        frame: watch::Sender<Vec<u8>>,
+        latest_frame: watch::Sender<Vec<u8>>,
     ) -> Self {
         let client = HttpClient::new(settings.core.memory_mb);
         let seed = settings.core.incarnation;
@@ -103,72 +106,72 @@
         core.set_verbose(logging::is_debug());
         Driver {
             core,
-            started: Instant::now(),
+            started_at: Instant::now(),
             handle,
-            unanswered: HashMap::new(),
+            pending_answers: HashMap::new(),
             client,
-            state_service: settings.state_service,
+            store: settings.store,
             cloud: settings.cloud,
             replies,
-            frame,
+            latest_frame,
         }
     }
 
     async fn run(mut self, mut inputs: Inputs) -> std::io::Result<()> {
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             let input = tokio::select! {
                 biased;
-                // Leases are renewed by ticks and replies; they go before new requests.
+                // Ticks and replies renew leases, so they take precedence over new requests.
                 _ = tick.tick() => Input::Tick,
                 Some(input) = inputs.replies.recv() => input,
                 Some(progress) = inputs.peers.recv() => Input::Peer { progress },
                 Some(PendingRequest { id, input, answer }) = inputs.requests.recv() => {
-                    self.unanswered.insert(id, answer);
+                    self.pending_answers.insert(id, answer);
                     input
                 }
             };
-            self.step(input);
+            self.handle_input(input);
         }
     }
 
-    fn step(&mut self, input: Input) {
-        let now = self.started.elapsed().as_millis() as Ms;
+    fn handle_input(&mut self, input: Input) {
+        let now_ms = self.started_at.elapsed().as_millis() as Ms;
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-        let wall = since_epoch.map_or(0, |duration| duration.as_millis() as WallMs);
-        for effect in self.core.step(now, wall, input) {
-            self.carry_out(effect);
+        let wall_ms = since_epoch.map_or(0, |duration| duration.as_millis() as WallMs);
+        for effect in self.core.step(now_ms, wall_ms, input) {
+            self.execute(effect);
         }
         self.handle.set_ready(self.core.is_ready());
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Answer { req, answer } => {
-                if let Some(sender) = self.unanswered.remove(&req) {
-                    // The connection of the request may be gone by now.
+                if let Some(sender) = self.pending_answers.remove(&req) {
+                    // Sending fails if the client has disconnected.
                     let _ = sender.send(answer);
                 }
             }
             Effect::Store { op, call, timeout_ms } => {
                 let (client, replies) = (self.client.clone(), self.replies.clone());
-                let to = self.state_service;
+                let address = self.store;
                 tokio::spawn(async move {
-                    let reply = client.call_store(to, &call, timeout_ms).await;
+                    let reply = client.call_store(address, &call, timeout_ms).await;
                     let _ = replies.send(Input::Store { op, reply }).await;
                 });
             }
             Effect::Cloud { op, call, timeout_ms } => {
                 let (client, replies) = (self.client.clone(), self.replies.clone());
-                let to = self.cloud;
+                let address = self.cloud;
                 tokio::spawn(async move {
-                    let reply = client.call_cloud(to, &call, timeout_ms).await;
+                    let reply = client.call_cloud(address, &call, timeout_ms).await;
                     let _ = replies.send(Input::Cloud { op, reply }).await;
                 });
             }
             Effect::Peers { progress } => {
-                self.frame.send_replace(frames::encode(&progress));
+                self.latest_frame.send_replace(frames::encode(&progress));
             }
             Effect::Log(event) => logging::write(&event),
         }
--- a/crates/basaltrail/src/peers.rs
+++ b/crates/basaltrail/src/peers.rs
@@ -1,4 +1,5 @@
-//! Frames between controllers. Only the newest one matters, so none are queued.
+//! Sends and receives the frames that controllers exchange. Each frame replaces the one before it,
+//! so only the latest frame is kept for sending.
 
 use crate::bounded_listener::BoundedListener;
 use basaltrail_core::Progress;
@@ -9,61 +10,61 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// How long a connection may carry nothing before it is closed.
+/// Time without data after which an incoming connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a frame may take to be sent, and how long the next one waits after a failure.
+/// Time limit for sending a frame, and the delay after a failure before the next frame is sent.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the listener waits after it could not accept a connection.
-const ACCEPT_RETRY: Duration = Duration::from_millis(100);
+/// Delay before the next attempt after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Receives frames from other controllers until the process ends.
-pub async fn listen(
+pub async fn receive_frames(
     listener: TcpListener,
     max_connections: usize,
-    received: mpsc::Sender<Vec<Progress>>,
+    progress: mpsc::Sender<Vec<Progress>>,
 ) {
-    let connections = BoundedListener { listener, max_connections, accept_retry: ACCEPT_RETRY };
-    connections.serve(|stream| receive_frames(stream, received.clone())).await;
+    let connections =
+        BoundedListener { listener, max_connections, accept_retry_delay: ACCEPT_RETRY_DELAY };
+    connections.serve(|stream| serve_connection(stream, progress.clone())).await;
 }
 
 /// Receives frames over one connection until it ends.
-async fn receive_frames(stream: TcpStream, received: mpsc::Sender<Vec<Progress>>) {
-    // A connection that fails is opened again by the other controller.
-    let _ = try_receive_frames(stream, received).await;
+async fn serve_connection(stream: TcpStream, progress: mpsc::Sender<Vec<Progress>>) {
+    // The other controller reconnects after a failure.
+    let _ = try_receive_frames(stream, progress).await;
 }
 
-/// Receives frames until the connection ends, carries nothing for too long, or carries something
-/// else.
+/// Receives frames until the connection ends, is idle for [`IDLE_TIMEOUT`] or carries invalid data.
 async fn try_receive_frames(
     mut stream: TcpStream,
-    received: mpsc::Sender<Vec<Progress>>,
+    progress: mpsc::Sender<Vec<Progress>>,
 ) -> Option<()> {
     let mut header = [0u8; frames::HEADER_BYTES];
     let mut body = Vec::new();
     loop {
-        read_exact(&mut stream, &mut header).await?;
+        read_before_timeout(&mut stream, &mut header).await?;
         let Some(length) = frames::body_length(&header) else {
             tracing::info!(event = %"peer_frame_refused");
             return None;
         };
         body.resize(length, 0);
-        read_exact(&mut stream, &mut body).await?;
-        // The progress is for display only, so it may be dropped while the core is behind.
-        let _ = received.try_send(frames::decode_body(&body)?);
+        read_before_timeout(&mut stream, &mut body).await?;
+        // Progress is for display only, so a frame is dropped if the queue is full.
+        let _ = progress.try_send(frames::decode_body(&body)?);
     }
 }
 
-async fn read_exact(stream: &mut TcpStream, buffer: &mut [u8]) -> Option<()> {
+async fn read_before_timeout(stream: &mut TcpStream, buffer: &mut [u8]) -> Option<()> {
     tokio::time::timeout(IDLE_TIMEOUT, stream.read_exact(buffer)).await.ok()?.ok()?;
     Some(())
 }
 
-/// Sends every new frame to one other controller, until no more are made.
-pub async fn send(to: SocketAddr, mut newest_frame: watch::Receiver<Vec<u8>>) {
+/// Sends the latest frame to another controller whenever it changes, until its sender is dropped.
+pub async fn send_frames(peer: SocketAddr, mut latest_frame: watch::Receiver<Vec<u8>>) {
     let mut connection: Option<TcpStream> = None;
-    while newest_frame.changed().await.is_ok() {
-        let frame = newest_frame.borrow_and_update().clone();
-        let sent = tokio::time::timeout(SEND_TIMEOUT, send_frame(&mut connection, to, &frame));
+    while latest_frame.changed().await.is_ok() {
+        let frame = latest_frame.borrow_and_update().clone();
+        let sent = tokio::time::timeout(SEND_TIMEOUT, send_frame(&mut connection, peer, &frame));
         if !matches!(sent.await, Ok(Ok(()))) {
             connection = None;
             tokio::time::sleep(SEND_TIMEOUT).await;
@@ -73,12 +74,12 @@
 
 async fn send_frame(
     connection: &mut Option<TcpStream>,
-    to: SocketAddr,
+    peer: SocketAddr,
     frame: &[u8],
 ) -> std::io::Result<()> {
     let mut stream = match connection.take() {
         Some(stream) => stream,
-        None => TcpStream::connect(to).await?,
+        None => TcpStream::connect(peer).await?,
     };
     stream.write_all(frame).await?;
     *connection = Some(stream);
--- a/crates/basaltrail/src/policy.rs
+++ b/crates/basaltrail/src/policy.rs
@@ -1,4 +1,4 @@
-//! The operators' own settings, as S-expressions:
+//! Parses the policy file: the operators' settings, as S-expressions.
 //!
 //! ```text
 //! (policy
@@ -14,22 +14,32 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// Name of the outermost list.
-const POLICY: &str = "policy";
-const LEADER_LEASE: RangeInclusive<f64> = 0.1..=0.9;
-const ROUND_S: RangeInclusive<f64> = 0.5..=3600.0;
-const LEASE_TERM_S: RangeInclusive<f64> = 0.5..=86_400.0;
-const HEADROOM: RangeInclusive<f64> = 0.0..=10.0;
-const IDLE_S: RangeInclusive<f64> = 0.0..=86_400.0;
-const GUARANTEE_LEASES: RangeInclusive<f64> = 0.5..=1e4;
-const SAMPLE: RangeInclusive<f64> = 1.0..=1e6;
-const BACKLOG_S: RangeInclusive<f64> = 1.0..=1e6;
-const CLASS_LEAST: RangeInclusive<f64> = 0.0..=0.5;
-
-/// What the operators set.
+/// Key of the outermost list.
+const POLICY_KEY: &str = "policy";
+/// Valid leader lease, as a share of the worker lease.
+const LEADER_LEASE_RANGE: RangeInclusive<f64> = 0.1..=0.9;
+/// Valid interval between rounds of the fair-share ledger, in seconds.
+const ROUND_S_RANGE: RangeInclusive<f64> = 0.5..=3600.0;
+/// Valid term of a grant of the fair-share ledger, in seconds.
+const LEASE_TERM_S_RANGE: RangeInclusive<f64> = 0.5..=86_400.0;
+/// Valid reserved capacity, as a multiple of the summed guarantees.
+const HEADROOM_RANGE: RangeInclusive<f64> = 0.0..=10.0;
+/// Valid idle time before a machine is terminated, in seconds.
+const IDLE_S_RANGE: RangeInclusive<f64> = 0.0..=86_400.0;
+/// Valid time that a team within its guarantee waits before borrowed work is preempted, in worker
+/// leases.
+const GUARANTEE_LEASES_RANGE: RangeInclusive<f64> = 0.5..=1e4;
+/// Valid number of machines in the sample for one placement.
+const SAMPLE_RANGE: RangeInclusive<f64> = 1.0..=1e6;
+/// Valid bound of a team's backlog, in seconds of work at the rate at which the team is served.
+const BACKLOG_S_RANGE: RangeInclusive<f64> = 1.0..=1e6;
+/// Valid minimum share of a class in its team's CPUs.
+const CLASS_LEAST_RANGE: RangeInclusive<f64> = 0.0..=0.5;
+
+/// Settings of a policy file.
 #[derive(Debug, Default, PartialEq)]
 pub struct OperatorSettings {
-    /// The policy of the core.
+    /// Policy of the core.
     pub policy: Policy,
     /// Address of the administration listener, if there is one.
     pub administration: Option<SocketAddr>,
@@ -39,7 +49,8 @@
 ///
 /// # Errors
 ///
-/// If the file cannot be read or is invalid; the first problem is named with its line.
+/// Returns an error if the file cannot be read or is invalid. The error names the first problem and
+/// its line.
 pub fn load(path: &Path, settings: &Settings) -> Result<OperatorSettings, ConfigError> {
     let file = path.display().to_string();
     let text =
@@ -47,11 +58,11 @@
     parse(&file, &text, settings)
 }
 
-/// Parses the text of a policy file. Teams with weights must be in the settings.
+/// Parses the text of a policy file. Teams with weights must be in `settings`.
 ///
 /// # Errors
 ///
-/// If the text is invalid; the first problem is named with its line.
+/// Returns an error if the text is invalid. The error names the first problem and its line.
 pub fn parse(file: &str, text: &str, settings: &Settings) -> Result<OperatorSettings, ConfigError> {
     let datum = lexpr::datum::from_str(text).map_err(|error| {
         let line = error.location().map_or(1, |location| location.line());
@@ -59,32 +70,34 @@
     })?;
     let top = datum.as_ref();
     let parser = Parser { file, settings };
-    let Some(policy) = Entry::of(top).filter(|entry| entry.key == POLICY) else {
-        return Err(parser.error(&top, PolicyProblem::NotAPolicy));
+    let Some(policy) = Entry::parse(top).filter(|entry| entry.key == POLICY_KEY) else {
+        return Err(parser.error(&top, PolicyProblem::InvalidPolicy));
     };
-    let mut operator = OperatorSettings::default();
-    parser.for_each_entry(&policy.values, PolicyProblem::NotAnEntry, |entry| {
-        parser.apply(entry, &mut operator)
+    let mut operator_settings = OperatorSettings::default();
+    parser.for_each_entry(&policy.values, PolicyProblem::InvalidEntry, |entry| {
+        parser.apply_entry(entry, &mut operator_settings)
     })?;
-    Ok(operator)
+    Ok(operator_settings)
 }
 
 /// A list that starts with a key.
 struct Entry<'a> {
     datum: Ref<'a>,
     key: String,
-    /// What follows the key.
+    /// Items after the key.
     values: Vec<Ref<'a>>,
 }
 
 impl<'a> Entry<'a> {
-    fn of(datum: Ref<'a>) -> Option<Self> {
+    /// Returns the entry, or `None` if the datum is not a list that starts with a name.
+    fn parse(datum: Ref<'a>) -> Option<Self> {
         let mut items = datum.list_iter()?;
         let key = items.next()?.value().as_name()?.to_string();
         Some(Entry { datum, key, values: items.collect() })
     }
 
-    fn only_value(&self) -> Option<&Ref<'a>> {
+    /// Returns the value if there is exactly one.
+    fn single_value(&self) -> Option<&Ref<'a>> {
         match self.values.as_slice() {
             [value] => Some(value),
             _ => None,
@@ -98,20 +111,22 @@
 }
 
 impl Parser<'_> {
-    fn error(&self, at: &Ref<'_>, problem: PolicyProblem) -> ConfigError {
-        ConfigError::new(self.file, Some(at.span().start().line()), problem)
+    /// Returns an error at the line of a datum.
+    fn error(&self, datum: &Ref<'_>, problem: PolicyProblem) -> ConfigError {
+        ConfigError::new(self.file, Some(datum.span().start().line()), problem)
     }
 
-    /// Applies a function to each entry of a list, in order. No key may be set twice.
+    /// Applies a function to each entry of a list, in order. Returns an error if a key occurs twice.
     fn for_each_entry(
         &self,
         list: &[Ref],
-        not_an_entry: PolicyProblem,
+        invalid_entry: PolicyProblem,
         mut apply: impl FnMut(&Entry) -> Result<(), ConfigError>,
     ) -> Result<(), ConfigError> {
         let mut seen = HashSet::new();
         for datum in list {
-            let entry = Entry::of(*datum).ok_or_else(|| self.error(datum, not_an_entry.clone()))?;
+            let entry =
+                Entry::parse(*datum).ok_or_else(|| self.error(datum, invalid_entry.clone()))?;
             let key = entry.key.clone();
             if !seen.insert(key.clone()) {
                 return Err(self.error(datum, PolicyProblem::DuplicateKey { key }));
@@ -121,22 +136,26 @@
         Ok(())
     }
 
-    /// Sets one key of the policy.
-    fn apply(&self, entry: &Entry, operator: &mut OperatorSettings) -> Result<(), ConfigError> {
-        let policy = &mut operator.policy;
+    /// Applies one entry of the policy.
+    fn apply_entry(
+        &self,
+        entry: &Entry,
+        operator_settings: &mut OperatorSettings,
+    ) -> Result<(), ConfigError> {
+        let policy = &mut operator_settings.policy;
         match entry.key.as_str() {
-            "leader-lease" => policy.leader_lease = self.number(entry, LEADER_LEASE)?,
-            "round-s" => policy.round_s = self.number(entry, ROUND_S)?,
-            "lease-term-s" => policy.lease_term_s = self.number(entry, LEASE_TERM_S)?,
-            "headroom" => policy.headroom = self.number(entry, HEADROOM)?,
-            "idle-s" => policy.idle_s = self.number(entry, IDLE_S)?,
-            "administration" => operator.administration = Some(self.address(entry)?),
-            "admission" => policy.admission = Some(self.admission(entry)?),
+            "leader-lease" => policy.leader_lease = self.parse_number(entry, LEADER_LEASE_RANGE)?,
+            "round-s" => policy.round_s = self.parse_number(entry, ROUND_S_RANGE)?,
+            "lease-term-s" => policy.lease_term_s = self.parse_number(entry, LEASE_TERM_S_RANGE)?,
+            "headroom" => policy.headroom = self.parse_number(entry, HEADROOM_RANGE)?,
+            "idle-s" => policy.idle_s = self.parse_number(entry, IDLE_S_RANGE)?,
+            "administration" => operator_settings.administration = Some(self.parse_address(entry)?),
+            "admission" => policy.admission = Some(self.parse_admission(entry)?),
             "guarantee-leases" => {
-                policy.guarantee_leases = Some(self.number(entry, GUARANTEE_LEASES)?);
+                policy.guarantee_leases = Some(self.parse_number(entry, GUARANTEE_LEASES_RANGE)?);
             }
-            "sample" => policy.sample = self.number(entry, SAMPLE)? as usize,
-            "weights" => policy.weights = self.weights(entry)?,
+            "sample" => policy.sample = self.parse_number(entry, SAMPLE_RANGE)? as usize,
+            "weights" => policy.weights = self.parse_weights(entry)?,
             _ => {
                 let key = entry.key.clone();
                 return Err(self.error(&entry.datum, PolicyProblem::UnknownKey { key }));
@@ -145,10 +164,10 @@
         Ok(())
     }
 
-    /// The one value of an entry, a number within a range.
-    fn number(&self, entry: &Entry, range: RangeInclusive<f64>) -> Result<f64, ConfigError> {
+    /// Parses the single value of an entry as a number within a range.
+    fn parse_number(&self, entry: &Entry, range: RangeInclusive<f64>) -> Result<f64, ConfigError> {
         let key = || entry.key.clone();
-        let Some(value) = entry.only_value() else {
+        let Some(value) = entry.single_value() else {
             return Err(self.error(&entry.datum, PolicyProblem::NotOneNumber { key: key() }));
         };
         let number = value.value().as_f64().filter(|number| range.contains(number));
@@ -156,25 +175,26 @@
         number.ok_or_else(|| self.error(value, PolicyProblem::OutOfRange { key: key(), low, high }))
     }
 
-    fn address(&self, entry: &Entry) -> Result<SocketAddr, ConfigError> {
-        let text = entry.only_value().and_then(|value| value.value().as_str());
+    fn parse_address(&self, entry: &Entry) -> Result<SocketAddr, ConfigError> {
+        let text = entry.single_value().and_then(|value| value.value().as_str());
         let address = text.and_then(|text| text.parse().ok());
-        address.ok_or_else(|| self.error(&entry.datum, PolicyProblem::NotAnAddress))
+        address.ok_or_else(|| self.error(&entry.datum, PolicyProblem::InvalidAddress))
     }
 
-    /// `(weights (TEAM WEIGHT) ...)`.
-    fn weights(&self, entry: &Entry) -> Result<Vec<(String, f64)>, ConfigError> {
-        entry.values.iter().map(|value| self.weight(value)).collect()
+    /// Parses `(weights (TEAM WEIGHT) ...)`.
+    fn parse_weights(&self, entry: &Entry) -> Result<Vec<(String, f64)>, ConfigError> {
+        entry.values.iter().map(|value| self.parse_weight(value)).collect()
     }
 
-    fn weight(&self, datum: &Ref) -> Result<(String, f64), ConfigError> {
-        let weight = Entry::of(*datum).and_then(|entry| {
-            let weight = entry.only_value()?.value().as_f64()?;
+    /// Parses `(TEAM WEIGHT)`.
+    fn parse_weight(&self, datum: &Ref) -> Result<(String, f64), ConfigError> {
+        let weight = Entry::parse(*datum).and_then(|entry| {
+            let weight = entry.single_value()?.value().as_f64()?;
             Some((entry.key, weight))
         });
-        let is_weight = |weight: f64| weight > 0.0 && weight.is_finite();
-        let Some((team, weight)) = weight.filter(|(_, weight)| is_weight(*weight)) else {
-            return Err(self.error(datum, PolicyProblem::NotAWeight));
+        let is_valid = |weight: f64| weight > 0.0 && weight.is_finite();
+        let Some((team, weight)) = weight.filter(|(_, weight)| is_valid(*weight)) else {
+            return Err(self.error(datum, PolicyProblem::InvalidWeight));
         };
         if self.settings.team(&team).is_none() {
             return Err(self.error(datum, PolicyProblem::UnknownTeam { team }));
@@ -182,13 +202,17 @@
         Ok((team, weight))
     }
 
-    /// `(admission (backlog-s 300) (class-least 0.1))`; both keys are optional.
-    fn admission(&self, entry: &Entry) -> Result<AdmissionPolicy, ConfigError> {
+    /// Parses `(admission (backlog-s 300) (class-least 0.1))`. Both keys are optional.
+    fn parse_admission(&self, entry: &Entry) -> Result<AdmissionPolicy, ConfigError> {
         let mut policy = AdmissionPolicy::default();
-        self.for_each_entry(&entry.values, PolicyProblem::NotAnAdmissionEntry, |field| {
+        self.for_each_entry(&entry.values, PolicyProblem::InvalidAdmissionEntry, |field| {
             match field.key.as_str() {
-                "backlog-s" => policy.backlog_s = self.admission_number(field, BACKLOG_S)?,
-                "class-least" => policy.class_least = self.admission_number(field, CLASS_LEAST)?,
+                "backlog-s" => {
+                    policy.backlog_s = self.parse_admission_number(field, BACKLOG_S_RANGE)?
+                }
+                "class-least" => {
+                    policy.class_least = self.parse_admission_number(field, CLASS_LEAST_RANGE)?
+                }
                 _ => {
                     let problem = PolicyProblem::UnknownAdmissionKey { key: field.key.clone() };
                     return Err(self.error(&entry.datum, problem));
@@ -199,12 +223,13 @@
         Ok(policy)
     }
 
-    fn admission_number(
+    /// Parses the single value of a key of `admission` as a number within a range.
+    fn parse_admission_number(
         &self,
         field: &Entry,
         range: RangeInclusive<f64>,
     ) -> Result<f64, ConfigError> {
-        let number = field.only_value().and_then(|value| value.value().as_f64());
+        let number = field.single_value().and_then(|value| value.value().as_f64());
         let (key, low, high) = (field.key.clone(), *range.start(), *range.end());
         number
             .filter(|number| range.contains(number))
--- a/crates/basaltrail/src/policy_tests.rs
+++ b/crates/basaltrail/src/policy_tests.rs
@@ -1,32 +1,35 @@
-//! Policies that are valid, and what errors name.
+//! Tests of valid policy files and of the errors for invalid ones.
 
 use super::*;
 
 fn parse_policy(text: &str) -> Result<Policy, String> {
     let settings = crate::settings::parse("s.toml", crate::settings::tests::VALID).unwrap();
-    let operator = parse("p.sexp", text, &settings.core);
-    operator.map(|operator| operator.policy).map_err(|error| error.to_string())
+    let operator_settings = parse("p.sexp", text, &settings.core);
+    operator_settings.map(|parsed| parsed.policy).map_err(|error| error.to_string())
 }
 
 #[test]
-fn a_policy_is_parsed_and_the_rest_has_defaults() {
+fn a_policy_is_parsed_and_missing_keys_have_defaults() {
     let policy =
         parse_policy("; ours\n(policy (leader-lease 0.4)\n (sample 8) (weights (buyers 3)))")
             .unwrap();
     assert_eq!((policy.leader_lease, policy.sample), (0.4, 8));
     assert_eq!(policy.weights, [("buyers".to_string(), 3.0)]);
     assert_eq!(parse_policy("(policy)").unwrap(), Policy::default());
-    let admission =
+    let with_admission =
         parse_policy("(policy (admission (backlog-s 60)) (guarantee-leases 2))").unwrap();
-    let bounded = AdmissionPolicy { backlog_s: 60.0, ..AdmissionPolicy::default() };
-    assert_eq!((admission.admission, admission.guarantee_leases), (Some(bounded), Some(2.0)));
+    let expected = AdmissionPolicy { backlog_s: 60.0, ..AdmissionPolicy::default() };
+    assert_eq!(
+        (with_admission.admission, with_admission.guarantee_leases),
+        (Some(expected), Some(2.0))
+    );
     assert_eq!(
         parse_policy("(policy (admission))").unwrap().admission,
         Some(AdmissionPolicy::default())
     );
 }
 
-/// The file under `deploy/` that makes admission quotas bind.
+/// The policy file under `deploy/` turns admission quotas on.
 #[test]
 fn the_deployed_policy_is_valid() {
     let policy = parse_policy(include_str!("../../../deploy/admission.policy")).unwrap();
@@ -34,7 +37,7 @@
 }
 
 #[test]
-fn an_invalid_policy_names_file_and_line() {
+fn an_error_in_a_policy_names_file_and_line() {
     for (text, line, message) in [
         ("(policy\n (sample 8)\n (smaple 9))", 3, "unknown key"),
         ("(policy\n (leader-lease 2))", 2, "0.1 to 0.9"),
--- a/crates/basaltrail/src/server/body.rs
+++ b/crates/basaltrail/src/server/body.rs
@@ -1,32 +1,32 @@
-//! Reads the bodies of requests within bounds of length and time.
+//! Reads request bodies, with limits on length and time.
 
 use super::REQUEST_TIMEOUT;
 use bytes::{Buf, Bytes};
 use futures_util::{Stream, StreamExt};
 
-/// Longest body, in bytes.
+/// Largest length of a body, in bytes.
 pub(super) const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Why a body could not be read. The message goes to the client.
+/// Reasons why a body could not be read. The message is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum BodyError {
-    /// The connection ended before the body did.
-    #[error("body cut short")]
-    CutShort,
+    /// The connection ended before the body was complete.
+    #[error("request body is incomplete")]
+    Incomplete,
     /// The body is longer than [`MAX_BODY_BYTES`].
-    #[error("body over 64 KiB")]
+    #[error("request body is longer than 64 KiB")]
     TooLong,
     /// The body took longer than [`REQUEST_TIMEOUT`].
-    #[error("body too slow")]
-    TooSlow,
+    #[error("request body was not received in time")]
+    Timeout,
 }
 
-/// Reads a body.
+/// Reads a body. Returns an error if it exceeds [`MAX_BODY_BYTES`] or [`REQUEST_TIMEOUT`].
 pub(super) async fn read<B: Buf>(
     parts: impl Stream<Item = Result<B, warp::Error>>,
 ) -> Result<Bytes, BodyError> {
     let body = tokio::time::timeout(REQUEST_TIMEOUT, collect(parts)).await;
-    body.unwrap_or(Err(BodyError::TooSlow))
+    body.unwrap_or(Err(BodyError::Timeout))
 }
 
 async fn collect<B: Buf>(
@@ -35,7 +35,7 @@
     let mut parts = std::pin::pin!(parts);
     let mut body = Vec::new();
     while let Some(part) = parts.next().await {
-        let mut part = part.map_err(|_| BodyError::CutShort)?;
+        let mut part = part.map_err(|_| BodyError::Incomplete)?;
         if body.len() + part.remaining() > MAX_BODY_BYTES {
             return Err(BodyError::TooLong);
         }
--- a/crates/basaltrail/src/server/mod.rs
+++ b/crates/basaltrail/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP servers for users, workers and operators.
+//! HTTP servers for users, workers and operators.
 
 mod body;
 mod routes;
@@ -13,16 +13,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use warp::Filter;
 
-/// How long the head or the body of a request may take.
+/// Time limit for receiving the head of a request, and for receiving its body.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Connections of operators at once.
-const MAX_OPERATORS: usize = 8;
-/// How long a listener waits after it could not accept a connection.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Largest number of open connections of operators.
+const MAX_OPERATOR_CONNECTIONS: usize = 8;
+/// Delay before the next attempt after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Serves operators until the process ends.
 pub async fn serve_operators(listener: TcpListener, core: CoreHandle) {
-    serve(listener, MAX_OPERATORS, routes::operator_routes(core)).await;
+    serve(listener, MAX_OPERATOR_CONNECTIONS, routes::operator_routes(core)).await;
 }
 
 /// Serves users and workers until the process ends.
@@ -35,7 +35,8 @@
     F: Filter<Error = warp::Rejection> + Clone + Send + Sync + 'static,
     F::Extract: warp::Reply,
 {
-    let connections = BoundedListener { listener, max_connections, accept_retry: ACCEPT_RETRY };
+    let connections =
+        BoundedListener { listener, max_connections, accept_retry_delay: ACCEPT_RETRY_DELAY };
     connections.serve(|stream| serve_connection(stream, routes.clone())).await;
 }
 
@@ -46,7 +47,7 @@
 {
     let _ = stream.set_nodelay(true);
     let service = TowerToHyperService::new(warp::service(routes));
-    // A connection that fails concerns its client alone.
+    // A failed connection affects only its client, so the error is ignored.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(REQUEST_TIMEOUT)
--- a/crates/basaltrail/src/server/routes.rs
+++ b/crates/basaltrail/src/server/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP routes of users, workers and operators.
+//! HTTP routes of users, workers and operators.
 
 use super::body::{self, BodyError};
 use crate::core_handle::CoreHandle;
@@ -12,13 +12,13 @@
 use warp::http::{HeaderValue, Response, StatusCode};
 use warp::Filter;
 
-/// `Retry-After` of the answer that a controller is not ready, in seconds.
+/// `Retry-After` of `GET /ready` while the controller is not ready, in seconds.
 const NOT_READY_RETRY_S: u32 = 1;
 
 type HttpResponse = Response<String>;
 type Route = BoxedFilter<(HttpResponse,)>;
 
-/// Why a request is refused before it reaches the core.
+/// Reasons why a request is refused before it reaches the core.
 #[derive(Debug, thiserror::Error)]
 enum RequestError {
     /// The body could not be read.
@@ -29,7 +29,7 @@
     Malformed(#[from] Malformed),
 }
 
-/// The routes of users and workers.
+/// Returns the routes of users and workers.
 pub(super) fn client_routes(core: CoreHandle) -> Route {
     let core = warp::any().map(move || core.clone()).boxed();
     heartbeat_route(&core)
@@ -44,10 +44,10 @@
         .boxed()
 }
 
-/// The routes of operators, which change nothing.
+/// Returns the routes of operators. All of them are read-only.
 pub(super) fn operator_routes(core: CoreHandle) -> Route {
     let core = warp::any().map(move || core.clone());
-    warp::path!("limits").and(warp::get()).and(core).then(limits).boxed()
+    warp::path!("limits").and(warp::get()).and(core).then(inspect_limits).boxed()
 }
 
 fn heartbeat_route(core: &BoxedFilter<(CoreHandle,)>) -> Route {
@@ -90,7 +90,11 @@
         .and(core.clone())
         .map(|core: CoreHandle| match core.is_ready() {
             true => respond(200, "{}".into(), None),
-            false => respond(503, submissions::error_body("not ready"), Some(NOT_READY_RETRY_S)),
+            false => respond(
+                503,
+                submissions::error_body("controller is not ready"),
+                Some(NOT_READY_RETRY_S),
+            ),
         })
         .boxed()
 }
@@ -99,10 +103,10 @@
     body: impl Stream<Item = Result<B, warp::Error>>,
     core: CoreHandle,
 ) -> HttpResponse {
-    let parsed = read(body, submissions::parse_submission).await;
+    let parsed = read_and_parse(body, submissions::parse_submission).await;
     let (job, spec) = match parsed {
         Ok(submission) => submission,
-        Err(error) => return refuse(&error),
+        Err(error) => return respond_bad_request(&error),
     };
     let spec = Box::new(spec);
     respond_to_user(&core.request(|req| Input::Submit { req, job, spec }).await)
@@ -122,11 +126,11 @@
     body: impl Stream<Item = Result<B, warp::Error>>,
     core: CoreHandle,
 ) -> HttpResponse {
-    let heartbeat = match read(body, heartbeats::parse_heartbeat).await {
+    let heartbeat = match read_and_parse(body, heartbeats::parse_heartbeat).await {
         Ok(heartbeat) => Box::new(heartbeat),
         Err(error) => {
             tracing::info!(event = %"heartbeat_malformed", reason = %error);
-            return refuse(&error);
+            return respond_bad_request(&error);
         }
     };
     match core.request(|req| Input::Heartbeat { req, heartbeat }).await {
@@ -140,7 +144,7 @@
     }
 }
 
-async fn limits(core: CoreHandle) -> HttpResponse {
+async fn inspect_limits(core: CoreHandle) -> HttpResponse {
     match core.request(|req| Input::Inspect { req }).await {
         Answer::Limits(report) => {
             let limits = Limits::from(report.as_ref());
@@ -150,8 +154,8 @@
     }
 }
 
-/// Reads and parses a body.
-async fn read<B: Buf, T>(
+/// Reads and parses a request body.
+async fn read_and_parse<B: Buf, T>(
     body: impl Stream<Item = Result<B, warp::Error>>,
     parse: impl FnOnce(&[u8]) -> Result<T, Malformed>,
 ) -> Result<T, RequestError> {
@@ -159,7 +163,7 @@
     Ok(parse(&body)?)
 }
 
-fn refuse(error: &RequestError) -> HttpResponse {
+fn respond_bad_request(error: &RequestError) -> HttpResponse {
     respond(400, submissions::error_body(&error.to_string()), None)
 }
 
--- a/crates/basaltrail/src/settings/file.rs
+++ b/crates/basaltrail/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! The settings file as it is written (TOML). Field names are the keys of the file.
+//! The structure of the settings file (TOML). Field names are the keys of the file.
 
 use serde::Deserialize;
 
@@ -8,7 +8,7 @@
     pub(super) zone: String,
     pub(super) listen: String,
     pub(super) peer_listen: String,
-    /// The other controllers.
+    /// Other controllers of the cluster.
     #[serde(default)]
     pub(super) members: Vec<Member>,
     pub(super) endpoints: Endpoints,
@@ -30,7 +30,7 @@
 
 #[derive(Deserialize)]
 pub(super) struct Params {
-    /// Number of controllers.
+    /// Number of controllers in the cluster.
     pub(super) size: usize,
     #[serde(default)]
     pub(super) zones: Vec<String>,
@@ -43,7 +43,7 @@
     pub(super) resources: Resources,
 }
 
-/// A team. An amount of 0 is none: no guarantee, or no limit.
+/// A team. An amount of 0 means no guarantee or no limit.
 #[derive(Deserialize)]
 pub(super) struct TeamEntry {
     pub(super) name: String,
@@ -72,7 +72,7 @@
     pub(super) cancel_s: f64,
 }
 
-/// Limits of the state service.
+/// Limits of the store.
 #[derive(Deserialize)]
 pub(super) struct State {
     pub(super) rps: f64,
@@ -83,7 +83,8 @@
     pub(super) next: Option<NextState>,
 }
 
-/// Limits that the state service will have at some time. Those that are missing stay.
+/// Limits of the store that take effect at an unknown time in the future. A missing limit does not
+/// change.
 #[derive(Default, Deserialize)]
 pub(super) struct NextState {
     pub(super) rps: Option<f64>,
@@ -98,7 +99,7 @@
     pub(super) list_lag_s: f64,
 }
 
-/// Resources of this process.
+/// Resources available to this process.
 #[derive(Deserialize)]
 pub(super) struct Resources {
     pub(super) mem_mb: f64,
--- a/crates/basaltrail/src/settings/mod.rs
+++ b/crates/basaltrail/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! The settings file that the platform hands over.
+//! Reads the settings file provided by the platform.
 //!
-//! `file` is the file as it is written; `teams` and `store_limits` check and convert its sections;
-//! `source` finds the lines that errors name.
+//! `file` defines the structure of the file. `teams` and `store_limits` check and convert their
+//! sections. `source` locates the lines for error messages.
 
 mod file;
 mod source;
@@ -18,31 +18,31 @@
 use std::path::Path;
 use store_limits::StoreLimits;
 
-/// Connections that a controller needs at the least.
+/// Smallest number of connections with which a controller can work.
 const MIN_CONNECTIONS: usize = 16;
-/// Connections for each machine: its worker's, and one that is being closed.
+/// Connections reserved for each machine: one that its worker uses and one that is closing.
 const CONNECTIONS_PER_MACHINE: usize = 2;
-/// The largest age of a list of machines, in seconds.
+/// Largest lag of the cloud's list of machines, in seconds. Larger values are clamped.
 const MAX_LIST_LAG_S: f64 = 1e6;
 
-/// Everything that one process is set to.
+/// Settings of one process.
 #[derive(Debug)]
 pub struct ProcessSettings {
     /// Settings of the core.
     pub core: Settings,
-    /// Listener for users and workers.
+    /// Address of the listener for users and workers.
     pub listen: SocketAddr,
-    /// Listener for other controllers.
+    /// Address of the listener for other controllers.
     pub peer_listen: SocketAddr,
-    /// The other controllers.
+    /// Addresses of the other controllers.
     pub peers: Vec<SocketAddr>,
-    /// The state service.
-    pub state_service: SocketAddr,
-    /// The cloud.
+    /// Address of the store.
+    pub store: SocketAddr,
+    /// Address of the cloud.
     pub cloud: SocketAddr,
-    /// Sockets that this process may open.
+    /// Largest number of sockets that this process may open.
     pub max_connections: usize,
-    /// Listener for operators, if the policy has one.
+    /// Address of the listener for operators, if the policy sets one.
     pub administration: Option<SocketAddr>,
 }
 
@@ -50,8 +50,8 @@
 ///
 /// # Errors
 ///
-/// If the file cannot be read or is invalid; the first problem is named, with its line if it has
-/// one.
+/// Returns an error if the file cannot be read or is invalid. The error names the first problem and,
+/// if it concerns one, its line.
 pub fn load(path: &Path) -> Result<ProcessSettings, ConfigError> {
     let file = path.display().to_string();
     let text =
@@ -59,37 +59,38 @@
     parse(&file, &text)
 }
 
-/// Parses the text of a settings file. Unknown keys are ignored: later versions may add some.
+/// Parses the text of a settings file. Unknown keys are ignored, since later versions may add keys.
 ///
 /// # Errors
 ///
-/// If the text is invalid; the first problem is named, with its line if it has one.
+/// Returns an error if the text is invalid. The error names the first problem and, if it concerns
+/// one, its line.
 pub fn parse(file: &str, text: &str) -> Result<ProcessSettings, ConfigError> {
     let source = Source { file, text };
     let file = source.parse_toml()?;
-    let core = core_settings(&source, &file)?;
+    let core = convert_core_settings(&source, &file)?;
     let peers: Result<Vec<SocketAddr>, ConfigError> = file
         .members
         .iter()
-        .map(|member| source.address("members.endpoint", &member.endpoint))
+        .map(|member| source.parse_address("members.endpoint", &member.endpoint))
         .collect();
     Ok(ProcessSettings {
         core,
         peers: peers?,
-        listen: source.address("listen", &file.listen)?,
-        peer_listen: source.address("peer_listen", &file.peer_listen)?,
-        state_service: source.address("endpoints.state", &file.endpoints.state)?,
-        cloud: source.address("endpoints.cloud", &file.endpoints.cloud)?,
+        listen: source.parse_address("listen", &file.listen)?,
+        peer_listen: source.parse_address("peer_listen", &file.peer_listen)?,
+        store: source.parse_address("endpoints.state", &file.endpoints.state)?,
+        cloud: source.parse_address("endpoints.cloud", &file.endpoints.cloud)?,
         max_connections: file.params.resources.max_connections,
         administration: None,
     })
 }
 
-fn core_settings(source: &Source, file: &SettingsFile) -> Result<Settings, ConfigError> {
+fn convert_core_settings(source: &Source, file: &SettingsFile) -> Result<Settings, ConfigError> {
     let params = &file.params;
     let teams = teams::parse(source, &params.teams)?;
     check_connections(source, params)?;
-    let store = StoreLimits::parse(source, &params.state)?;
+    let store_limits = StoreLimits::parse(source, &params.state)?;
     let workers = &params.workers;
     Ok(Settings {
         controller: file.node_name.clone(),
@@ -98,17 +99,17 @@
         zones: params.zones.clone(),
         peer_zones: file.members.iter().map(|member| member.zone.clone()).collect(),
         teams,
-        objectives: params.objectives.iter().filter_map(objective).collect(),
-        heartbeat_interval_ms: source.milliseconds("workers.report_s", workers.report_s)?,
-        lease_ms: source.milliseconds("workers.lease_s", workers.lease_s)?,
-        cancel_ms: source.milliseconds("workers.cancel_s", workers.cancel_s)?,
-        store_rps: store.rps,
-        write_rps: store.write_rps,
-        value_bytes: store.value_bytes,
-        transaction_ops: store.transaction_ops,
-        cloud_rps: source.positive("cloud.rps", params.cloud.rps)?,
+        objectives: params.objectives.iter().filter_map(convert_objective).collect(),
+        heartbeat_interval_ms: source.seconds_to_ms("workers.report_s", workers.report_s)?,
+        lease_ms: source.seconds_to_ms("workers.lease_s", workers.lease_s)?,
+        cancel_ms: source.seconds_to_ms("workers.cancel_s", workers.cancel_s)?,
+        store_rps: store_limits.rps,
+        write_rps: store_limits.write_rps,
+        value_bytes: store_limits.value_bytes,
+        transaction_ops: store_limits.transaction_ops,
+        cloud_rps: source.check_positive("cloud.rps", params.cloud.rps)?,
         list_lag_ms: (params.cloud.list_lag_s.clamp(0.0, MAX_LIST_LAG_S) * 1000.0) as u64,
-        memory_mb: source.positive("resources.mem_mb", params.resources.mem_mb)?,
+        memory_mb: source.check_positive("resources.mem_mb", params.resources.mem_mb)?,
         max_machines: params.resources.max_connections / CONNECTIONS_PER_MACHINE,
         incarnation: SmallRng::from_os_rng().random(),
         policy: Policy::default(),
@@ -124,8 +125,9 @@
     Err(source.error(SettingsProblem::BelowMinimum { name, minimum }))
 }
 
-/// Objectives of an unknown kind, or without a class of jobs, do not concern the scheduler.
-fn objective(entry: &ObjectiveEntry) -> Option<Objective> {
+/// Converts an objective. Returns `None` if its kind is unknown or it has no class of jobs, since the
+/// scheduler does not use such objectives.
+fn convert_objective(entry: &ObjectiveEntry) -> Option<Objective> {
     let class = entry.class.clone()?;
     match entry.kind.as_str() {
         "deadline" => Some(Objective::Deadline { class, times: entry.times.unwrap_or(1.0) }),
--- a/crates/basaltrail/src/settings/store_limits.rs
+++ b/crates/basaltrail/src/settings/store_limits.rs
@@ -1,24 +1,24 @@
-//! The limits of the state service in a settings file.
+//! Checks and converts the limits of the store in a settings file.
 
 use super::file::{NextState, State};
 use super::source::{is_positive, Source};
 use crate::config_error::{ConfigError, SettingsProblem};
 use basaltrail_core::records::TASKS_PER_SEGMENT;
 
-/// Bits of a hexadecimal digit.
-const BITS_PER_DIGIT: f64 = 4.0;
+/// Bits per hexadecimal digit.
+const BITS_PER_HEX_DIGIT: f64 = 4.0;
 const BYTES_PER_KB: f64 = 1024.0;
-/// What a value holds beside the completions of a segment, in KB.
+/// Size of the remaining fields of a completion record, in KB.
 const RECORD_OVERHEAD_KB: f64 = 0.25;
-/// The smallest limit of a value, in KB: a value holds the completions of a segment of tasks, one
-/// bit each, in hexadecimal digits.
+/// Smallest valid limit on the size of a value, in KB. A value must hold the completion record of a
+/// segment of tasks: one bit per task, in hexadecimal digits.
 const MIN_VALUE_KB: f64 =
-    TASKS_PER_SEGMENT as f64 / BITS_PER_DIGIT / BYTES_PER_KB + RECORD_OVERHEAD_KB;
-/// The smallest limit of changes in a transaction: a record, and the leader's key.
+    TASKS_PER_SEGMENT as f64 / BITS_PER_HEX_DIGIT / BYTES_PER_KB + RECORD_OVERHEAD_KB;
+/// Smallest valid limit on the changes of a transaction: one record and the leader's key.
 const MIN_TRANSACTION_OPS: f64 = 2.0;
 
-/// Limits that hold from the start: of each limit the present or the next one, whichever is
-/// smaller. No controller is told when the next limits take effect.
+/// Effective limits of the store: for each limit, the smaller of the current and the next value. The
+/// time at which the next values take effect is unknown, so they apply from the start.
 pub(super) struct StoreLimits {
     pub(super) rps: f64,
     pub(super) write_rps: f64,
@@ -27,15 +27,18 @@
 }
 
 impl StoreLimits {
-    pub(super) fn parse(source: &Source, now: &State) -> Result<Self, ConfigError> {
-        let none = NextState::default();
-        let next = now.next.as_ref().unwrap_or(&none);
-        let rps = smaller(source, "rps", now.rps, next.rps, 0.0)?;
-        let write_rps = smaller(source, "write_rps", now.write_rps, next.write_rps, 0.0)?;
-        let value_kb = smaller(source, "value_kb", now.value_kb, next.value_kb, MIN_VALUE_KB)?;
-        let now_ops = now.txn_ops as f64;
+    /// Checks the limits and computes the effective ones.
+    pub(super) fn parse(source: &Source, current: &State) -> Result<Self, ConfigError> {
+        let unchanged = NextState::default();
+        let next = current.next.as_ref().unwrap_or(&unchanged);
+        let rps = effective_limit(source, "rps", current.rps, next.rps, 0.0)?;
+        let write_rps =
+            effective_limit(source, "write_rps", current.write_rps, next.write_rps, 0.0)?;
+        let value_kb =
+            effective_limit(source, "value_kb", current.value_kb, next.value_kb, MIN_VALUE_KB)?;
+        let current_ops = current.txn_ops as f64;
         let next_ops = next.txn_ops.map(|ops| ops as f64);
-        let ops = smaller(source, "txn_ops", now_ops, next_ops, MIN_TRANSACTION_OPS)?;
+        let ops = effective_limit(source, "txn_ops", current_ops, next_ops, MIN_TRANSACTION_OPS)?;
         Ok(StoreLimits {
             rps,
             write_rps,
@@ -45,21 +48,22 @@
     }
 }
 
-/// The smaller one of the present and the next limit; both must be at least a minimum.
-fn smaller(
+/// Returns the smaller of the current and the next limit. Both must be at least `minimum`.
+fn effective_limit(
     source: &Source,
     key: &str,
-    now: f64,
+    current: f64,
     next: Option<f64>,
     minimum: f64,
 ) -> Result<f64, ConfigError> {
-    check(source, "state", key, now, minimum)?;
-    let Some(next) = next else { return Ok(now) };
-    check(source, "state.next", key, next, minimum)?;
-    Ok(now.min(next))
+    check_limit(source, "state", key, current, minimum)?;
+    let Some(next) = next else { return Ok(current) };
+    check_limit(source, "state.next", key, next, minimum)?;
+    Ok(current.min(next))
 }
 
-fn check(
+/// Checks that a limit is a positive amount and at least `minimum`.
+fn check_limit(
     source: &Source,
     table: &str,
     key: &str,
@@ -68,7 +72,7 @@
 ) -> Result<(), ConfigError> {
     let name = format!("{table}.{key}");
     let problem = match limit {
-        limit if !is_positive(limit) => SettingsProblem::NotPositive { name },
+        limit if !is_positive(limit) => SettingsProblem::InvalidAmount { name },
         limit if limit < minimum => SettingsProblem::BelowMinimum { name, minimum },
         _ => return Ok(()),
     };
--- a/crates/basaltrail/src/settings/teams.rs
+++ b/crates/basaltrail/src/settings/teams.rs
@@ -1,11 +1,11 @@
-//! The teams of a settings file.
+//! Checks and converts the teams of a settings file.
 
 use super::file::TeamEntry;
 use super::source::Source;
 use crate::config_error::{ConfigError, SettingsProblem};
 use basaltrail_core::Team;
 
-/// Checks and converts all teams.
+/// Checks and converts all teams. Names must be unique and there must be at least one team.
 pub(super) fn parse(source: &Source, entries: &[TeamEntry]) -> Result<Vec<Team>, ConfigError> {
     let mut teams: Vec<Team> = Vec::new();
     for entry in entries {
@@ -14,7 +14,7 @@
             let team = entry.name.clone();
             return Err(source.error(SettingsProblem::DuplicateTeam { team }));
         }
-        teams.push(team(entry));
+        teams.push(convert_team(entry));
     }
     match teams.is_empty() {
         true => Err(source.error(SettingsProblem::NoTeams)),
@@ -27,7 +27,7 @@
     let error = |problem| source.error_at(source.line_of_team(&entry.name), problem);
     let amounts = [entry.cpus, entry.cpus_max, entry.gpus, entry.gpus_max];
     if amounts.iter().any(|amount| !amount.is_finite() || *amount < 0.0) {
-        return Err(error(SettingsProblem::NegativeTeamAmount { team: team() }));
+        return Err(error(SettingsProblem::InvalidTeamAmount { team: team() }));
     }
     let is_below = |limit: f64, guarantee: f64| limit > 0.0 && limit < guarantee;
     if is_below(entry.cpus_max, entry.cpus) || is_below(entry.gpus_max, entry.gpus) {
@@ -36,19 +36,19 @@
     Ok(())
 }
 
-fn team(entry: &TeamEntry) -> Team {
+fn convert_team(entry: &TeamEntry) -> Team {
     Team {
         name: entry.name.clone(),
         cpus: entry.cpus,
-        cpus_max: limit(entry.cpus_max),
+        cpus_max: convert_limit(entry.cpus_max),
         gpus: entry.gpus,
-        gpus_max: limit(entry.gpus_max),
+        gpus_max: convert_limit(entry.gpus_max),
     }
 }
 
-/// A limit of 0 is none: taken as an amount, it would refuse all that a team without a guarantee
-/// submits.
-fn limit(amount: f64) -> f64 {
+/// Converts a limit. 0 means no limit: as an amount, it would refuse every submission of a team
+/// without a guarantee.
+fn convert_limit(amount: f64) -> f64 {
     match amount > 0.0 {
         true => amount,
         false => f64::INFINITY,
--- a/crates/basaltrail/src/settings/tests.rs
+++ b/crates/basaltrail/src/settings/tests.rs
@@ -1,12 +1,12 @@
-//! Settings files that are valid, and what errors name.
+//! Tests of valid settings files and of the errors for invalid ones.
 
 use super::*;
 
-/// A valid settings file.
+/// Text of a valid settings file.
 pub(crate) const VALID: &str = include_str!("../../tests/settings.toml");
 
 #[test]
-fn settings_are_parsed_and_unknown_keys_ignored() {
+fn settings_are_parsed_and_unknown_keys_are_ignored() {
     let settings = parse("s.toml", &format!("later = 1\n{VALID}")).unwrap();
     assert_eq!(settings.core.teams.len(), 2);
     assert_eq!(settings.core.lease_ms, 10_000);
@@ -16,9 +16,9 @@
     assert!(objectives.contains(&begun), "{objectives:?}");
 }
 
-/// A team without a guarantee and without a limit has 0 for them, or no keys at all.
+/// A team without a guarantee and a limit has amounts of 0 or lacks the keys.
 #[test]
-fn an_amount_of_zero_is_none() {
+fn an_amount_of_zero_means_no_guarantee_and_no_limit() {
     let team = "[[params.teams]]\nname = \"guest\"\n";
     for amounts in ["", "cpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"] {
         let text = VALID.replacen(
@@ -34,11 +34,11 @@
     }
 }
 
-/// The state service may have its next limits at any time: the smaller one of each holds from the
-/// start, whichever are given.
+/// The next limits of the store may take effect at any time, so the smaller of the current and the
+/// next value applies from the start. Any of the next limits may be missing.
 #[test]
-fn the_smaller_of_the_present_and_the_next_limits_holds() {
-    let with = |next: &str| {
+fn the_smaller_of_the_current_and_the_next_limit_applies() {
+    let parse_with_next = |next: &str| {
         let next = format!("[params.state.next]\n{next}\n[params.cloud]");
         parse("s.toml", &VALID.replacen("[params.cloud]", &next, 1))
     };
@@ -46,15 +46,15 @@
         let core = settings.core;
         (core.store_rps, core.write_rps, core.value_bytes, core.transaction_ops)
     };
-    let now = (120.0, 40.0, 16 * 1024, 24);
-    assert_eq!(limits(parse("s.toml", VALID).unwrap()), now);
-    assert_eq!(limits(with("").unwrap()), now);
-    assert_eq!(limits(with("txn_ops = 4").unwrap()), (120.0, 40.0, 16 * 1024, 4));
-    let lower = with("rps = 60\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4").unwrap();
+    let current = (120.0, 40.0, 16 * 1024, 24);
+    assert_eq!(limits(parse("s.toml", VALID).unwrap()), current);
+    assert_eq!(limits(parse_with_next("").unwrap()), current);
+    assert_eq!(limits(parse_with_next("txn_ops = 4").unwrap()), (120.0, 40.0, 16 * 1024, 4));
+    let lower = parse_with_next("rps = 60\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4").unwrap();
     assert_eq!(limits(lower), (60.0, 15.0, 2048, 4));
-    assert_eq!(limits(with("rps = 500.0\nvalue_kb = 64.0").unwrap()), now);
+    assert_eq!(limits(parse_with_next("rps = 500.0\nvalue_kb = 64.0").unwrap()), current);
     let line = VALID[..VALID.find("[params.cloud]").unwrap()].matches('\n').count() + 2;
-    for (bad, why) in [
+    for (next, message) in [
         ("value_kb = 0.0", "params.state.next.value_kb must be above 0"),
         ("value_kb = -2.0", "params.state.next.value_kb must be above 0"),
         ("value_kb = inf", "params.state.next.value_kb must be above 0"),
@@ -63,46 +63,49 @@
         ("write_rps = 0", "params.state.next.write_rps must be above 0"),
         ("rps = nan", "params.state.next.rps must be above 0"),
     ] {
-        assert_eq!(with(bad).unwrap_err().to_string(), format!("s.toml:{line}: {why}"));
+        assert_eq!(
+            parse_with_next(next).unwrap_err().to_string(),
+            format!("s.toml:{line}: {message}")
+        );
     }
-    for bad in ["rps = \"x\"", "txn_ops = -1", "txn_ops = 2.5"] {
-        assert!(with(bad).unwrap_err().to_string().starts_with("s.toml:"), "{bad}");
+    for next in ["rps = \"x\"", "txn_ops = -1", "txn_ops = 2.5"] {
+        assert!(parse_with_next(next).unwrap_err().to_string().starts_with("s.toml:"), "{next}");
     }
 }
 
 #[test]
-fn invalid_settings_name_the_key_at_fault() {
-    let error = |from: &str, to: &str| {
+fn an_error_in_the_settings_names_the_key() {
+    let error_with = |from: &str, to: &str| {
         let text = VALID.replacen(from, to, 1);
         assert_ne!(text, VALID, "{from}");
         parse("s.toml", &text).unwrap_err().to_string()
     };
-    assert!(error("size = 3", "size = \"x\"").starts_with("s.toml:"));
-    assert!(error("127.0.0.1:7100", "nowhere").contains("listen"));
-    assert!(error("lease_s = 10.0", "lease_s = 0.0").contains("workers.lease_s"));
-    assert!(error("txn_ops = 24", "txn_ops = 0").contains("txn_ops"));
-    assert!(error("max_connections = 600", "max_connections = 0").contains("max_connections"));
-    assert!(error("\nrps = 120.0", "\nrps = 0.0").contains("state.rps"));
-    assert!(error("value_kb = 16.0", "value_kb = 1.0").contains("state.value_kb must be 1.25"));
-    let none: String = VALID.split("[[params.teams]]").next().unwrap().into();
-    let rest = &VALID[VALID.find("[[params.objectives]]").unwrap()..];
-    let none = parse("s.toml", &format!("{none}teams = []\n{rest}"));
-    assert!(none.unwrap_err().to_string().contains("no team"));
-    assert!(error("name = \"buyers\"", "name = \"cataloguers\"").contains("twice"));
+    assert!(error_with("size = 3", "size = \"x\"").starts_with("s.toml:"));
+    assert!(error_with("127.0.0.1:7100", "nowhere").contains("listen"));
+    assert!(error_with("lease_s = 10.0", "lease_s = 0.0").contains("workers.lease_s"));
+    assert!(error_with("txn_ops = 24", "txn_ops = 0").contains("txn_ops"));
+    assert!(error_with("max_connections = 600", "max_connections = 0").contains("max_connections"));
+    assert!(error_with("\nrps = 120.0", "\nrps = 0.0").contains("state.rps"));
+    assert!(error_with("value_kb = 16.0", "value_kb = 1.0").contains("state.value_kb must be 1.25"));
+    let before_teams: String = VALID.split("[[params.teams]]").next().unwrap().into();
+    let after_teams = &VALID[VALID.find("[[params.objectives]]").unwrap()..];
+    let without_teams = parse("s.toml", &format!("{before_teams}teams = []\n{after_teams}"));
+    assert!(without_teams.unwrap_err().to_string().contains("no team"));
+    assert!(error_with("name = \"buyers\"", "name = \"cataloguers\"").contains("twice"));
 }
 
 #[test]
-fn a_limit_below_its_guarantee_is_refused_with_its_line() {
+fn an_invalid_amount_of_a_team_is_reported_with_its_line() {
     let line = VALID[..VALID.find("name = \"buyers\"").unwrap()].matches('\n').count() + 1;
-    let at = VALID.find("name = \"buyers\"").unwrap();
-    let (before, team) = VALID.split_at(at);
-    for (from, to, why) in [
+    let team_start = VALID.find("name = \"buyers\"").unwrap();
+    let (before, team) = VALID.split_at(team_start);
+    for (from, to, message) in [
         ("cpus_max = 664.0", "cpus_max = 1.0", "has a limit below its guarantee"),
         ("cpus_max = 664.0", "cpus_max = -1.0", "has an amount below 0"),
         ("cpus_max = 664.0", "cpus_max = inf", "has an amount below 0"),
     ] {
         let text = format!("{before}{}", team.replacen(from, to, 1));
         let error = parse("s.toml", &text).unwrap_err().to_string();
-        assert_eq!(error, format!("s.toml:{line}: team \"buyers\" {why}"));
+        assert_eq!(error, format!("s.toml:{line}: team \"buyers\" {message}"));
     }
 }
