--- a/crates/basaltrail/tests/common/mod.rs
+++ b/crates/basaltrail/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment of one controller of the real program, for several tests.
+//! Starts a deployment with one controller process. Shared by several tests.
 
 use basaltrail_testbed::config::PolicySource;
 use basaltrail_testbed::http::free_port;
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Starts one controller with eight machines, and gives the directory of its files.
+/// Starts one controller with eight machines. Returns the testbed and the directory of its files.
 pub async fn start_one_controller(name: &str, policy: PolicySource) -> (Arc<Testbed>, PathBuf) {
     let directory = std::env::temp_dir().join(format!("basaltrail-{name}-{}", std::process::id()));
     let common = ScenarioConfig {
--- a/crates/basaltrail/tests/inspect.rs
+++ b/crates/basaltrail/tests/inspect.rs
@@ -1,6 +1,6 @@
-//! `inspect limits` against a controller that runs, and against none; `check`.
+//! Tests of `inspect limits` against a running and a stopped controller, and of `check`.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod common;
 
@@ -14,56 +14,56 @@
 const README: &str = include_str!("../../../README.md");
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-async fn basaltrail(arguments: &[&str]) -> Output {
+async fn run_program(arguments: &[&str]) -> Output {
     let mut command = tokio::process::Command::new(env!("CARGO_BIN_EXE_basaltrail"));
     command.args(arguments).output().await.unwrap()
 }
 
 async fn read_limits(at: SocketAddr) -> Option<Value> {
-    let output = basaltrail(&["inspect", "limits", "--json", "--at", &at.to_string()]).await;
+    let output = run_program(&["inspect", "limits", "--json", "--at", &at.to_string()]).await;
     serde_json::from_slice(&output.stdout).ok()
 }
 
-/// The submission of the README's section about limits, for a job of a number.
-fn submission(number: u32) -> String {
+/// Returns the submission in the README's section about limits, for a given job number.
+fn submission(job_number: u32) -> String {
     let (_, section) = README.split_once("## A limit, and a refusal").unwrap();
     let (_, body) = section.split_once("-d '").unwrap();
     let (body, _) = body.split_once("'; done").unwrap();
-    body.replace("000'$n'", &format!("{number:06}"))
+    body.replace("000'$n'", &format!("{job_number:06}"))
 }
 
-/// A team submits far more than its backlog may hold: it is asked to retry later, and a repeat of
-/// what was accepted is still answered 200.
+/// A team submits more than its backlog may hold. The excess submission gets status 503 with
+/// `Retry-After`, and repeating an accepted submission still gets status 200.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_submission_beyond_the_backlog_is_refused_and_inspected() {
+async fn a_submission_beyond_the_backlog_is_refused_and_shown_by_inspect() {
     let policy = PolicySource::Entries("(admission (backlog-s 30))".into());
     let (testbed, directory) = common::start_one_controller("inspect", policy).await;
     let controller = testbed.controllers.listen(0);
     let administration = testbed.controllers.administration(0);
     let client = Client::default();
     let submit = |body| Request::post(controller, "/api/jobs", body, TIMEOUT);
-    let (mut first, mut refused) = (None, None);
+    let (mut first_accepted, mut refused) = (None, None);
     for number in 0..2_000 {
         let body = submission(1_000 + number);
         let response = client.call(submit(body)).await.unwrap();
         match response.status {
-            201 => first = first.or(Some(1_000 + number)),
-            // Before the controller has an admission quota nothing is accepted either.
-            _ if first.is_none() => tokio::time::sleep(Duration::from_millis(50)).await,
+            201 => first_accepted = first_accepted.or(Some(1_000 + number)),
+            // The controller accepts nothing until it has an admission quota.
+            _ if first_accepted.is_none() => tokio::time::sleep(Duration::from_millis(50)).await,
             _ => {
                 refused = Some(response);
                 break;
             }
         }
     }
-    let refused = refused.expect("nothing was refused");
+    let refused = refused.expect("no submission was refused");
     assert_eq!(refused.status, 503, "{}", refused.body);
-    assert!(refused.retry_after_s.is_some_and(|s| (1..=30).contains(&s)));
-    let repeat = submission(first.unwrap());
+    assert!(refused.retry_after_s.is_some_and(|seconds| (1..=30).contains(&seconds)));
+    let repeat = submission(first_accepted.unwrap());
     let repeated = client.call(submit(repeat)).await.unwrap();
     assert_eq!(repeated.status, 200, "{}", repeated.body);
 
-    let limits = read_limits(administration).await.expect("no answer");
+    let limits = read_limits(administration).await.expect("no response");
     assert_eq!((&limits["node"], &limits["allotted"]), (&json!("stack-0"), &json!(true)));
     let teams = limits["teams"].as_array().unwrap();
     let buyers = teams.iter().find(|team| team["team"] == "buyers").unwrap();
@@ -71,19 +71,19 @@
     let class =
         buyers["classes"].as_array().unwrap().iter().find(|class| class["class"] == "prices");
     assert!(class.is_some_and(|class| class["jobs"].as_u64() >= Some(1)), "{buyers}");
-    let table = basaltrail(&["inspect", "limits", "--at", &administration.to_string()]).await;
+    let table = run_program(&["inspect", "limits", "--at", &administration.to_string()]).await;
     let table = String::from_utf8(table.stdout).unwrap();
     assert!(table.contains("buyers") && table.lines().count() >= 4, "{table}");
     testbed.stop().await;
 
-    let stopped = basaltrail(&["inspect", "limits", "--at", &administration.to_string()]).await;
-    let line = String::from_utf8(stopped.stderr).unwrap();
-    assert_eq!((stopped.status.code(), line.lines().count()), (Some(1), 1), "{line}");
+    let stopped = run_program(&["inspect", "limits", "--at", &administration.to_string()]).await;
+    let error = String::from_utf8(stopped.stderr).unwrap();
+    assert_eq!((stopped.status.code(), error.lines().count()), (Some(1), 1), "{error}");
     let _ = std::fs::remove_dir_all(directory);
 }
 
 #[tokio::test]
-async fn settings_are_checked_by_either_form() {
+async fn the_check_command_and_flag_validate_the_settings() {
     let valid = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/settings.toml");
     let policy = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/admission.policy");
     for arguments in [
@@ -91,11 +91,11 @@
         vec!["check", "--config", valid],
         vec!["check", "--config", valid, "--policy", policy],
     ] {
-        let output = basaltrail(&arguments).await;
+        let output = run_program(&arguments).await;
         assert!(output.status.success(), "{arguments:?}: {output:?}");
     }
     for arguments in [vec!["check", "--config", policy], vec![], vec!["inspect", "all"]] {
-        let output = basaltrail(&arguments).await;
+        let output = run_program(&arguments).await;
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
     }
 }
--- a/crates/basaltrail/tests/try_out.rs
+++ b/crates/basaltrail/tests/try_out.rs
@@ -1,6 +1,6 @@
-//! The deployment to try out, and the requests of the README against it.
+//! Runs the requests of the README against the try-out deployment.
 
-#![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod common;
 
@@ -12,24 +12,25 @@
 use std::time::Duration;
 
 const README: &str = include_str!("../../../README.md");
-/// Address of the README's requests.
+/// Address used by the requests in the README.
 const README_ADDRESS: &str = "http://127.0.0.1:7100";
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One `curl` line: method, path and body.
+/// A `curl` request of the README.
 struct Request {
     method: &'static str,
     path: String,
     body: String,
 }
 
-/// The requests of the README, in their order.
+/// Returns the requests of the README, in order.
 fn readme_requests() -> Vec<Request> {
-    let after_each_curl = README.split("curl -i ").skip(1);
-    after_each_curl
+    let curl_arguments = README.split("curl -i ").skip(1);
+    curl_arguments
         .map(|text| {
             let method = if text.starts_with("-X POST") { "POST" } else { "GET" };
-            let (_, target) = text.split_once(README_ADDRESS).expect("another address");
+            let (_, target) =
+                text.split_once(README_ADDRESS).expect("a README request uses another address");
             let path = target.split_whitespace().next().unwrap().to_string();
             let line = target.lines().next().unwrap();
             let body =
@@ -39,38 +40,43 @@
         .collect()
 }
 
-async fn send(to: SocketAddr, request: &Request) -> (u16, Value) {
+async fn send(address: SocketAddr, request: &Request) -> (u16, Value) {
     let request = http::Request {
-        to,
+        to: address,
         method: request.method,
         path: &request.path,
         body: request.body.clone(),
         timeout: TIMEOUT,
     };
-    let response = Client::default().call(request).await.expect("no answer");
+    let response = Client::default().call(request).await.expect("no response");
     (response.status, response.body)
 }
 
-/// Repeats a request, as a user with `curl` would, until its answer is the expected one.
-async fn send_until(to: SocketAddr, request: &Request, is_expected: impl Fn(u16, &Value) -> bool) {
-    let mut last = (0, Value::Null);
+/// Repeats a request until the response is the expected one. Panics after 300 attempts.
+async fn send_until(
+    address: SocketAddr,
+    request: &Request,
+    is_expected: impl Fn(u16, &Value) -> bool,
+) {
+    let mut last_response = (0, Value::Null);
     for _ in 0..300 {
-        last = send(to, request).await;
-        if is_expected(last.0, &last.1) {
+        last_response = send(address, request).await;
+        if is_expected(last_response.0, &last_response.1) {
             return;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    panic!("{} {}: last answer {last:?}", request.method, request.path);
+    panic!("{} {}: last response {last_response:?}", request.method, request.path);
 }
 
+/// Stops the testbed and checks that no controller accepts connections any more.
 async fn stop_and_check_processes(testbed: &Testbed) {
     let addresses: Vec<SocketAddr> =
         (0..testbed.controllers.count()).map(|index| testbed.controllers.listen(index)).collect();
     testbed.stop().await;
     for address in addresses {
-        let open = tokio::net::TcpStream::connect(address).await;
-        assert!(open.is_err(), "{address}: a process was left behind");
+        let connection = tokio::net::TcpStream::connect(address).await;
+        assert!(connection.is_err(), "{address}: a process is still running");
     }
 }
 
@@ -80,7 +86,7 @@
     let controller = testbed.controllers.listen(0);
     let requests = readme_requests();
     let [submit, poll, cancel] = requests.as_slice() else {
-        panic!("{} requests in the README", requests.len());
+        panic!("expected 3 requests in the README, found {}", requests.len());
     };
     send_until(controller, submit, |status, _| status == 201).await;
     send_until(controller, poll, |_, body| body["condition"] == "running" && body["running"] == 2)
