--- a/crates/basaltrail/src/policy.rs
+++ b/crates/basaltrail/src/policy.rs
@@ -207,12 +207,8 @@
         let mut policy = AdmissionPolicy::default();
         self.for_each_entry(&entry.values, PolicyProblem::InvalidAdmissionEntry, |field| {
             match field.key.as_str() {
-                "backlog-s" => {
-                    policy.backlog_s = self.parse_admission_number(field, BACKLOG_S_RANGE)?
-                }
-                "class-least" => {
-                    policy.class_least = self.parse_admission_number(field, CLASS_LEAST_RANGE)?
-                }
+                "backlog-s" => policy.backlog_s = self.parse_bound(field, BACKLOG_S_RANGE)?,
+                "class-least" => policy.class_least = self.parse_bound(field, CLASS_LEAST_RANGE)?,
                 _ => {
                     let problem = PolicyProblem::UnknownAdmissionKey { key: field.key.clone() };
                     return Err(self.error(&entry.datum, problem));
@@ -223,12 +219,8 @@
         Ok(policy)
     }
 
-    /// Parses the single value of a key of `admission` as a number within a range.
-    fn parse_admission_number(
-        &self,
-        field: &Entry,
-        range: RangeInclusive<f64>,
-    ) -> Result<f64, ConfigError> {
+    /// Parses the single value of a bound in `admission` as a number within a range.
+    fn parse_bound(&self, field: &Entry, range: RangeInclusive<f64>) -> Result<f64, ConfigError> {
         let number = field.single_value().and_then(|value| value.value().as_f64());
         let (key, low, high) = (field.key.clone(), *range.start(), *range.end());
         number
--- a/crates/basaltrail/src/settings/source.rs
+++ b/crates/basaltrail/src/settings/source.rs
@@ -37,7 +37,8 @@
         ConfigError::new(self.file, line, problem)
     }
 
-    /// Returns an amount unchanged if [`is_positive`] accepts it. `name` is its key below `params`.
+    /// Checks that an amount is above 0 and below [`AMOUNT_BOUND`], and returns it. `name` is its key
+    /// below `params`.
     pub(super) fn check_positive(&self, name: &str, amount: f64) -> Result<f64, ConfigError> {
         match is_positive(amount) {
             true => Ok(amount),
