--- a/crates/basaltrail-testbed/src/faults/mod.rs
+++ b/crates/basaltrail-testbed/src/faults/mod.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn at seeded random instants and injected into the stand-ins, the links and the
+//! Faults that are injected at seeded random times into the stand-ins, the links and the
 //! controllers of a run.
 
 mod injector;
@@ -7,80 +7,80 @@
 
 use clap::ValueEnum;
 
-/// A kind of fault. The names on the command line are fixed; the order of the kinds is part of
-/// what a seed means.
+/// A kind of fault. The names on the command line are stable. The order of the kinds must not
+/// change either: the same seed would select other faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
 pub enum FaultKind {
-    /// Many jobs are cancelled, and then every leader is killed after a moment, until all
-    /// cancelled tasks must have ended
+    /// Cancels many jobs, then kills each leader shortly after its election until the deadline for
+    /// the cancellations has passed
     #[value(name = "short-leaderships")]
     ShortLeaderTerms,
-    /// The leader is killed and restarted soon
+    /// Kills the leader and restarts it soon after
     #[value(name = "end-leader")]
     KillLeader,
-    /// All controllers are killed and restarted soon
+    /// Kills all controllers and restarts them soon after
     #[value(name = "end-all")]
     KillAll,
-    /// A controller is paused (SIGSTOP) and resumed
+    /// Pauses a controller (SIGSTOP) and resumes it
     #[value(name = "pause")]
     Pause,
-    /// A controller is partitioned from the state service, in one direction or both
+    /// Partitions a controller from the state service, in one direction or both
     #[value(name = "cut-state")]
     PartitionState,
-    /// A controller is partitioned from the workers of a zone, in one direction or both
+    /// Partitions a controller from the workers of a zone, in one direction or both
     #[value(name = "cut-workers")]
     PartitionWorkers,
-    /// The connections of a controller are reset
+    /// Resets all connections of a controller
     #[value(name = "reset")]
     ResetConnections,
-    /// All traffic of a controller is delayed
+    /// Delays the traffic of a controller, in one direction or both
     #[value(name = "delay")]
     DelayLinks,
-    /// The state service is unavailable
+    /// Makes the state service unavailable
     #[value(name = "state-outage")]
     StateOutage,
-    /// The state service refuses the leader alone
+    /// Makes the state service refuse the requests of the leader only
     #[value(name = "state-refusal")]
     StateRefusal,
-    /// The state service answers slowly
+    /// Adds latency to the answers of the state service
     #[value(name = "state-slow")]
     StateSlow,
-    /// Transactions are carried out late and not answered
+    /// Applies some transactions late and drops their answers
     #[value(name = "late-writes")]
     LateWrites,
-    /// Transactions are carried out and not answered
+    /// Applies some transactions and drops their answers
     #[value(name = "lost-answers")]
     LostAnswers,
-    /// The cloud's interface is unavailable
+    /// Makes the cloud API unavailable
     #[value(name = "cloud-outage")]
     CloudOutage,
-    /// Machines hang and go on
+    /// Suspends the workers of some machines for a while
     #[value(name = "machine-hang")]
     MachineHang,
-    /// Heartbeats of some machines reach no controller
+    /// Drops the heartbeats of some machines
     #[value(name = "machine-mute")]
     MachineMute,
-    /// Answers do not reach some machines
+    /// Drops the answers to the heartbeats of some machines
     #[value(name = "machine-deaf")]
     MachineDeaf,
-    /// Machines crash with all tasks on them
+    /// Crashes some machines with all of their tasks
     #[value(name = "machine-stop")]
     MachineCrash,
-    /// Copies of heartbeats arrive late
+    /// Delivers late copies of some heartbeats
     #[value(name = "late-reports")]
     LateHeartbeats,
-    /// Users cancel many jobs at once
+    /// Cancels several jobs at once
     #[value(name = "cancel-burst")]
     CancelBurst,
 }
 
 impl FaultKind {
-    /// All kinds.
+    /// Returns all kinds, in declaration order.
     pub fn all() -> Vec<FaultKind> {
         FaultKind::value_variants().to_vec()
     }
 
-    /// The kind's name on the command line.
+    /// Returns the kind's name on the command line.
     pub fn name(self) -> String {
         self.to_possible_value().map_or(String::new(), |value| value.get_name().to_string())
     }
