--- a/crates/basaltrail-testbed/src/checker/job_history.rs
+++ b/crates/basaltrail-testbed/src/checker/job_history.rs
@@ -1,4 +1,4 @@
-//! The history of single jobs: the runs of their tasks, and what their users were answered.
+//! The history of each job: the runs of its tasks, and the answers to its user.
 
 use crate::clock::Ms;
 use crate::history::{
@@ -6,23 +6,23 @@
 };
 use std::collections::BTreeMap;
 
-/// The time for which a task attempt ran on its machine.
+/// The period in which a task attempt ran on its machine.
 #[derive(Clone, Debug)]
 pub(super) struct TaskRun {
     pub(super) attempt: TaskAttempt,
     pub(super) started_ms: Ms,
-    /// When and why it ended; `None` if it still runs.
+    /// Time and reason of the end; `None` if the task did not end.
     pub(super) ended: Option<(Ms, TaskEndReason)>,
 }
 
 impl TaskRun {
-    /// When the run ended, or `otherwise` if it still runs.
-    pub(super) fn ended_ms_or(&self, otherwise: Ms) -> Ms {
-        self.ended.map_or(otherwise, |(at, _)| at)
+    /// Returns the time of the end, or `default` if the task did not end.
+    pub(super) fn ended_ms_or(&self, default: Ms) -> Ms {
+        self.ended.map_or(default, |(at_ms, _)| at_ms)
     }
 }
 
-/// An answer to a user's request about the job.
+/// An answer to a user's request for the job.
 #[derive(Clone, Copy)]
 pub(super) struct Response {
     pub(super) at_ms: Ms,
@@ -32,18 +32,18 @@
     pub(super) phase: Option<JobPhase>,
 }
 
-/// All that is known of one job.
+/// The observations of one job.
 #[derive(Default)]
 pub(super) struct JobHistory {
     pub(super) requirements: Option<JobRequirements>,
     pub(super) runs: Vec<TaskRun>,
-    /// When its user first sent a cancellation.
+    /// Time of the user's first cancellation request.
     pub(super) cancellation_ms: Option<Ms>,
-    /// When its user first learned that it is accepted.
+    /// Time at which the user first received a successful answer.
     pub(super) accepted_ms: Option<Ms>,
-    /// When its user first learned of a final phase, and of which.
+    /// The first final phase that was reported to the user, with its time.
     pub(super) finished: Option<(Ms, JobPhase)>,
-    /// When its user last got a successful answer.
+    /// Time at which the user last received a successful answer.
     pub(super) last_success_ms: Ms,
     pub(super) responses: Vec<Response>,
 }
@@ -85,15 +85,15 @@
     }
 
     fn end_run(&mut self, attempt: &TaskAttempt, at_ms: Ms, reason: TaskEndReason) {
-        let is_open = |run: &&mut TaskRun| run.ended.is_none() && run.attempt == *attempt;
-        if let Some(run) = self.runs.iter_mut().find(is_open) {
+        let is_unended = |run: &&mut TaskRun| run.ended.is_none() && run.attempt == *attempt;
+        if let Some(run) = self.runs.iter_mut().find(is_unended) {
             run.ended = Some((at_ms, reason));
         }
     }
 }
 
-/// The histories of all jobs, by number, from events ordered by time.
-pub(super) fn by_job(events: &[Event]) -> BTreeMap<u64, JobHistory> {
+/// Returns the history of each job, by job number. The events must be ordered by time.
+pub(super) fn histories_by_job(events: &[Event]) -> BTreeMap<u64, JobHistory> {
     let mut jobs: BTreeMap<u64, JobHistory> = BTreeMap::new();
     for event in events {
         if let Some(job) = event.kind.job() {
--- a/crates/basaltrail-testbed/src/checker/job_rules.rs
+++ b/crates/basaltrail-testbed/src/checker/job_rules.rs
@@ -1,4 +1,4 @@
-//! PROTOCOL's rules about single jobs, one function each.
+//! PROTOCOL's rules that apply to one job, with one function per rule.
 
 use super::job_history::{JobHistory, Response, TaskRun};
 use super::{MachinePlacement, Rule, RunBounds, Violation, RECOVERY_MS};
@@ -6,66 +6,70 @@
 use crate::history::{JobPhase, TaskEndReason, UserRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All violations of the rules by one job.
-pub(super) fn check(
+/// Returns all violations of the rules by one job.
+pub(super) fn check_job(
     job: &JobHistory,
     machines: &BTreeMap<String, MachinePlacement>,
     bounds: &RunBounds,
 ) -> Vec<Violation> {
     let by_rule = [
-        ran_twice(job),
-        ran_cancelled(job, bounds),
-        wrong_place(job, machines),
-        not_done(job),
-        went_back(job),
-        forgotten(job, bounds),
+        check_ran_twice(job),
+        check_ran_cancelled(job, bounds),
+        check_wrong_place(job, machines),
+        check_not_done(job),
+        check_went_back(job),
+        check_forgotten(job, bounds),
     ];
     by_rule.into_iter().flatten().collect()
 }
 
-/// No task runs on two machines at once.
-fn ran_twice(job: &JobHistory) -> Vec<Violation> {
-    // The run of each task that ends last; a run without an end never does.
-    let mut latest: BTreeMap<u32, &TaskRun> = BTreeMap::new();
+/// Checks that no task runs on two machines at the same time.
+fn check_ran_twice(job: &JobHistory) -> Vec<Violation> {
+    // The run of each task that ends last; a run without an end counts as endless.
+    let mut last_ending: BTreeMap<u32, &TaskRun> = BTreeMap::new();
     let mut violations = Vec::new();
     for run in &job.runs {
         let task = run.attempt.task;
-        let earlier = latest.get(&task);
+        let earlier = last_ending.get(&task);
         let earlier_end = earlier.map_or(0, |earlier| earlier.ended_ms_or(Ms::MAX));
-        if let Some(other) = earlier.filter(|_| run.started_ms < earlier_end) {
-            let (here, there) = (&run.attempt.machine, &other.attempt.machine);
-            let description = format!("task {task} starts on {here} while it is on {there}");
+        if let Some(earlier) = earlier.filter(|_| run.started_ms < earlier_end) {
+            let (machine, other) = (&run.attempt.machine, &earlier.attempt.machine);
+            let description = format!("task {task} started on {machine} while it ran on {other}");
             let violation = Violation::new(Rule::RanTwice, run.started_ms, description);
-            violations.push(violation.on_machine(here));
+            violations.push(violation.with_machine(machine));
         }
         if run.ended_ms_or(Ms::MAX) >= earlier_end {
-            latest.insert(task, run);
+            last_ending.insert(task, run);
         }
     }
     violations
 }
 
-/// No task runs longer than the allowed time after its user learned of the cancellation.
-fn ran_cancelled(job: &JobHistory, bounds: &RunBounds) -> Vec<Violation> {
+/// Checks that no task runs after the cancellation deadline, counted from the first answer that
+/// reported the job as cancelled.
+fn check_ran_cancelled(job: &JobHistory, bounds: &RunBounds) -> Vec<Violation> {
     let Some((cancelled_ms, JobPhase::Cancelled)) = job.finished else { return Vec::new() };
     let deadline = cancelled_ms + bounds.deployment.cancel_ms;
-    let late = job.runs.iter().filter(|run| run.ended_ms_or(bounds.end) > deadline);
+    let late_runs = job.runs.iter().filter(|run| run.ended_ms_or(bounds.end) > deadline);
     let violation = |run: &TaskRun| {
         let description = format!(
-            "task {} on {} from {} to {} ms, cancelled at {cancelled_ms} ms",
+            "task {} ran on {} from {} to {} ms, cancelled at {cancelled_ms} ms",
             run.attempt.task,
             run.attempt.machine,
             run.started_ms,
             run.ended_ms_or(bounds.end)
         );
         Violation::new(Rule::RanCancelled, run.started_ms.max(deadline), description)
-            .on_machine(&run.attempt.machine)
+            .with_machine(&run.attempt.machine)
     };
-    late.map(violation).collect()
+    late_runs.map(violation).collect()
 }
 
-/// Tasks run only on machines of the zone and the kind that their job allows.
-fn wrong_place(job: &JobHistory, machines: &BTreeMap<String, MachinePlacement>) -> Vec<Violation> {
+/// Checks that tasks run only on machines that the job's requirements allow.
+fn check_wrong_place(
+    job: &JobHistory,
+    machines: &BTreeMap<String, MachinePlacement>,
+) -> Vec<Violation> {
     let Some(requirements) = &job.requirements else { return Vec::new() };
     let is_forbidden = |run: &&TaskRun| {
         machines.get(&run.attempt.machine).is_some_and(|machine| {
@@ -74,15 +78,15 @@
         })
     };
     let violation = |run: &TaskRun| {
-        let description = format!("task {} on {}", run.attempt.task, run.attempt.machine);
+        let description = format!("task {} ran on {}", run.attempt.task, run.attempt.machine);
         Violation::new(Rule::WrongPlace, run.started_ms, description)
-            .on_machine(&run.attempt.machine)
+            .with_machine(&run.attempt.machine)
     };
     job.runs.iter().filter(is_forbidden).map(violation).collect()
 }
 
-/// A job that is reported as done is no service, and each of its tasks completed before.
-fn not_done(job: &JobHistory) -> Vec<Violation> {
+/// Checks that a job reported as done is an array job whose tasks all completed before.
+fn check_not_done(job: &JobHistory) -> Vec<Violation> {
     let (Some((done_ms, JobPhase::Done)), Some(requirements)) = (job.finished, &job.requirements)
     else {
         return Vec::new();
@@ -94,24 +98,26 @@
     if !requirements.service && completed.len() == requirements.tasks as usize {
         return Vec::new();
     }
-    let description =
-        format!("called done with {} of {} tasks", completed.len(), requirements.tasks);
+    let description = format!(
+        "reported as done with {} of {} tasks completed",
+        completed.len(),
+        requirements.tasks
+    );
     vec![Violation::new(Rule::NotDone, done_ms, description)]
 }
 
-/// A job never leaves its final phase, and is cancelled only if its user asked for it.
-fn went_back(job: &JobHistory) -> Vec<Violation> {
+/// Checks that a job never leaves its final phase, and is cancelled only at its user's request.
+fn check_went_back(job: &JobHistory) -> Vec<Violation> {
     let Some((finished_ms, final_phase)) = job.finished else { return Vec::new() };
     let mut violations = Vec::new();
-    let user_cancelled = job.cancellation_ms.is_some_and(|at| at <= finished_ms);
+    let user_cancelled = job.cancellation_ms.is_some_and(|at_ms| at_ms <= finished_ms);
     if final_phase == JobPhase::Cancelled && !user_cancelled {
-        let description = "called cancelled, and nobody cancelled it".into();
+        let description = "reported as cancelled without a request of its user".into();
         violations.push(Violation::new(Rule::WentBack, finished_ms, description));
     }
-    // Requests that were sent before the final phase was reported may be answered with an older
-    // phase.
-    let later = job.responses.iter().filter(|response| response.sent_ms >= finished_ms);
-    for response in later {
+    // A request that was sent before the final phase was reported may return an older phase.
+    let later_responses = job.responses.iter().filter(|response| response.sent_ms >= finished_ms);
+    for response in later_responses {
         if let Some(phase) = response.phase.filter(|phase| *phase != final_phase) {
             let description = format!("{phase:?} after {final_phase:?}");
             violations.push(Violation::new(Rule::WentBack, response.at_ms, description));
@@ -120,22 +126,23 @@
     violations
 }
 
-/// An accepted job is never denied, and is reported again once the faults ended.
-fn forgotten(job: &JobHistory, bounds: &RunBounds) -> Vec<Violation> {
+/// Checks that an accepted job is never reported as unknown or rejected, and that it is reported
+/// again after the last fault.
+fn check_forgotten(job: &JobHistory, bounds: &RunBounds) -> Vec<Violation> {
     let Some(accepted_ms) = job.accepted_ms else { return Vec::new() };
     let is_denial = |response: &&Response| match response.request {
         UserRequest::Submit => matches!(response.status, 400 | 422),
         UserRequest::Poll | UserRequest::Cancel => response.status == 404,
     };
-    let later = job.responses.iter().filter(|response| response.sent_ms >= accepted_ms);
+    let later_responses = job.responses.iter().filter(|response| response.sent_ms >= accepted_ms);
     let denial = |response: &Response| {
         let description = format!("{:?} answered {}", response.request, response.status);
         Violation::new(Rule::Forgotten, response.at_ms, description)
     };
-    let mut violations: Vec<Violation> = later.filter(is_denial).map(denial).collect();
-    let had_time = bounds.end.saturating_sub(bounds.faults_end) >= RECOVERY_MS;
-    if had_time && job.finished.is_none() && job.last_success_ms < bounds.faults_end {
-        let description = format!("no answer since {} ms", job.last_success_ms);
+    let mut violations: Vec<Violation> = later_responses.filter(is_denial).map(denial).collect();
+    let had_recovery_time = bounds.end.saturating_sub(bounds.faults_end) >= RECOVERY_MS;
+    if had_recovery_time && job.finished.is_none() && job.last_success_ms < bounds.faults_end {
+        let description = format!("no successful answer since {} ms", job.last_success_ms);
         violations.push(Violation::new(Rule::Forgotten, bounds.end, description));
     }
     violations
--- a/crates/basaltrail-testbed/src/checker/mod.rs
+++ b/crates/basaltrail-testbed/src/checker/mod.rs
@@ -1,7 +1,7 @@
-//! Checks a history against PROTOCOL's rules, from what users and workers observed alone.
+//! Checks a history against PROTOCOL's rules, using only the observations of users and workers.
 //!
-//! [`find_violations`] is the entry point. The rules about one job are in `job_rules`, over the
-//! `JobHistory` of the job; the rules about the whole run are here.
+//! [`find_violations`] is the entry point. This module checks the rules that apply to the whole
+//! run; `job_rules` checks the rules that apply to one job, given its `JobHistory`.
 
 mod job_history;
 mod job_rules;
@@ -14,37 +14,37 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Once all faults ended, every accepted job must be reported to its user within this time
-/// (PROTOCOL's rule `forgotten`).
+/// Time within which every accepted job must be reported to its user after the last fault, in
+/// milliseconds (PROTOCOL's rule `forgotten`).
 pub const RECOVERY_MS: Ms = 75_000;
 
-/// A rule of PROTOCOL, or a check of the testbed's own.
+/// A rule of PROTOCOL, or an additional check of the testbed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// A task ran on two machines at once.
+    /// A task ran on two machines at the same time.
     RanTwice,
-    /// A task ran on after the time allowed for a cancellation.
+    /// A task of a cancelled job was still running after the cancellation deadline.
     RanCancelled,
-    /// A task ran on a machine that its job does not allow.
+    /// A task ran on a machine that the job's requirements exclude.
     WrongPlace,
-    /// A job was reported as done before all of its tasks completed.
+    /// A job was reported as done before all of its tasks completed, or although it is a service.
     NotDone,
-    /// A job left its final phase, or was cancelled by nobody.
+    /// A job left its final phase, or was reported as cancelled without a user's request.
     WentBack,
-    /// An accepted job was denied, or not reported once the faults ended.
+    /// An accepted job was reported as unknown or rejected, or not reported after the last fault.
     Forgotten,
     /// A team used more CPUs than its limit.
     Quota,
-    /// A job was reported that nobody submitted.
+    /// A job was reported that was never submitted.
     Invented,
-    /// Not one task ran: the run proves nothing.
+    /// No task ran, so the run verifies nothing.
     NothingRan,
-    /// A controller logged a violation that it detected itself, or panicked.
-    Controller,
+    /// A controller logged a rule violation of its own, or a panic.
+    ControllerFault,
 }
 
 impl Rule {
-    /// The rule's name in PROTOCOL, as violations are printed.
+    /// Returns the rule's name in PROTOCOL, which is also used in printed violations.
     pub fn name(self) -> &'static str {
         match self {
             Rule::RanTwice => "ran_twice",
@@ -56,7 +56,7 @@
             Rule::Quota => "quota",
             Rule::Invented => "invented",
             Rule::NothingRan => "nothing_ran",
-            Rule::Controller => "controller",
+            Rule::ControllerFault => "controller",
         }
     }
 }
@@ -70,15 +70,15 @@
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// Number of the job, if the violation is about one.
+    /// Number of the job, if the violation concerns a job.
     pub job: Option<u64>,
-    /// Name of the machine, if the violation is about one.
+    /// Name of the machine, if the violation concerns a machine.
     pub machine: Option<String>,
-    /// Milliseconds since the run started.
+    /// Time of the violation, in milliseconds since the run started.
     pub at_ms: Ms,
-    /// What happened.
+    /// Description of the violation.
     pub description: String,
 }
 
@@ -87,11 +87,11 @@
         Violation { rule, job: None, machine: None, at_ms, description }
     }
 
-    fn of_job(self, job: u64) -> Self {
+    fn with_job(self, job: u64) -> Self {
         Violation { job: Some(job), ..self }
     }
 
-    fn on_machine(self, machine: &str) -> Self {
+    fn with_machine(self, machine: &str) -> Self {
         Violation { machine: Some(machine.into()), ..self }
     }
 }
@@ -102,39 +102,39 @@
     }
 }
 
-/// Violations are serialised as the lines in which they are printed.
+/// Serialises a violation as its printed line.
 impl Serialize for Violation {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self)
     }
 }
 
-/// What a history is checked against.
+/// The deployment and the times against which a history is checked.
 #[derive(Clone, Copy, Debug)]
 pub struct RunBounds<'a> {
-    /// Times and limits of the deployment.
+    /// Deployment under test, with its time bounds and limits.
     pub deployment: &'a Deployment,
-    /// When the effects of the last fault ended.
+    /// End of the effects of the last fault, in milliseconds since the run started.
     pub faults_end: Ms,
-    /// When the run ended.
+    /// End of the run, in milliseconds since it started.
     pub end: Ms,
 }
 
-/// Zone and kind of a machine.
+/// Zone of a machine, and whether it is a spot machine.
 struct MachinePlacement {
     zone: String,
     spot: bool,
 }
 
-/// All violations in a history that is ordered by time, ordered by time.
+/// Returns all violations in a history, ordered by time. The history must be ordered by time.
 pub fn find_violations(events: &[Event], bounds: &RunBounds) -> Vec<Violation> {
-    let mut violations = reported_faults(events);
+    let mut violations = single_event_violations(events);
     let machines = machine_placements(events);
-    for (job, history) in job_history::by_job(events) {
-        let found = job_rules::check(&history, &machines, bounds);
-        violations.extend(found.into_iter().map(|violation| violation.of_job(job)));
+    for (job, history) in job_history::histories_by_job(events) {
+        let found = job_rules::check_job(&history, &machines, bounds);
+        violations.extend(found.into_iter().map(|violation| violation.with_job(job)));
     }
-    violations.extend(quota(events, bounds));
+    violations.extend(check_quota(events, bounds));
     if !events.iter().any(|event| matches!(event.kind, EventKind::TaskStarted(_))) {
         violations.push(Violation::new(Rule::NothingRan, 0, "no task was started".into()));
     }
@@ -142,17 +142,17 @@
     violations
 }
 
-/// Violations that one event alone shows.
-fn reported_faults(events: &[Event]) -> Vec<Violation> {
+/// Returns the violations that a single event proves.
+fn single_event_violations(events: &[Event]) -> Vec<Violation> {
     let violation = |event: &Event| match &event.kind {
         EventKind::UnknownJobQueried { job, status: 200 } => {
-            let description = "200 for a job that nobody submitted".into();
-            Some(Violation::new(Rule::Invented, event.at_ms, description).of_job(*job))
+            let description = "200 for a job that was never submitted".into();
+            Some(Violation::new(Rule::Invented, event.at_ms, description).with_job(*job))
         }
         EventKind::ControllerFaultLogged { controller, line } => {
             let name = Deployment::controller_name(*controller);
             let description = format!("{name}: {line}");
-            Some(Violation::new(Rule::Controller, event.at_ms, description))
+            Some(Violation::new(Rule::ControllerFault, event.at_ms, description))
         }
         _ => None,
     };
@@ -169,42 +169,43 @@
     events.iter().filter_map(placement).collect()
 }
 
-/// PROTOCOL's rule `quota`, checked whenever a task starts.
-fn quota(events: &[Event], bounds: &RunBounds) -> Vec<Violation> {
+/// Checks PROTOCOL's rule `quota` at each start of a task.
+fn check_quota(events: &[Event], bounds: &RunBounds) -> Vec<Violation> {
     let changes = team_usage::changes_by_team(events);
     let mut violations = Vec::new();
     for team in &bounds.deployment.teams {
         let changes = changes.get(team.name).into_iter().flatten();
         let limit = team.cpus_max + CPU_ROUNDING;
-        let above_limit = changes.filter(|change| change.starts && change.cpus > limit);
+        let above_limit = changes.filter(|change| change.is_start && change.cpus > limit);
         violations.extend(above_limit.map(|change| {
             let description =
                 format!("{} uses {} of {} CPUs", team.name, change.cpus, team.cpus_max);
-            Violation::new(Rule::Quota, change.at_ms, description).of_job(change.job)
+            Violation::new(Rule::Quota, change.at_ms, description).with_job(change.job)
         }));
     }
     violations
 }
 
-/// The events that explain a violation, one line each: those of its job, and from the job's
-/// cancellation on the faults and the answers that renewed the machine's lease.
+/// Returns the events that explain a violation, one line each: all events of its job, and those
+/// faults and renewals of the machine's lease that lie between the job's cancellation and the
+/// violation.
 pub fn explain(events: &[Event], violation: &Violation) -> Vec<String> {
     let is_of_job = |event: &Event| event.kind.job().is_some() && event.kind.job() == violation.job;
-    let cancelled = events.iter().find(|event| {
+    let cancellation = events.iter().find(|event| {
         let phase = match event.kind {
             EventKind::ResponseReceived { phase, .. } => phase,
             _ => None,
         };
         is_of_job(event) && phase == Some(JobPhase::Cancelled)
     });
-    let since = cancelled.map_or(Ms::MAX, |event| event.at_ms);
+    let cancelled_ms = cancellation.map_or(Ms::MAX, |event| event.at_ms);
     let is_context = |event: &Event| {
-        let relevant = match &event.kind {
+        let is_relevant = match &event.kind {
             EventKind::LeaseRenewed { machine, .. } => Some(machine) == violation.machine.as_ref(),
             EventKind::FaultInjected { .. } => true,
             _ => false,
         };
-        relevant && (since..=violation.at_ms).contains(&event.at_ms)
+        is_relevant && (cancelled_ms..=violation.at_ms).contains(&event.at_ms)
     };
     let relevant = events.iter().filter(|event| is_of_job(event) || is_context(event));
     relevant
--- a/crates/basaltrail-testbed/src/history.rs
+++ b/crates/basaltrail-testbed/src/history.rs
@@ -1,7 +1,7 @@
-//! The history of a run: what users and workers observed, ordered by time.
+//! The history of a run: the observations of users and workers, ordered by time.
 //!
-//! The [checker](crate::checker) and the [metrics](crate::metrics) are computed from it alone. It
-//! is written as JSON lines, one event a line.
+//! The history is the only input of the [checker](crate::checker) and the
+//! [metrics](crate::metrics). It is written as JSON lines, with one event per line.
 
 use crate::clock::Ms;
 use crate::lock;
@@ -10,11 +10,11 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex};
 
-/// The kind of a user's request about a job.
+/// The kind of a user's request for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UserRequest {
-    /// A submission, the first one or an idempotent repeat.
+    /// A submission: the first one, or an idempotent retry.
     Submit,
     /// A query for the job's phase.
     Poll,
@@ -22,13 +22,13 @@
     Cancel,
 }
 
-/// The phase of a job, as controllers report it to its user.
+/// The phase of a job, as reported by the controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobPhase {
-    /// No task runs.
+    /// No task is running.
     Queued,
-    /// At least one task runs.
+    /// At least one task is running.
     Running,
     /// All tasks completed.
     Done,
@@ -37,13 +37,13 @@
 }
 
 impl JobPhase {
-    /// Whether the phase is final: a job never leaves it.
+    /// Returns whether the phase is final.
     pub fn is_terminal(self) -> bool {
         matches!(self, JobPhase::Done | JobPhase::Cancelled)
     }
 }
 
-/// Why a task no longer runs on its machine.
+/// The reason that a task ended on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskEndReason {
@@ -51,15 +51,15 @@
     Completed,
     /// The task failed.
     Failed,
-    /// A controller commanded the worker to stop the task.
+    /// The worker stopped the task on a controller's command.
     Stopped,
     /// The worker's lease expired.
     LeaseExpired,
-    /// The machine crashed or was released.
+    /// The machine crashed or was terminated.
     MachineGone,
 }
 
-/// One attempt at one task of a job, on one machine.
+/// One attempt to run a task, on one machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct TaskAttempt {
     /// Number of the job.
@@ -72,10 +72,10 @@
     pub machine: String,
 }
 
-/// What a job requires, as far as the checker and the workers need it.
+/// The requirements of a job that workers and the checker evaluate.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct JobRequirements {
-    /// Team that the job is accounted to.
+    /// Team whose quota the job counts against.
     pub team: String,
     /// Workload class.
     pub class: String,
@@ -83,16 +83,17 @@
     pub tasks: u32,
     /// CPUs of each task.
     pub cpus: f64,
-    /// Whether the tasks may run on spot machines.
+    /// Whether spot machines are allowed.
     pub spot: bool,
-    /// The only zone in which the tasks may run; any zone if it is `None`.
+    /// The required zone; `None` allows every zone.
     pub zone: Option<String>,
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether the job is a service, whose tasks run until it is cancelled.
     pub service: bool,
 }
 
 impl JobRequirements {
-    /// Requirements of an array job that may run on spot machines of any zone, of class `array`.
+    /// Returns the requirements of an array job of class `array` that allows spot machines and
+    /// every zone.
     pub fn array(team: &str, tasks: u32, cpus: f64) -> Self {
         JobRequirements {
             team: team.into(),
@@ -106,7 +107,7 @@
     }
 }
 
-/// An observation of a user or a worker, or an action of the testbed itself.
+/// An observation by a user or a worker, or an action of the testbed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum EventKind {
@@ -114,7 +115,7 @@
     SubmissionStarted {
         /// Number of the job.
         job: u64,
-        /// What the job requires.
+        /// Requirements of the job.
         requirements: JobRequirements,
     },
     /// A user is about to send the first cancellation of a job.
@@ -122,25 +123,25 @@
         /// Number of the job.
         job: u64,
     },
-    /// A user's request was answered or timed out.
+    /// A user's request was answered, or failed without an answer.
     ResponseReceived {
         /// Number of the job.
         job: u64,
         /// Kind of the request.
         request: UserRequest,
-        /// When the request was sent.
+        /// Time at which the request was sent, in milliseconds since the run started.
         sent_ms: Ms,
         /// Index of the controller that received the request.
         controller: usize,
-        /// HTTP status; `None` without an answer.
+        /// HTTP status; `None` if no answer was received.
         status: Option<u16>,
-        /// Phase of the job, if the answer carried it.
+        /// Phase of the job, if the answer contained it.
         phase: Option<JobPhase>,
         /// `Retry-After` of the answer, in seconds.
         #[serde(skip_serializing_if = "Option::is_none")]
         retry_after_s: Option<u64>,
     },
-    /// The query for a job that nobody submitted was answered.
+    /// A query for a job that was never submitted was answered.
     UnknownJobQueried {
         /// Number of the job.
         job: u64,
@@ -158,17 +159,17 @@
     },
     /// A worker received a command in the answer to a heartbeat.
     CommandReceived {
-        /// The task attempt that the command is about.
+        /// The task attempt to which the command applies.
         #[serde(flatten)]
         attempt: TaskAttempt,
-        /// Command as it is on the wire: `start`, `kill` or `forget`.
+        /// The command's name on the wire: `start`, `kill` or `forget`.
         command: String,
         /// Fencing token of the answer.
         token: u64,
         /// Index of the controller that answered.
         controller: usize,
     },
-    /// An answer to a heartbeat renewed a worker's lease.
+    /// A worker renewed its lease after an answer to a heartbeat.
     LeaseRenewed {
         /// Name of the machine.
         machine: String,
@@ -177,22 +178,22 @@
         /// Fencing token of the answer.
         token: u64,
     },
-    /// A task has its image and runs on its machine.
+    /// A task started on its machine, after its image was fetched.
     TaskStarted(TaskAttempt),
-    /// A task no longer runs on its machine.
+    /// A task ended on its machine.
     TaskEnded {
         /// The task attempt.
         #[serde(flatten)]
         attempt: TaskAttempt,
-        /// Why it ended.
+        /// Reason for the end.
         reason: TaskEndReason,
     },
     /// The testbed injected a fault.
     FaultInjected {
-        /// The fault, its target and its duration.
+        /// Description of the fault, with its target and duration.
         description: String,
     },
-    /// A controller logged that it violated a rule, or panicked.
+    /// A controller logged a rule violation of its own, or a panic.
     ControllerFaultLogged {
         /// Index of the controller.
         controller: usize,
@@ -202,7 +203,7 @@
 }
 
 impl EventKind {
-    /// The number of the job that the event is about, if it is about one.
+    /// Returns the number of the event's job, if the event concerns a job.
     pub fn job(&self) -> Option<u64> {
         match self {
             EventKind::SubmissionStarted { job, .. }
@@ -220,27 +221,28 @@
     }
 }
 
-/// Something that happened, and when.
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
     /// Milliseconds since the run started.
     pub at_ms: Ms,
-    /// What happened.
+    /// Kind of the event, with its details.
     #[serde(flatten)]
     pub kind: EventKind,
 }
 
-/// The history of a run; clones share one list of events.
+/// The recorded events of a run; clones share one list.
 #[derive(Clone, Default)]
 pub struct History(Arc<Mutex<Vec<Event>>>);
 
 impl History {
-    /// Records an event. Events may be recorded out of order.
+    /// Records an event; events need not be recorded in the order of their times.
     pub fn record(&self, at_ms: Ms, kind: EventKind) {
         lock(&self.0).push(Event { at_ms, kind });
     }
 
-    /// All events so far, ordered by time; events of one millisecond in the order of recording.
+    /// Returns the recorded events ordered by time; events of the same millisecond keep the order
+    /// in which they were recorded.
     pub fn events(&self) -> Vec<Event> {
         let mut events = lock(&self.0).clone();
         events.sort_by_key(|event| event.at_ms);
@@ -248,12 +250,12 @@
     }
 }
 
-/// Writes events as JSON lines.
+/// Writes events to a file as JSON lines.
 ///
 /// # Errors
 ///
-/// If the file cannot be created or written.
-pub fn write(path: &Path, events: &[Event]) -> std::io::Result<()> {
+/// Fails if the file cannot be created or written.
+pub fn write_json_lines(path: &Path, events: &[Event]) -> std::io::Result<()> {
     let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
     for event in events {
         serde_json::to_writer(&mut file, event)?;
--- a/crates/basaltrail-testbed/src/lib.rs
+++ b/crates/basaltrail-testbed/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins of the systems that a basaltrail deployment talks to, a proxy that partitions and
-//! delays its connections, and a checker of what users and workers observe.
+//! Stand-ins for the systems around a basaltrail deployment, a proxy that partitions and delays
+//! its connections, and a checker that validates the observations of users and workers.
 //!
-//! A [`Testbed`](testbed::Testbed) runs them against controllers of the real program, all on
-//! loopback of one machine; the [`scenarios`] are what it is run for.
+//! A [`Testbed`](testbed::Testbed) runs controller processes of the real program against the
+//! stand-ins, all on the loopback interface of one machine. The [`scenarios`] are the workloads
+//! that run on it.
 #![warn(missing_docs)]
 
 pub mod checker;
@@ -29,8 +30,8 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks state that stand-ins share. A task that panicked poisons the lock, but every change is
-/// one step, so the state is still valid.
+/// Locks state that stand-ins share, and ignores poisoning: every change is a single step, so
+/// the state stays valid if a task panics while it holds the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/basaltrail-testbed/src/scenarios/mod.rs
+++ b/crates/basaltrail-testbed/src/scenarios/mod.rs
@@ -1,4 +1,5 @@
-//! What a testbed is run for: a soak with faults, two loads, and a deployment to try out.
+//! The scenarios that run on a testbed: a soak test with faults, two load tests, and a deployment
+//! for manual trials.
 
 pub mod overload;
 pub mod racing;
@@ -17,33 +18,34 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// File of a run's history, in the directory of the run.
+/// Name of the history file in the directory of a run.
 const HISTORY_FILE: &str = "history.jsonl";
-/// How long controllers may take to become ready, in milliseconds.
+/// Time within which the controllers must become ready, in milliseconds.
 const START_TIMEOUT_MS: Ms = 30_000;
 
-/// What all scenarios are configured with.
+/// Options common to all scenarios.
 #[derive(Clone, Debug)]
 pub struct ScenarioConfig {
-    /// The controllers' program.
+    /// Path of the controllers' program.
     pub program: PathBuf,
-    /// The controllers' policy.
+    /// Policy of the controllers.
     pub policy: PolicySource,
     /// Number of controllers.
     pub controllers: usize,
-    /// Number of machines that the cloud can rent out.
+    /// Number of machines that the cloud can provision.
     pub machines: usize,
-    /// Where histories, settings and logs are written.
+    /// Directory for histories, settings and logs.
     pub directory: PathBuf,
 }
 
 impl ScenarioConfig {
-    /// The deployment, with the default teams.
+    /// Returns the deployment with the default teams.
     fn deployment(&self) -> Deployment {
         Deployment::new(self.controllers, self.machines)
     }
 
-    /// Starts a testbed for one seed; the worker's seed is the first number of its sequence.
+    /// Starts a testbed for one seed. Returns it with the seed's random number generator, whose
+    /// first number is the seed of the workers.
     async fn start_testbed(
         &self,
         deployment: &Deployment,
@@ -64,14 +66,14 @@
     }
 }
 
-/// The history of a run that ended, and what the checker finds in it.
+/// The history of a finished run, with its violations.
 struct CheckedHistory {
     events: Vec<Event>,
     violations: Vec<Violation>,
     path: PathBuf,
 }
 
-/// Writes the history of a run and checks it.
+/// Writes the history of a run to its directory and checks it.
 fn check_history(
     testbed: &Testbed,
     directory: &Path,
@@ -80,7 +82,7 @@
 ) -> Result<CheckedHistory, RunError> {
     let events = testbed.history.events();
     let path = directory.join(HISTORY_FILE);
-    history::write(&path, &events).map_err(RunError::file(&path))?;
+    history::write_json_lines(&path, &events).map_err(RunError::file(&path))?;
     let bounds = RunBounds { deployment: &testbed.deployment, faults_end, end };
     let violations = find_violations(&events, &bounds);
     Ok(CheckedHistory { events, violations, path })
--- a/crates/basaltrail-testbed/src/team_usage.rs
+++ b/crates/basaltrail-testbed/src/team_usage.rs
@@ -1,33 +1,33 @@
-//! CPUs in use by each team over time, as the workers observed them.
+//! CPU usage of each team over time, computed from the task events of the workers.
 
 use crate::clock::Ms;
 use crate::history::{Event, EventKind, JobRequirements, TaskAttempt};
 use std::collections::{BTreeSet, HashMap};
 
-/// Differences of CPUs below this are rounding: sums of decimal fractions are not exact.
+/// Tolerance in comparisons of CPU counts, since sums of decimal fractions are not exact.
 pub const CPU_ROUNDING: f64 = 1e-9;
 
-/// A change of a team's use.
+/// A change of a team's CPU usage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsageChange {
-    /// When the use changed.
+    /// Time of the change, in milliseconds since the run started.
     pub at_ms: Ms,
     /// Number of the job whose task started or ended.
     pub job: u64,
-    /// Whether the task started.
-    pub starts: bool,
-    /// CPUs in use from then on.
+    /// Whether the task started; otherwise it ended.
+    pub is_start: bool,
+    /// CPUs in use after the change.
     pub cpus: f64,
 }
 
-/// Every change of each team's use, by team, ordered by time.
+/// Returns the usage changes of each team, ordered by time.
 ///
-/// Tasks that end in the same millisecond as others start are counted as ended before them. A
-/// task without an end is in use forever.
+/// Of the tasks that end and start in the same millisecond, those that end count first. A task
+/// without an end event counts as running until the end of the history.
 pub fn changes_by_team(events: &[Event]) -> HashMap<String, Vec<UsageChange>> {
     let mut changes = differences_by_team(events);
     for changes in changes.values_mut() {
-        changes.sort_by_key(|change| (change.at_ms, change.starts, change.job));
+        changes.sort_by_key(|change| (change.at_ms, change.is_start, change.job));
         let mut cpus = 0.0;
         for change in changes {
             cpus += change.cpus;
@@ -37,13 +37,14 @@
     changes
 }
 
-/// The changes in the order of the events; `cpus` is the difference that each makes.
+/// Returns the changes of each team in the order of the events, with `cpus` as the signed
+/// difference instead of the resulting usage.
 fn differences_by_team(events: &[Event]) -> HashMap<String, Vec<UsageChange>> {
     let mut requirements: HashMap<u64, &JobRequirements> = HashMap::new();
     let mut running: BTreeSet<&TaskAttempt> = BTreeSet::new();
     let mut changes: HashMap<String, Vec<UsageChange>> = HashMap::new();
     for event in events {
-        let (attempt, starts) = match &event.kind {
+        let (attempt, is_start) = match &event.kind {
             EventKind::SubmissionStarted { job, requirements: required } => {
                 requirements.insert(*job, required);
                 continue;
@@ -53,15 +54,15 @@
             _ => continue,
         };
         let Some(required) = requirements.get(&attempt.job) else { continue };
-        let counts = if starts {
+        let is_counted = if is_start {
             running.insert(attempt);
             true
         } else {
             running.remove(attempt)
         };
-        if counts {
-            let cpus = if starts { required.cpus } else { -required.cpus };
-            let change = UsageChange { at_ms: event.at_ms, job: attempt.job, starts, cpus };
+        if is_counted {
+            let cpus = if is_start { required.cpus } else { -required.cpus };
+            let change = UsageChange { at_ms: event.at_ms, job: attempt.job, is_start, cpus };
             changes.entry(required.team.clone()).or_default().push(change);
         }
     }
--- a/crates/basaltrail-testbed/tests/checker.rs
+++ b/crates/basaltrail-testbed/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker finds a violation of each rule, and none in a history that keeps them all.
+//! The checker finds a violation of each rule, and none in a history that complies with all rules.
 
 use basaltrail_testbed::checker::{explain, find_violations, RunBounds, Violation};
 use basaltrail_testbed::deployment::Deployment;
@@ -9,7 +9,7 @@
 const JOB: u64 = 1_000;
 const FAULTS_END: u64 = 20_000;
 const END: u64 = 120_000;
-/// Position of the submission in [`clean_history`].
+/// Index of the submission in [`clean_history`].
 const SUBMISSION: usize = 2;
 
 fn requirements() -> JobRequirements {
@@ -28,24 +28,24 @@
     TaskAttempt { job: JOB, task, attempt: number, machine: machine.into() }
 }
 
-fn at(at_ms: u64, kind: EventKind) -> Event {
+fn event_at(at_ms: u64, kind: EventKind) -> Event {
     Event { at_ms, kind }
 }
 
-fn submitted(requirements: JobRequirements) -> Event {
-    at(100, EventKind::SubmissionStarted { job: JOB, requirements })
+fn submission(requirements: JobRequirements) -> Event {
+    event_at(100, EventKind::SubmissionStarted { job: JOB, requirements })
 }
 
-fn started(at_ms: u64, number: u64, machine: &str) -> Event {
-    at(at_ms, EventKind::TaskStarted(attempt(0, number, machine)))
+fn task_started(at_ms: u64, number: u64, machine: &str) -> Event {
+    event_at(at_ms, EventKind::TaskStarted(attempt(0, number, machine)))
 }
 
-fn ended(at_ms: u64, number: u64, machine: &str, reason: TaskEndReason) -> Event {
-    at(at_ms, EventKind::TaskEnded { attempt: attempt(0, number, machine), reason })
+fn task_ended(at_ms: u64, number: u64, machine: &str, reason: TaskEndReason) -> Event {
+    event_at(at_ms, EventKind::TaskEnded { attempt: attempt(0, number, machine), reason })
 }
 
 fn response(at_ms: u64, request: UserRequest, status: u16, phase: Option<JobPhase>) -> Event {
-    at(
+    event_at(
         at_ms,
         EventKind::ResponseReceived {
             job: JOB,
@@ -59,7 +59,8 @@
     )
 }
 
-/// A job of one task that is accepted, runs on a machine, and is reported as done.
+/// Returns the history of a job with one task that is accepted, runs on a machine and is reported
+/// as done.
 fn clean_history() -> Vec<Event> {
     let machine_started = |machine: &str, spot| EventKind::MachineStarted {
         machine: machine.into(),
@@ -67,12 +68,12 @@
         spot,
     };
     vec![
-        at(0, machine_started("m-1", true)),
-        at(0, machine_started("m-2", false)),
-        submitted(requirements()),
+        event_at(0, machine_started("m-1", true)),
+        event_at(0, machine_started("m-2", false)),
+        submission(requirements()),
         response(200, UserRequest::Submit, 201, Some(JobPhase::Queued)),
-        started(1_000, 1, "m-1"),
-        ended(3_000, 1, "m-1", TaskEndReason::Completed),
+        task_started(1_000, 1, "m-1"),
+        task_ended(3_000, 1, "m-1", TaskEndReason::Completed),
         response(25_000, UserRequest::Poll, 200, Some(JobPhase::Done)),
         response(26_000, UserRequest::Poll, 200, Some(JobPhase::Done)),
     ]
@@ -89,57 +90,58 @@
     violations(events).into_iter().map(|violation| violation.rule.name()).collect()
 }
 
-/// The clean history with additional events.
+/// Returns the clean history with additional events.
 fn clean_history_with(additional: Vec<Event>) -> Vec<Event> {
     clean_history().into_iter().chain(additional).collect()
 }
 
-/// The clean history before an instant, with additional events.
-fn clean_history_until(at_ms: u64, additional: Vec<Event>) -> Vec<Event> {
-    let before = clean_history().into_iter().filter(|event| event.at_ms < at_ms);
+/// Returns the events of the clean history before `end_ms`, with additional events.
+fn clean_history_until(end_ms: u64, additional: Vec<Event>) -> Vec<Event> {
+    let before = clean_history().into_iter().filter(|event| event.at_ms < end_ms);
     before.chain(additional).collect()
 }
 
-/// The clean history, but the job requires something else.
+/// Returns the clean history with other requirements of the job.
 fn clean_history_requiring(requirements: JobRequirements) -> Vec<Event> {
     let mut events = clean_history();
-    events[SUBMISSION] = submitted(requirements);
+    events[SUBMISSION] = submission(requirements);
     events
 }
 
-/// The job is cancelled at 2 s, while its task runs.
+/// Returns a history whose job is cancelled at 2 s while its task is running, with additional
+/// events.
 fn cancelled_history_with(additional: Vec<Event>) -> Vec<Event> {
     let mut events = clean_history_until(2_000, additional);
-    events.push(at(1_900, EventKind::CancellationStarted { job: JOB }));
+    events.push(event_at(1_900, EventKind::CancellationStarted { job: JOB }));
     events.push(response(2_000, UserRequest::Cancel, 200, Some(JobPhase::Cancelled)));
     events
 }
 
 #[test]
-fn a_history_that_keeps_all_rules_has_no_violations() {
+fn a_history_that_complies_with_all_rules_has_no_violations() {
     assert_eq!(violations(clean_history()), Vec::new());
-    // A task is started again elsewhere after its first machine lost it.
+    // A task is restarted on another machine after the lease of the first one expired.
     let restarted = vec![
-        ended(1_500, 1, "m-1", TaskEndReason::LeaseExpired),
-        started(1_500, 2, "m-2"),
-        ended(4_000, 2, "m-2", TaskEndReason::Completed),
+        task_ended(1_500, 1, "m-1", TaskEndReason::LeaseExpired),
+        task_started(1_500, 2, "m-2"),
+        task_ended(4_000, 2, "m-2", TaskEndReason::Completed),
         response(25_000, UserRequest::Poll, 200, Some(JobPhase::Done)),
     ];
     assert_eq!(violations(clean_history_until(1_001, restarted)), Vec::new());
-    // A task is stopped in time after a cancellation.
+    // A task is stopped exactly at the deadline of a cancellation.
     let cancel_ms = Deployment::new(3, 40).cancel_ms;
-    let in_time = ended(2_000 + cancel_ms, 1, "m-1", TaskEndReason::Stopped);
+    let in_time = task_ended(2_000 + cancel_ms, 1, "m-1", TaskEndReason::Stopped);
     assert_eq!(violations(cancelled_history_with(vec![in_time])), Vec::new());
 }
 
 #[test]
 fn ran_twice_finds_a_task_on_two_machines_at_once() {
     let overlapping =
-        vec![started(2_000, 2, "m-2"), ended(2_500, 2, "m-2", TaskEndReason::Stopped)];
+        vec![task_started(2_000, 2, "m-2"), task_ended(2_500, 2, "m-2", TaskEndReason::Stopped)];
     assert_eq!(violated_rules(clean_history_with(overlapping)), ["ran_twice"]);
-    // Also if the first attempt never ends.
+    // The first attempt never ends.
     let overlapping =
-        vec![started(90_000, 2, "m-2"), ended(91_000, 2, "m-2", TaskEndReason::Failed)];
+        vec![task_started(90_000, 2, "m-2"), task_ended(91_000, 2, "m-2", TaskEndReason::Failed)];
     let events = clean_history_until(2_000, overlapping);
     assert!(violated_rules(events).contains(&"ran_twice"));
 }
@@ -152,7 +154,7 @@
 }
 
 #[test]
-fn wrong_place_finds_a_task_on_a_machine_of_another_kind_or_zone() {
+fn wrong_place_finds_a_task_on_an_excluded_spot_machine_or_zone() {
     for violated in [
         JobRequirements { spot: false, ..requirements() },
         JobRequirements { zone: Some("room-b".into()), ..requirements() },
@@ -162,22 +164,22 @@
 }
 
 #[test]
-fn ran_cancelled_finds_a_task_that_runs_on_and_explains_it() {
+fn ran_cancelled_finds_a_task_that_runs_after_the_deadline_and_explains_it() {
     let cancel_ms = Deployment::new(3, 40).cancel_ms;
-    let late = ended(2_001 + cancel_ms, 1, "m-1", TaskEndReason::Stopped);
+    let late = task_ended(2_001 + cancel_ms, 1, "m-1", TaskEndReason::Stopped);
     let events = cancelled_history_with(vec![late]);
     assert_eq!(violated_rules(events.clone()), ["ran_cancelled"]);
     assert_eq!(violated_rules(cancelled_history_with(Vec::new())), ["ran_cancelled"]);
     let restarted = vec![
-        ended(2_500, 1, "m-1", TaskEndReason::Stopped),
-        started(60_000, 2, "m-2"),
-        ended(60_001, 2, "m-2", TaskEndReason::Stopped),
+        task_ended(2_500, 1, "m-1", TaskEndReason::Stopped),
+        task_started(60_000, 2, "m-2"),
+        task_ended(60_001, 2, "m-2", TaskEndReason::Stopped),
     ];
     assert_eq!(violated_rules(cancelled_history_with(restarted)), ["ran_cancelled"]);
-    // The explanation holds the job's events and the renewals of the machine's lease.
+    // The explanation contains the job's events and the renewals of the machine's lease.
     let renewal = EventKind::LeaseRenewed { machine: "m-1".into(), controller: 1, token: 7 };
     let mut events = events;
-    events.push(at(9_000, renewal));
+    events.push(event_at(9_000, renewal));
     events.sort_by_key(|event| event.at_ms);
     let deployment = Deployment::new(3, 40);
     let bounds = RunBounds { deployment: &deployment, faults_end: FAULTS_END, end: END };
@@ -189,11 +191,12 @@
 }
 
 #[test]
-fn forgotten_finds_denials_and_silence_about_an_accepted_job() {
-    let denied = |request, status| clean_history_with(vec![response(5_000, request, status, None)]);
-    assert_eq!(violated_rules(denied(UserRequest::Poll, 404)), ["forgotten"]);
-    assert_eq!(violated_rules(denied(UserRequest::Submit, 422)), ["forgotten"]);
-    assert_eq!(violated_rules(denied(UserRequest::Submit, 503)), Vec::<&str>::new());
+fn forgotten_finds_rejections_and_missing_answers_for_an_accepted_job() {
+    let rejected =
+        |request, status| clean_history_with(vec![response(5_000, request, status, None)]);
+    assert_eq!(violated_rules(rejected(UserRequest::Poll, 404)), ["forgotten"]);
+    assert_eq!(violated_rules(rejected(UserRequest::Submit, 422)), ["forgotten"]);
+    assert_eq!(violated_rules(rejected(UserRequest::Submit, 503)), Vec::<&str>::new());
     let running = |at_ms| {
         let response = response(at_ms, UserRequest::Poll, 200, Some(JobPhase::Running));
         clean_history_until(3_500, vec![response])
@@ -203,9 +206,10 @@
 }
 
 #[test]
-fn invented_finds_an_answer_for_a_job_that_nobody_submitted() {
-    let answered =
-        |status| clean_history_with(vec![at(9, EventKind::UnknownJobQueried { job: 9, status })]);
+fn invented_finds_a_report_of_a_job_that_was_never_submitted() {
+    let answered = |status| {
+        clean_history_with(vec![event_at(9, EventKind::UnknownJobQueried { job: 9, status })])
+    };
     assert_eq!(violated_rules(answered(200)), ["invented"]);
     assert!(violated_rules(answered(404)).is_empty());
 }
@@ -213,7 +217,7 @@
 #[test]
 fn not_done_finds_a_done_job_with_an_uncompleted_task() {
     let failed = vec![
-        ended(3_000, 1, "m-1", TaskEndReason::Failed),
+        task_ended(3_000, 1, "m-1", TaskEndReason::Failed),
         response(25_000, UserRequest::Poll, 200, Some(JobPhase::Done)),
     ];
     assert_eq!(violated_rules(clean_history_until(3_000, failed)), ["not_done"]);
@@ -223,10 +227,10 @@
 
 #[test]
 fn went_back_finds_a_job_that_leaves_its_final_phase() {
-    let back = response(27_000, UserRequest::Poll, 200, Some(JobPhase::Running));
-    assert_eq!(violated_rules(clean_history_with(vec![back])), ["went_back"]);
-    // The answer to a request that was sent before the final phase was reported may be older.
-    let older = at(
+    let regression = response(27_000, UserRequest::Poll, 200, Some(JobPhase::Running));
+    assert_eq!(violated_rules(clean_history_with(vec![regression])), ["went_back"]);
+    // A request that was sent before the final phase was reported may return an older phase.
+    let older = event_at(
         27_000,
         EventKind::ResponseReceived {
             job: JOB,
@@ -239,16 +243,16 @@
         },
     );
     assert_eq!(violated_rules(clean_history_with(vec![older])), Vec::<&str>::new());
-    // Nobody cancelled the job.
+    // The job's user never requested a cancellation.
     let cancelled = response(2_000, UserRequest::Poll, 200, Some(JobPhase::Cancelled));
-    let stopped = ended(2_100, 1, "m-1", TaskEndReason::Stopped);
+    let stopped = task_ended(2_100, 1, "m-1", TaskEndReason::Stopped);
     assert_eq!(violated_rules(clean_history_until(2_000, vec![cancelled, stopped])), ["went_back"]);
 }
 
 #[test]
-fn nothing_ran_and_controller_find_an_idle_run_and_logged_faults() {
+fn nothing_ran_and_controller_find_a_run_without_tasks_and_logged_faults() {
     assert_eq!(violated_rules(Vec::new()), ["nothing_ran"]);
     let line = "event=renewal_violation machine=m-1".to_string();
-    let logged = at(9, EventKind::ControllerFaultLogged { controller: 1, line });
+    let logged = event_at(9, EventKind::ControllerFaultLogged { controller: 1, line });
     assert_eq!(violated_rules(clean_history_with(vec![logged])), ["controller"]);
 }
