--- a/crates/basaltrail-testbed/src/metrics.rs
+++ b/crates/basaltrail-testbed/src/metrics.rs
@@ -1,6 +1,7 @@
-//! Metrics of a load scenario, computed from what users and workers observed.
+//! Metrics of a load scenario, computed from the observations of users and workers.
 //!
-//! Serialised names are those of the scenarios' `--json` output.
+//! The metrics are serialised into the `--json` output of the load commands, so their serialised
+//! names are stable.
 
 use crate::clock::Ms;
 use crate::deployment::{Deployment, Team};
@@ -10,10 +11,10 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Significant decimal digits that histograms keep.
+/// Precision of the histograms, in significant decimal digits.
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// Quantiles of durations, read from an HDR histogram.
+/// Quantiles of durations, computed with an HDR histogram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DurationSummary {
     /// Number of durations.
@@ -29,7 +30,7 @@
 impl DurationSummary {
     /// Summarises durations in milliseconds.
     pub fn of(durations: impl IntoIterator<Item = Ms>) -> Self {
-        // Only the number of digits can be refused, and it is a constant.
+        // Creation fails only for an invalid number of digits, which is a constant here.
         let Ok(mut histogram) = Histogram::<u64>::new(HISTOGRAM_DIGITS) else {
             return DurationSummary::default();
         };
@@ -45,29 +46,29 @@
     }
 }
 
-/// How submissions were answered.
+/// Counts and latencies of the answers to submissions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct SubmissionMetrics {
     /// Jobs that were submitted.
     pub jobs: usize,
     /// Jobs that were accepted.
     pub accepted: usize,
-    /// Accepted jobs a second, from the first submission to the last first acceptance.
+    /// Accepted jobs per second, from the first submission until the last job was accepted.
     pub accepted_per_s: f64,
     /// Latency of all answers.
     pub answers: DurationSummary,
-    /// Latency of the answers that asked to retry later (429 and 503).
+    /// Latency of the answers with status 429 or 503, which ask the user to retry later.
     pub refusals: DurationSummary,
     /// Submissions without an answer.
     pub unanswered: usize,
 }
 
-/// Collects the answers to submissions.
+/// Collected answers to submissions.
 #[derive(Default)]
 struct SubmissionAnswers {
     jobs: usize,
     first_submission: Option<Ms>,
-    /// First acceptance of each job.
+    /// Time at which each job was first reported as accepted.
     accepted: BTreeMap<u64, Ms>,
     latencies: Vec<Ms>,
     refusal_latencies: Vec<Ms>,
@@ -111,8 +112,8 @@
     }
 }
 
-/// How submissions were answered, in a history ordered by time.
-pub fn submissions(events: &[Event]) -> SubmissionMetrics {
+/// Computes the submission metrics of a history, which must be ordered by time.
+pub fn submission_metrics(events: &[Event]) -> SubmissionMetrics {
     let mut answers = SubmissionAnswers::default();
     events.iter().for_each(|event| answers.apply(event));
     let last_acceptance = answers.accepted.values().max().copied().unwrap_or(0);
@@ -128,23 +129,23 @@
     }
 }
 
-/// A team's use of CPUs, compared with its limit.
+/// CPU usage of a team, compared with its limit.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TeamUsage {
     /// Name of the team.
     pub team: String,
-    /// CPUs that the team may use at most.
+    /// Limit of the team, in CPUs.
     pub limit: f64,
-    /// CPUs that the team used at most.
+    /// Peak usage of the team, in CPUs.
     #[serde(rename = "most")]
     pub peak: f64,
-    /// Instants at which the use changed.
+    /// Number of changes of the usage.
     pub instants: usize,
-    /// Those of the instants after which the use was above the limit.
+    /// Number of changes after which the usage was above the limit.
     pub above: usize,
 }
 
-/// The use of each team, measured at every instant at which it changed.
+/// Computes the CPU usage of each team, measured at each of its changes.
 pub fn team_usage(events: &[Event], deployment: &Deployment) -> Vec<TeamUsage> {
     let changes = team_usage::changes_by_team(events);
     let usage = |team: &Team| {
@@ -161,30 +162,30 @@
     deployment.teams.iter().map(usage).collect()
 }
 
-/// Waiting times of jobs within a guarantee, from acceptance until the last task started for the
-/// first time.
+/// Waiting times of jobs within a guarantee, from acceptance until each task has started at least
+/// once.
 ///
-/// A job is within the guarantee if it fits there together with the team's earlier unfinished
-/// jobs.
+/// A job is within the guarantee if its CPUs and those of the team's earlier unfinished jobs
+/// together do not exceed the team's guarantee.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct GuaranteedWaits {
-    /// Jobs within a guarantee.
+    /// Number of jobs within a guarantee.
     pub jobs: usize,
-    /// Those of the jobs with a task that never started.
+    /// Number of these jobs with a task that never started.
     #[serde(rename = "never")]
     pub never_started: usize,
-    /// Waiting times of the others.
+    /// Waiting times of the other jobs within a guarantee.
     pub waits: DurationSummary,
 }
 
-/// The milestones of one job.
+/// Times at which one job and its tasks reached each phase.
 #[derive(Default)]
 struct JobTimeline<'a> {
     requirements: Option<&'a JobRequirements>,
     accepted: Option<Ms>,
-    /// First start of each task.
+    /// Time of the first start of each task.
     started: BTreeMap<u32, Ms>,
-    /// First completion of each task.
+    /// Time of the first completion of each task.
     completed: BTreeMap<u32, Ms>,
     cancelled: Option<Ms>,
 }
@@ -211,29 +212,29 @@
         }
     }
 
-    fn is_of_team(&self, team: &Team) -> bool {
+    fn belongs_to(&self, team: &Team) -> bool {
         self.requirements.is_some_and(|requirements| requirements.team == team.name)
     }
 
-    /// CPUs of all tasks.
-    fn cpus(&self) -> f64 {
+    /// Returns the CPUs of all tasks together.
+    fn total_cpus(&self) -> f64 {
         let cpus = |required: &JobRequirements| required.cpus * f64::from(required.tasks);
         self.requirements.map_or(0.0, cpus)
     }
 
-    /// The latest of the tasks' milestones, if every task has one.
-    fn all_tasks_at(&self, milestones: &BTreeMap<u32, Ms>) -> Option<Ms> {
+    /// Returns the latest of the times if every task has one.
+    fn latest_of_all_tasks(&self, times: &BTreeMap<u32, Ms>) -> Option<Ms> {
         let tasks = self.requirements?.tasks as usize;
-        if milestones.len() < tasks {
+        if times.len() < tasks {
             return None;
         }
-        milestones.values().max().copied()
+        times.values().max().copied()
     }
 
-    fn is_unfinished_at(&self, at: Ms) -> bool {
-        let ended = self.cancelled.or_else(|| self.all_tasks_at(&self.completed));
-        let is_accepted = self.accepted.is_some_and(|accepted| accepted <= at);
-        is_accepted && ended.is_none_or(|end| end > at)
+    fn is_unfinished_at(&self, at_ms: Ms) -> bool {
+        let ended = self.cancelled.or_else(|| self.latest_of_all_tasks(&self.completed));
+        let is_accepted = self.accepted.is_some_and(|accepted| accepted <= at_ms);
+        is_accepted && ended.is_none_or(|end| end > at_ms)
     }
 }
 
@@ -247,26 +248,28 @@
     timelines
 }
 
-/// Waiting times of the jobs within a guarantee.
+/// Computes the waiting times of the jobs within a guarantee.
 ///
-/// Jobs that were cancelled before all of their tasks started, and jobs that were accepted after
-/// `until`, are left out.
+/// Excludes jobs that were cancelled before all of their tasks started, and jobs that were
+/// accepted after `until`.
 pub fn guaranteed_waits(events: &[Event], deployment: &Deployment, until: Ms) -> GuaranteedWaits {
     let timelines = job_timelines(events);
     let mut never_started = 0;
     let mut waits = Vec::new();
     for team in &deployment.teams {
         let mut jobs: Vec<&JobTimeline> =
-            timelines.values().filter(|job| job.is_of_team(team)).collect();
+            timelines.values().filter(|job| job.belongs_to(team)).collect();
         jobs.sort_by_key(|job| job.accepted);
         for (index, job) in jobs.iter().enumerate() {
-            let Some(accepted) = job.accepted.filter(|at| *at <= until) else { continue };
+            let Some(accepted) = job.accepted.filter(|accepted| *accepted <= until) else {
+                continue;
+            };
             let earlier = jobs[..index].iter().filter(|other| other.is_unfinished_at(accepted));
-            let cpus: f64 = earlier.map(|other| other.cpus()).sum::<f64>() + job.cpus();
+            let cpus: f64 = earlier.map(|other| other.total_cpus()).sum::<f64>() + job.total_cpus();
             if cpus > team.cpus + CPU_ROUNDING {
                 continue;
             }
-            match job.all_tasks_at(&job.started) {
+            match job.latest_of_all_tasks(&job.started) {
                 Some(started) => waits.push(started.saturating_sub(accepted)),
                 None if job.cancelled.is_some() => {}
                 None => never_started += 1,
--- a/crates/basaltrail-testbed/src/scenarios/overload.rs
+++ b/crates/basaltrail-testbed/src/scenarios/overload.rs
@@ -1,5 +1,6 @@
-//! The load `overload`: about twice the work that the machines can do, for minutes, one class of
-//! it all at one controller. The work done by each class in each window shows whether one starves.
+//! The load test `overload`: submits about twice as much work as the machines can run, for several
+//! minutes. All jobs of one class are submitted to the same controller. The work that each class
+//! completes in each window shows whether a class starves.
 
 use super::warm_up::warm_up;
 use super::{check_history, ScenarioConfig};
@@ -18,17 +19,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Length of the windows in which the work done is counted, in milliseconds.
+/// Length of the windows in which completed work is counted, in milliseconds.
 pub const WINDOW_MS: Ms = 60_000;
-/// Number of the first job of the first class; the next class starts at twice this, and so on.
+/// Number of the first job of the first class; the n-th class starts at n times this number.
 const FIRST_JOB: u64 = 10_000;
-/// Tasks of a job.
+/// Number of tasks of a job.
 const TASKS: std::ops::RangeInclusive<u32> = 2..=6;
-/// CPUs of a task.
+/// CPUs per task.
 const CPUS: [f64; 2] = [1.0, 2.0];
 /// Run time of a task, in milliseconds.
 const RUN_MS: std::ops::Range<Ms> = 2_000..6_000;
-/// CPU-seconds of a job, on average.
+/// Average work of a job, in CPU-seconds.
 const JOB_CPU_S: f64 = 24.0;
 const BEHAVIOR: UserBehavior =
     UserBehavior { cancel_share: 0.0, repeat_share: 0.02, submit_to: None };
@@ -44,100 +45,106 @@
     name: &'static str,
     team: &'static str,
     priority: &'static str,
-    /// Work that is submitted, as a share of what the machines can do.
+    /// Submitted work, as a fraction of the machines' capacity.
     load: f64,
-    /// Whether all of it is submitted to one controller.
-    one_controller: bool,
+    /// Whether all jobs are submitted to the first controller instead of random ones.
+    uses_one_controller: bool,
 }
 
 const CLASSES: [Class; 4] = [
-    Class { name: "checks", team: "imports", priority: "urgent", load: 0.9, one_controller: true },
+    Class {
+        name: "checks",
+        team: "imports",
+        priority: "urgent",
+        load: 0.9,
+        uses_one_controller: true,
+    },
     Class {
         name: "rescans",
         team: "imports",
         priority: "best_effort",
         load: 0.5,
-        one_controller: false,
+        uses_one_controller: false,
     },
     Class {
         name: "wages",
         team: "reports",
         priority: "standard",
         load: 0.15,
-        one_controller: false,
+        uses_one_controller: false,
     },
     Class {
         name: "boxes",
         team: "archive",
         priority: "best_effort",
         load: 0.45,
-        one_controller: false,
+        uses_one_controller: false,
     },
 ];
 
-/// Configuration of an overload.
+/// Configuration of an overload test.
 #[derive(Clone, Debug)]
 pub struct OverloadConfig {
-    /// What all scenarios are configured with; each seed gets a directory of its own.
+    /// Options common to all scenarios; each seed writes to its own subdirectory.
     pub common: ScenarioConfig,
-    /// How long jobs are submitted, in milliseconds.
+    /// Time during which jobs are submitted, in milliseconds.
     pub duration_ms: Ms,
 }
 
 /// Metrics of one class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassMetrics {
-    /// The class.
+    /// Name of the class.
     pub class: &'static str,
-    /// Jobs that were submitted.
+    /// Number of submitted jobs.
     pub jobs: usize,
-    /// Jobs that were accepted.
+    /// Number of accepted jobs.
     pub accepted: usize,
-    /// Jobs whose user was asked to retry later at least once.
+    /// Number of jobs that were refused with status 503 at least once.
     pub refused: usize,
-    /// Times from the first submission until the first task started.
+    /// Waiting times from the first submission until the first task started.
     pub waits: DurationSummary,
-    /// CPU-seconds of completed tasks in each window.
+    /// Work of the completed tasks in each window, in CPU-seconds.
     #[serde(rename = "done")]
     pub completed_cpu_s: Vec<f64>,
-    /// The smallest share of its team's work that the class got done in a window.
+    /// Minimum over all windows of the class's share of its team's completed work.
     pub least_share: f64,
 }
 
-/// How accurate `Retry-After` was.
+/// Outcomes of retries after a refusal, which show whether `Retry-After` is accurate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RetryMetrics {
-    /// Refusals after which the user retried.
+    /// Number of refused submissions (status 503) that were retried and answered.
     #[serde(rename = "returns")]
     pub retries: usize,
-    /// Those of the retries that were accepted.
+    /// Number of accepted retries.
     pub accepted: usize,
 }
 
-/// Result of an overload. Serialised names are those of `--json`.
+/// Outcome of an overload test. It is serialised as the `--json` output.
 #[derive(Debug, Serialize)]
 pub struct OverloadOutcome {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// How submissions were answered.
+    /// Counts and latencies of the answers to submissions.
     pub submissions: SubmissionMetrics,
-    /// The use of each team.
+    /// CPU usage of each team.
     pub teams: Vec<TeamUsage>,
     /// Metrics of each class.
     pub classes: Vec<ClassMetrics>,
-    /// How accurate `Retry-After` was.
+    /// Outcomes of retries after a refusal.
     #[serde(rename = "returns")]
     pub retries: RetryMetrics,
-    /// Rules that were violated.
+    /// Violations of rules, ordered by time.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
 }
 
-/// Runs one seed.
+/// Runs the scenario with one seed.
 ///
 /// # Errors
 ///
-/// If the testbed cannot be started or a file cannot be written.
+/// Fails if the testbed cannot be started or a file cannot be written.
 pub async fn run(config: &OverloadConfig, seed: u64) -> Result<OverloadOutcome, RunError> {
     let common = &config.common;
     let directory = common.directory.join(format!("overload-{}-{seed}", common.controllers));
@@ -152,7 +159,7 @@
     let events = &checked.events;
     Ok(OverloadOutcome {
         seed,
-        submissions: metrics::submissions(events),
+        submissions: metrics::submission_metrics(events),
         teams: metrics::team_usage(events, &deployment),
         classes: class_metrics(events, start, config.duration_ms),
         retries: retry_metrics(events),
@@ -170,7 +177,7 @@
         })
         .collect();
     for submission in submissions {
-        // A panic here is a fault of the testbed, and shows as missing jobs.
+        // A panic is a fault of the testbed; it shows as missing jobs in the outcome.
         let _ = submission.await;
     }
 }
@@ -184,7 +191,7 @@
 ) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let jobs_per_s = class.load * testbed.deployment.cpus() / JOB_CPU_S;
-    let behavior = UserBehavior { submit_to: class.one_controller.then_some(0), ..BEHAVIOR };
+    let behavior = UserBehavior { submit_to: class.uses_one_controller.then_some(0), ..BEHAVIOR };
     let mut job = first_job;
     while testbed.clock.now() < end {
         let tasks = rng.random_range(TASKS);
@@ -202,7 +209,7 @@
     }
 }
 
-/// What was observed of one job.
+/// The observations of one job.
 struct JobObservation<'a> {
     requirements: &'a JobRequirements,
     submitted_ms: Ms,
@@ -211,22 +218,22 @@
     first_start_ms: Option<Ms>,
 }
 
-/// What was observed of all jobs since the start of the load.
+/// The observations of all jobs since the start of the load.
 struct Observations<'a> {
     start: Ms,
-    windows: usize,
+    window_count: usize,
     jobs: BTreeMap<u64, JobObservation<'a>>,
-    /// Start of each running task attempt.
+    /// Start time of each running task attempt.
     running: HashMap<&'a TaskAttempt, Ms>,
-    /// CPU-seconds of completed tasks, by class and window.
+    /// Work of the completed tasks by class and window, in CPU-seconds.
     completed_cpu_s: HashMap<&'a str, Vec<f64>>,
 }
 
 impl<'a> Observations<'a> {
-    fn collect(events: &'a [Event], start: Ms, windows: usize) -> Self {
+    fn collect(events: &'a [Event], start: Ms, window_count: usize) -> Self {
         let mut observations = Observations {
             start,
-            windows,
+            window_count,
             jobs: BTreeMap::new(),
             running: HashMap::new(),
             completed_cpu_s: HashMap::new(),
@@ -279,7 +286,7 @@
         let windows = self
             .completed_cpu_s
             .entry(&requirements.class)
-            .or_insert_with(|| vec![0.0; self.windows]);
+            .or_insert_with(|| vec![0.0; self.window_count]);
         let window = ((at_ms - self.start) / WINDOW_MS) as usize;
         if let Some(cpu_s) = windows.get_mut(window) {
             *cpu_s += requirements.cpus * (at_ms - started_ms) as f64 / 1000.0;
@@ -288,10 +295,10 @@
 
     fn completed_cpu_s_of(&self, class: &Class) -> Vec<f64> {
         let completed = self.completed_cpu_s.get(class.name).cloned();
-        completed.unwrap_or_else(|| vec![0.0; self.windows])
+        completed.unwrap_or_else(|| vec![0.0; self.window_count])
     }
 
-    /// The smallest share of its team's work that a class got done in a window.
+    /// Returns the minimum over all windows of a class's share of its team's completed work.
     fn least_share(&self, class: &Class) -> f64 {
         let own = self.completed_cpu_s_of(class);
         let team: Vec<Vec<f64>> = CLASSES
@@ -303,7 +310,7 @@
             let team_cpu_s: f64 = team.iter().map(|cpu_s| cpu_s[window]).sum();
             own[window] / team_cpu_s.max(1.0)
         };
-        (0..self.windows).map(share).fold(1.0, f64::min)
+        (0..self.window_count).map(share).fold(1.0, f64::min)
     }
 
     fn metrics_of(&self, class: &Class) -> ClassMetrics {
@@ -323,8 +330,8 @@
 }
 
 fn class_metrics(events: &[Event], start: Ms, duration_ms: Ms) -> Vec<ClassMetrics> {
-    let windows = (duration_ms / WINDOW_MS).max(1) as usize;
-    let observations = Observations::collect(events, start, windows);
+    let window_count = (duration_ms / WINDOW_MS).max(1) as usize;
+    let observations = Observations::collect(events, start, window_count);
     CLASSES.iter().map(|class| observations.metrics_of(class)).collect()
 }
 
--- a/crates/basaltrail-testbed/src/scenarios/racing.rs
+++ b/crates/basaltrail-testbed/src/scenarios/racing.rs
@@ -1,5 +1,6 @@
-//! The load `racing`: a thousand submissions in one instant to all controllers, while one team
-//! stays within its guarantee. The teams' use is measured on the workers' side at every instant.
+//! The load test `racing`: submits a thousand jobs at once to all controllers, while another team
+//! submits jobs within its guarantee. The usage of each team is computed from the workers' events
+//! at each change.
 
 use super::warm_up::warm_up;
 use super::{check_history, ScenarioConfig};
@@ -19,31 +20,32 @@
 
 /// Run time of a task, in milliseconds.
 const RUN_MS: std::ops::Range<Ms> = 500..3_000;
-/// Tasks of a job of the race.
+/// Number of tasks of a racing job.
 const RACE_TASKS: std::ops::RangeInclusive<u32> = 1..=4;
-/// CPUs of a task of the race.
+/// CPUs per task of a racing job.
 const RACE_CPUS: [f64; 3] = [1.0, 2.0, 4.0];
-/// The interval at which the team within its guarantee submits jobs, in milliseconds.
+/// Interval at which the guaranteed team submits jobs, in milliseconds.
 const GUARANTEED_INTERVAL_MS: Ms = 1_500;
-/// Tasks and CPUs of these jobs.
+/// Number of tasks of a job of the guaranteed team.
 const GUARANTEED_TASKS: u32 = 4;
+/// CPUs per task of a job of the guaranteed team.
 const GUARANTEED_CPUS: f64 = 2.0;
-/// How long after the start of the race these jobs are submitted, in milliseconds.
-const GUARANTEED_MS: Ms = 30_000;
-/// How long after its start the race ends at the latest, in milliseconds.
-const RACE_MS: Ms = 240_000;
-/// How often the jobs are looked at.
+/// Time during which the guaranteed team submits jobs, in milliseconds.
+const GUARANTEED_SUBMISSION_MS: Ms = 30_000;
+/// Maximum duration of the race, in milliseconds.
+const RACE_MAX_MS: Ms = 240_000;
+/// Interval of the checks for unfinished jobs.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Number of the first job of the race.
+/// Number of the first racing job.
 const FIRST_RACE_JOB: u64 = 1_000;
-/// Number of the first job within the guarantee.
+/// Number of the first job of the guaranteed team.
 const FIRST_GUARANTEED_JOB: u64 = 100_000;
 const BEHAVIOR: UserBehavior =
     UserBehavior { cancel_share: 0.0, repeat_share: 0.05, submit_to: None };
 
-/// The teams that race.
+/// Number of teams that submit racing jobs: the first ones of [`TEAMS`].
 const RACING_TEAMS: usize = 2;
-/// The team that stays within its guarantee.
+/// Team that submits jobs within its guarantee only.
 const GUARANTEED_TEAM: &str = "reports";
 const TEAMS: [TeamShares; 3] = [
     TeamShares { name: "imports", guaranteed: 0.3, limit: 0.45 },
@@ -54,43 +56,43 @@
 /// Configuration of a race.
 #[derive(Clone, Debug)]
 pub struct RacingConfig {
-    /// What all scenarios are configured with; each seed gets a directory of its own.
+    /// Options common to all scenarios; each seed writes to its own subdirectory.
     pub common: ScenarioConfig,
-    /// Number of submissions in the one instant.
+    /// Number of jobs that are submitted at once.
     pub jobs: u64,
 }
 
-/// Result of a race. Serialised names are those of `--json`.
+/// Outcome of a race. It is serialised as the `--json` output.
 #[derive(Debug, Serialize)]
 pub struct RacingOutcome {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
     /// Number of controllers.
     #[serde(rename = "nodes")]
     pub controllers: usize,
-    /// How submissions were answered.
+    /// Counts and latencies of the answers to submissions.
     pub submissions: SubmissionMetrics,
-    /// The use of each team.
+    /// CPU usage of each team.
     pub teams: Vec<TeamUsage>,
-    /// Waiting times of the jobs within their guarantee.
+    /// Waiting times of the jobs within a guarantee.
     pub guaranteed: GuaranteedWaits,
-    /// Requests to the state service for each accepted job.
+    /// Requests to the state service per accepted job.
     pub requests_per_job: f64,
-    /// Changes at the state service for each accepted job.
+    /// Puts and deletes in the state service per accepted job.
     pub changes_per_job: f64,
     /// Number of finished jobs.
     #[serde(rename = "over")]
     pub finished: usize,
-    /// Rules that were violated.
+    /// Violations of rules, ordered by time.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
 }
 
-/// Runs one seed.
+/// Runs the scenario with one seed.
 ///
 /// # Errors
 ///
-/// If the testbed cannot be started or a file cannot be written.
+/// Fails if the testbed cannot be started or a file cannot be written.
 pub async fn run(config: &RacingConfig, seed: u64) -> Result<RacingOutcome, RunError> {
     let common = &config.common;
     let directory = common.directory.join(format!("racing-{}-{seed}", common.controllers));
@@ -103,15 +105,15 @@
         let request = draw_job(&mut rng);
         testbed.users.submit(FIRST_RACE_JOB + job, &request, BEHAVIOR, rng.random());
     }
-    let guaranteed_end = start + GUARANTEED_MS;
-    tokio::spawn(submit_guaranteed(testbed.users.clone(), guaranteed_end, rng.random()));
-    wait_until_finished(&testbed, guaranteed_end, start + RACE_MS).await;
+    let guaranteed_end = start + GUARANTEED_SUBMISSION_MS;
+    tokio::spawn(submit_guaranteed_jobs(testbed.users.clone(), guaranteed_end, rng.random()));
+    wait_until_finished(&testbed, guaranteed_end, start + RACE_MAX_MS).await;
     let after = testbed.state_service.counters();
     let end = testbed.clock.now();
     testbed.stop().await;
     let checked = check_history(&testbed, &directory, start, end)?;
     let events = &checked.events;
-    let submissions = metrics::submissions(events);
+    let submissions = metrics::submission_metrics(events);
     let per_job = |count: u64| count as f64 / submissions.accepted.max(1) as f64;
     Ok(RacingOutcome {
         seed,
@@ -126,7 +128,7 @@
     })
 }
 
-/// Waits until all jobs are finished, but at least until `earliest` and at most until `latest`.
+/// Waits until all jobs are finished, at least until `earliest` and at most until `latest`.
 async fn wait_until_finished(testbed: &Testbed, earliest: Ms, latest: Ms) {
     while testbed.clock.now() < latest {
         tokio::time::sleep(CHECK_INTERVAL).await;
@@ -144,7 +146,7 @@
     JobRequest { requirements, priority: "standard", run_ms: rng.random_range(RUN_MS) }
 }
 
-async fn submit_guaranteed(users: Arc<Users>, until: Ms, seed: u64) {
+async fn submit_guaranteed_jobs(users: Arc<Users>, until: Ms, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut job = FIRST_GUARANTEED_JOB;
     while users.clock().now() < until && !users.is_stopped() {
--- a/crates/basaltrail-testbed/src/scenarios/soak.rs
+++ b/crates/basaltrail-testbed/src/scenarios/soak.rs
@@ -1,5 +1,5 @@
-//! A soak: controllers of the real program against all stand-ins, with faults at seeded random
-//! instants, and the checker's verdict on what users and workers observed.
+//! The soak test: runs controllers of the real program against all stand-ins, injects faults at
+//! seeded random times, and checks the history of the run.
 
 use super::{check_history, CheckedHistory, ScenarioConfig};
 use crate::checker::{explain, Violation, RECOVERY_MS};
@@ -17,35 +17,37 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// The share of a run in which faults are injected; in the rest all jobs can finish.
-const FAULTS_SHARE: f64 = 0.65;
-/// The time before the first fault, in which machines are rented and jobs submitted.
-const FIRST_FAULT_MS: Ms = 6_000;
-/// How often the progress is shown and the end is looked for.
+/// Fraction of a run during which jobs are submitted and faults are injected. The rest lets all
+/// jobs finish.
+const FAULT_PHASE_SHARE: f64 = 0.65;
+/// Time before the first fault, in which machines are provisioned and the first jobs are submitted,
+/// in milliseconds.
+const FIRST_FAULT_DELAY_MS: Ms = 6_000;
+/// Interval of the progress reports and of the checks for the end of the run.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Faults that were asked for and could not be injected, with the first error of each kind.
+/// Kinds of requested faults that could not be injected, with the first error of each.
 type FailedFaults = BTreeMap<FaultKind, ControllerError>;
 
-/// Configuration of a soak.
+/// Configuration of a soak test.
 #[derive(Clone, Debug)]
 pub struct SoakConfig {
-    /// What all scenarios are configured with; each seed gets a directory of its own.
+    /// Options common to all scenarios; each seed writes to its own subdirectory.
     pub common: ScenarioConfig,
-    /// Kinds of faults that may be injected.
+    /// Kinds of faults to inject.
     pub faults: Vec<FaultKind>,
     /// Duration of a run, in milliseconds.
     pub duration_ms: Ms,
 }
 
-/// Result of a soak.
+/// Outcome of a soak test.
 #[derive(Debug)]
 pub struct SoakOutcome {
-    /// Rules that were violated, ordered by time.
+    /// Violations of rules, ordered by time.
     pub violations: Vec<Violation>,
-    /// The events that explain each violation, one line each.
+    /// For each violation, the events that explain it, one line each.
     pub explanations: Vec<Vec<String>>,
-    /// Kinds of faults that could not be injected here, and why.
+    /// Kinds of faults that could not be injected, with the first error of each.
     pub failed_faults: BTreeMap<FaultKind, ControllerError>,
     /// Number of jobs.
     pub jobs: usize,
@@ -53,19 +55,19 @@
     pub finished: usize,
     /// Number of task starts.
     pub tasks: usize,
-    /// Number of leader terms: the highest fencing token.
+    /// Number of leader terms, which equals the highest fencing token.
     pub leader_terms: u64,
-    /// Number of faults that were injected.
+    /// Number of injected faults.
     pub faults: usize,
-    /// The file of the history (JSON lines).
+    /// Path of the history file (JSON lines).
     pub history: PathBuf,
 }
 
-/// Runs one seed; `progress` is called a few times a second.
+/// Runs the scenario with one seed, and calls `progress` a few times per second.
 ///
 /// # Errors
 ///
-/// If the testbed cannot be started or a file cannot be written.
+/// Fails if the testbed cannot be started or a file cannot be written.
 pub async fn run(
     config: &SoakConfig,
     seed: u64,
@@ -75,26 +77,31 @@
     let directory = common.directory.join(format!("seed-{seed}"));
     let (testbed, mut rng) = common.start_testbed(&common.deployment(), &directory, seed).await?;
     let start = testbed.clock.now();
-    let submissions_end = start + (config.duration_ms as f64 * FAULTS_SHARE) as Ms;
+    let submissions_end = start + (config.duration_ms as f64 * FAULT_PHASE_SHARE) as Ms;
     let end = start + config.duration_ms;
     tokio::spawn(users::submit_jobs(testbed.users.clone(), submissions_end, rng.random()));
     tokio::spawn(users::query_unknown_jobs(testbed.users.clone(), rng.random()));
     let fault_rng = SmallRng::seed_from_u64(rng.random());
-    let faults =
-        start_faults(testbed.clone(), config.faults.clone(), start, submissions_end, fault_rng);
+    let faults = spawn_fault_injection(
+        testbed.clone(),
+        config.faults.clone(),
+        start,
+        submissions_end,
+        fault_rng,
+    );
     while !faults.is_finished() {
         progress(&testbed);
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
     let failed_faults = faults.await.unwrap_or_default();
-    // The effects of the last fault end within this.
-    let longest_ms = testbed.deployment.cancel_ms + testbed.deployment.lease_ms;
-    let faults_end = testbed.clock.now() + longest_ms;
+    // The effects of the last fault end within this time.
+    let max_effect_ms = testbed.deployment.cancel_ms + testbed.deployment.lease_ms;
+    let faults_end = testbed.clock.now() + max_effect_ms;
     wait_for_recovery(&testbed, faults_end, end, &progress).await;
-    finish(&testbed, &directory, faults_end, failed_faults).await
+    stop_and_check(&testbed, &directory, faults_end, failed_faults).await
 }
 
-fn start_faults(
+fn spawn_fault_injection(
     testbed: Arc<Testbed>,
     kinds: Vec<FaultKind>,
     start: Ms,
@@ -102,13 +109,13 @@
     rng: SmallRng,
 ) -> JoinHandle<FailedFaults> {
     tokio::spawn(async move {
-        testbed.clock.sleep_until(start + FIRST_FAULT_MS).await;
+        testbed.clock.sleep_until(start + FIRST_FAULT_DELAY_MS).await;
         inject_faults(testbed, kinds, end, rng).await
     })
 }
 
-/// Waits until every job is finished. At `end` it stops waiting as soon as each job was reported
-/// since the faults, and in any case after PROTOCOL's time for that.
+/// Waits until every accepted job is finished. After `end` it suffices that each of them was
+/// reported since `faults_end`. Stops waiting at the end of PROTOCOL's recovery time in any case.
 async fn wait_for_recovery(
     testbed: &Testbed,
     faults_end: Ms,
@@ -129,7 +136,7 @@
     }
 }
 
-async fn finish(
+async fn stop_and_check(
     testbed: &Testbed,
     directory: &Path,
     faults_end: Ms,
--- a/crates/basaltrail-testbed/src/scenarios/try_out.rs
+++ b/crates/basaltrail-testbed/src/scenarios/try_out.rs
@@ -1,5 +1,5 @@
-//! A deployment to try out: controllers of the real program and every stand-in, without faults,
-//! until it is stopped.
+//! A deployment for manual trials: runs controllers of the real program against all stand-ins,
+//! without faults, until it is stopped.
 
 use super::{ScenarioConfig, START_TIMEOUT_MS};
 use crate::config::TestbedConfig;
@@ -12,14 +12,14 @@
     TeamShares { name: "buyers", guaranteed: 0.25, limit: 0.75 },
 ];
 
-/// Configuration of a deployment to try out.
+/// Configuration of a deployment for manual trials.
 #[derive(Clone, Debug)]
 pub struct TryOutConfig {
-    /// What all scenarios are configured with.
+    /// Options common to all scenarios.
     pub common: ScenarioConfig,
-    /// Port of the first controller; the others get the ports that follow.
+    /// Port of the first controller; the other controllers use the ports that follow.
     pub first_port: u16,
-    /// Seed of the stand-ins.
+    /// Seed of the state service, the cloud and the workers.
     pub seed: u64,
 }
 
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 ///
-/// If it cannot be started, or a controller does not become ready.
+/// Fails if the testbed cannot be started or a controller does not become ready in time.
 pub async fn start(config: &TryOutConfig) -> Result<Arc<Testbed>, RunError> {
     let common = &config.common;
     let deployment = common.deployment().with_teams(&TEAMS);
--- a/crates/basaltrail-testbed/src/scenarios/warm_up.rs
+++ b/crates/basaltrail-testbed/src/scenarios/warm_up.rs
@@ -1,4 +1,5 @@
-//! The start of a load: ready controllers and rented machines.
+//! The first phase of a load test: waits for the controllers and makes them provision
+//! machines.
 
 use super::START_TIMEOUT_MS;
 use crate::clock::Ms;
@@ -10,23 +11,23 @@
 
 /// Number of the first job.
 const FIRST_JOB: u64 = 500;
-/// CPUs of a task.
+/// CPUs per task.
 const TASK_CPUS: f64 = 2.0;
 /// Run time of a task, in milliseconds.
 const RUN_MS: Ms = 3_000;
-/// How long the jobs may take, in milliseconds.
+/// Maximum time to wait for the jobs, in milliseconds.
 const TIMEOUT_MS: Ms = 30_000;
-/// How often the jobs are looked at.
+/// Interval of the checks for unfinished jobs.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const BEHAVIOR: UserBehavior =
     UserBehavior { cancel_share: 0.0, repeat_share: 0.05, submit_to: None };
 
-/// Waits until the controllers are ready and have rented machines. They rent only where there is
-/// work, so each team gets a job that fills its guarantee.
+/// Waits until the controllers are ready, and makes them provision machines. Controllers provision
+/// machines only for pending work, so each team submits a job that fills its guarantee.
 ///
 /// # Errors
 ///
-/// If a controller does not become ready.
+/// Fails if a controller does not become ready in time.
 pub(super) async fn warm_up(testbed: &Testbed) -> Result<(), RunError> {
     testbed.wait_until_ready(START_TIMEOUT_MS).await?;
     for (index, team) in testbed.deployment.teams.iter().enumerate() {
