--- a/crates/basaltrail-testbed/src/commands/load.rs
+++ b/crates/basaltrail-testbed/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! What the commands of the loads share: seeds one after the other, printed or as JSON.
+//! Common parts of the load test commands: running the seeds and printing the outcomes.
 
 use super::{parse_seeds, CommandError, ControllerOptions, STATUS_VIOLATION};
 use basaltrail_testbed::checker::Violation;
@@ -9,29 +9,29 @@
 use std::ops::Range;
 use std::process::ExitCode;
 
-/// Options of a load.
+/// Options of a load test.
 #[derive(Args)]
 pub struct LoadOptions {
-    /// Seeds to play: one number, or FIRST..LAST with LAST left out
+    /// Seeds to run: one number, or a range A..B that excludes B
     #[arg(long, value_name = "A..B", default_value = "1", value_parser = parse_seeds)]
     seeds: Range<u64>,
-    /// One line of JSON for each seed
+    /// Prints the outcome of each seed as one line of JSON
     #[arg(long)]
     json: bool,
     #[command(flatten)]
     pub controllers: ControllerOptions,
 }
 
-/// The outcome of a load for one seed.
+/// The outcome of a load test for one seed.
 pub trait LoadOutcome: Serialize {
-    /// Rules that were violated.
+    /// Returns the violations of rules.
     fn violations(&self) -> &[Violation];
-    /// Prints the outcome for people.
+    /// Prints the outcome as text for an operator.
     fn print(&self);
 }
 
 impl LoadOptions {
-    /// Runs every seed, one after the other.
+    /// Runs all seeds one after the other, and prints their outcomes.
     pub async fn run_seeds<T: LoadOutcome>(
         &self,
         run: impl AsyncFn(u64) -> Result<T, RunError>,
@@ -51,11 +51,11 @@
     }
 }
 
-/// Prints the use of each team, one a line.
-pub fn print_teams(teams: &[TeamUsage]) {
+/// Prints the CPU usage of each team, one line each.
+pub fn print_team_usage(teams: &[TeamUsage]) {
     for team in teams {
         println!(
-            "  team {}: at most {} of {} CPUs, above the limit at {} of {} instants",
+            "  team {}: peak {} of {} CPUs, above the limit after {} of {} changes",
             team.team, team.peak, team.limit, team.above, team.instants
         );
     }
--- a/crates/basaltrail-testbed/src/commands/mod.rs
+++ b/crates/basaltrail-testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the program, and what they share.
+//! The commands of the program, and their common options, limits and errors.
 
 pub mod load;
 pub mod overload;
@@ -18,89 +18,89 @@
 
 /// Exit status: a rule was violated.
 pub const STATUS_VIOLATION: u8 = 1;
-/// Exit status: the command line or the machine does not allow the run.
-pub const STATUS_UNUSABLE: u8 = 2;
-/// Exit status: no rule was violated, but a fault that was asked for could not be injected.
+/// Exit status: the run failed, or the command line or the host does not allow it.
+pub const STATUS_NOT_RUN: u8 = 2;
+/// Exit status: no rule was violated, but a requested fault could not be injected.
 pub const STATUS_FAULT_NOT_INJECTED: u8 = 3;
 
-/// Machines of a run at the most: an operating system has some 28,000 ports for connections to
-/// one address. The sockets of this process set a lower limit, see [`check_sockets`].
+/// Maximum number of machines of a run: an operating system has about 28,000 ephemeral ports for
+/// connections to one address. The limit of open files can allow fewer, see [`check_sockets`].
 pub const MACHINES_MAX: u64 = 20_000;
-/// Controllers of a run at the most.
+/// Maximum number of controllers of a run.
 pub const CONTROLLERS_MAX: u64 = 9;
-/// Minutes that a run may last.
+/// Allowed duration of a run, in minutes.
 const MINUTES: RangeInclusive<f64> = 0.3..=600.0;
 const MS_PER_MINUTE: f64 = 60_000.0;
-/// Sockets of this process for each machine: its worker's, two of its link, and one more while it
-/// changes the controller.
+/// Sockets of this process per machine: one of its worker, two of the worker's link, and a spare
+/// one for a worker that switches to another controller.
 const SOCKETS_PER_MACHINE: u64 = 4;
-/// Sockets of this process for users, links and controllers.
+/// Sockets of this process for users, other links and controllers.
 const OTHER_SOCKETS: u64 = 2_000;
-/// Violations that are printed; all of them are in the outcome.
+/// Maximum number of printed violations; the outcome contains all of them.
 const PRINTED_VIOLATIONS: usize = 8;
 
-/// Why a command cannot be carried out; printed as one line.
+/// An error that prevents a command from running; it is printed as one line.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The controllers' program is not named, and this program's directory is unknown.
-    #[error("no program for controllers; name one with --controller")]
+    /// No path of the controllers' program is given, and the directory of this program is unknown.
+    #[error("cannot locate the controllers' program; specify its path with --controller")]
     NoProgram,
     /// The controllers' program does not exist.
-    #[error("{}: not there; build basaltrail first", .0.display())]
+    #[error("{}: no such file; build basaltrail first", .0.display())]
     ProgramMissing(PathBuf),
     /// The limit of open files cannot be read.
-    #[error("limit of open files: {0}")]
+    #[error("cannot read the limit of open files: {0}")]
     SocketLimit(nix::errno::Errno),
-    /// The process may not open enough sockets.
-    #[error("{machines} machines take {needed} sockets, {allowed} are allowed")]
+    /// The limit of open files is too low for the sockets of the machines.
+    #[error("{machines} machines need {needed} sockets, but the limit of open files is {allowed}")]
     TooFewSockets {
-        /// Machines of all runs at once.
+        /// Number of machines of all parallel runs.
         machines: u64,
-        /// Sockets that they take.
+        /// Number of sockets that the machines need.
         needed: u64,
-        /// Sockets that this process may open.
+        /// Limit of open files of this process.
         allowed: u64,
     },
     /// The directory for the files of a run cannot be created.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot create {}: {source}", path.display())]
     Directory {
-        /// The directory.
+        /// Path of the directory.
         path: PathBuf,
-        /// Why.
+        /// Reason that it cannot be created.
         source: std::io::Error,
     },
-    /// The run cannot be made.
+    /// The run failed.
     #[error(transparent)]
     Run(#[from] RunError),
-    /// The outcome cannot be written as JSON.
-    #[error("outcome: {0}")]
+    /// The outcome cannot be serialised as JSON.
+    #[error("cannot serialise the outcome: {0}")]
     Json(#[from] serde_json::Error),
     /// The asynchronous runtime or a signal handler cannot be set up.
-    #[error("runtime: {0}")]
+    #[error("cannot set up the runtime: {0}")]
     Runtime(std::io::Error),
 }
 
-/// Why a value of an option is refused.
+/// An error that makes the value of an option invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidValue {
     /// A seed is not a number.
-    #[error("{0:?} is no seed")]
+    #[error("{0:?} is not a valid seed")]
     Seed(String),
     /// A range of seeds is empty.
-    #[error("no seed lies in it")]
-    NoSeeds,
+    #[error("the range of seeds is empty")]
+    EmptySeedRange,
     /// The minutes are not a number.
-    #[error("it is no number")]
+    #[error("not a number")]
     NotANumber,
     /// The minutes are out of range.
-    #[error("from {} to {} minutes", MINUTES.start(), MINUTES.end())]
+    #[error("must be from {} to {} minutes", MINUTES.start(), MINUTES.end())]
     Minutes,
 }
 
-/// Options about the controllers.
+/// Options of the controllers.
 #[derive(Args)]
 pub struct ControllerOptions {
-    /// Controllers
+    /// Number of controllers
     #[arg(
         long = "nodes",
         value_name = "NODES",
@@ -108,18 +108,18 @@
         value_parser = clap::value_parser!(u64).range(1..=CONTROLLERS_MAX)
     )]
     pub count: u64,
-    /// The controllers' program; the one beside this program if it is not named
+    /// Path of the controllers' program; `basaltrail` in the directory of this program by default
     #[arg(long)]
     pub controller: Option<PathBuf>,
-    /// The controllers' policy file
+    /// Policy file of the controllers
     #[arg(long)]
     pub policy: Option<PathBuf>,
 }
 
 impl ControllerOptions {
-    /// The configuration of a scenario. Checks that the program exists, that the sockets for the
-    /// machines of all parallel runs are allowed, and creates the directory.
-    pub fn scenario(
+    /// Returns the common options of a scenario. Checks that the program exists and that the limit
+    /// of open files suffices for the machines of all parallel runs, and creates the directory.
+    pub fn scenario_config(
         &self,
         machines: u64,
         parallel_runs: u64,
@@ -138,11 +138,12 @@
         })
     }
 
-    /// The named program, or the one beside this program.
+    /// Returns the path of the controllers' program: the given one, or the one in the directory of
+    /// this program.
     fn program(&self) -> Result<PathBuf, CommandError> {
         let program = match &self.controller {
             Some(program) => program.clone(),
-            None => program_beside_this().ok_or(CommandError::NoProgram)?,
+            None => default_program().ok_or(CommandError::NoProgram)?,
         };
         match program.is_file() {
             true => Ok(program),
@@ -151,12 +152,12 @@
     }
 }
 
-fn program_beside_this() -> Option<PathBuf> {
+fn default_program() -> Option<PathBuf> {
     let this_program = std::env::current_exe().ok()?;
     Some(this_program.parent()?.join("basaltrail"))
 }
 
-/// Whether this process may open the sockets for the machines of all parallel runs.
+/// Checks that the limit of open files suffices for the machines of all parallel runs.
 fn check_sockets(machines: u64) -> Result<(), CommandError> {
     let limits = getrlimit(Resource::RLIMIT_NOFILE);
     let (allowed, _) = limits.map_err(CommandError::SocketLimit)?;
@@ -167,7 +168,7 @@
     }
 }
 
-/// Parses `A..B` without B, or one number.
+/// Parses a range of seeds `A..B`, which excludes B, or a single seed.
 pub fn parse_seeds(text: &str) -> Result<Range<u64>, InvalidValue> {
     let seed = |text: &str| text.parse::<u64>().map_err(|_| InvalidValue::Seed(text.into()));
     let (first, end) = match text.split_once("..") {
@@ -176,7 +177,7 @@
     };
     match first < end {
         true => Ok(first..end),
-        false => Err(InvalidValue::NoSeeds),
+        false => Err(InvalidValue::EmptySeedRange),
     }
 }
 
@@ -190,19 +191,19 @@
 }
 
 /// Converts minutes to milliseconds.
-pub fn milliseconds(minutes: f64) -> u64 {
+pub fn minutes_to_ms(minutes: f64) -> u64 {
     (minutes * MS_PER_MINUTE) as u64
 }
 
-/// Prints the first violations, one a line.
+/// Prints the first violations, one line each.
 pub fn print_violations(violations: &[Violation]) {
     for violation in violations.iter().take(PRINTED_VIOLATIONS) {
         println!("  {violation}");
     }
 }
 
-/// Prints why a command cannot be carried out as one line, and gives its exit status.
-pub fn fail(error: &CommandError) -> ExitCode {
+/// Prints the error of a command as one line and returns the exit status.
+pub fn report_error(error: &CommandError) -> ExitCode {
     eprintln!("error: {error}");
-    ExitCode::from(STATUS_UNUSABLE)
+    ExitCode::from(STATUS_NOT_RUN)
 }
--- a/crates/basaltrail-testbed/src/commands/overload.rs
+++ b/crates/basaltrail-testbed/src/commands/overload.rs
@@ -1,7 +1,7 @@
-//! `overload`: more work than the machines can do.
+//! The command `overload`: submits more work than the machines can run.
 
-use super::load::{print_teams, LoadOptions, LoadOutcome};
-use super::{milliseconds, parse_minutes, print_violations, CommandError, MACHINES_MAX};
+use super::load::{print_team_usage, LoadOptions, LoadOutcome};
+use super::{minutes_to_ms, parse_minutes, print_violations, CommandError, MACHINES_MAX};
 use basaltrail_testbed::checker::Violation;
 use basaltrail_testbed::scenarios::overload::{self, OverloadConfig, OverloadOutcome};
 use clap::Args;
@@ -11,23 +11,24 @@
 /// Options of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// Minutes that jobs are submitted
+    /// Minutes during which jobs are submitted
     #[arg(long, value_name = "M", default_value = "20", value_parser = parse_minutes)]
     minutes: f64,
-    /// Machines that the cloud can rent
+    /// Number of machines that the cloud can provision
     #[arg(long, default_value_t = 24, value_parser = clap::value_parser!(u64).range(4..=MACHINES_MAX))]
     machines: u64,
-    /// Where histories, settings and logs go
+    /// Directory for histories, settings and logs
     #[arg(long, default_value = "target/overload")]
     dir: PathBuf,
     #[command(flatten)]
     load: LoadOptions,
 }
 
-/// Runs every seed, one after the other.
+/// Runs all seeds, one after the other.
 pub async fn run(arguments: &Arguments) -> Result<ExitCode, CommandError> {
-    let common = arguments.load.controllers.scenario(arguments.machines, 1, &arguments.dir)?;
-    let config = OverloadConfig { common, duration_ms: milliseconds(arguments.minutes) };
+    let common =
+        arguments.load.controllers.scenario_config(arguments.machines, 1, &arguments.dir)?;
+    let config = OverloadConfig { common, duration_ms: minutes_to_ms(arguments.minutes) };
     arguments.load.run_seeds(async |seed| overload::run(&config, seed).await).await
 }
 
@@ -39,7 +40,7 @@
     fn print(&self) {
         let submissions = &self.submissions;
         println!(
-            "seed {}: {} of {} jobs accepted, answers p50 {} ms, p99 {} ms, longest {} ms",
+            "seed {}: {} of {} jobs accepted, answers p50 {} ms, p99 {} ms, max {} ms",
             self.seed,
             submissions.accepted,
             submissions.jobs,
@@ -48,10 +49,10 @@
             submissions.answers.max_ms
         );
         let retries = &self.retries;
-        println!("  came back as told: {}, accepted then: {}", retries.retries, retries.accepted);
+        println!("  retries after a refusal: {}, accepted: {}", retries.retries, retries.accepted);
         for class in &self.classes {
             println!(
-                "  class {}: {} jobs, {} accepted, {} refused at first; wait p50 {} s, p99 {} s; least part of its team's work in a window {:.3}",
+                "  class {}: {} jobs, {} accepted, {} refused at least once; wait p50 {} s, p99 {} s; least share of its team's work in a window {:.3}",
                 class.class,
                 class.jobs,
                 class.accepted,
@@ -61,7 +62,7 @@
                 class.least_share
             );
         }
-        print_teams(&self.teams);
+        print_team_usage(&self.teams);
         print_violations(&self.violations);
     }
 }
--- a/crates/basaltrail-testbed/src/commands/racing.rs
+++ b/crates/basaltrail-testbed/src/commands/racing.rs
@@ -1,6 +1,6 @@
-//! `racing`: a thousand submissions in one instant.
+//! The command `racing`: submits a thousand jobs at once.
 
-use super::load::{print_teams, LoadOptions, LoadOutcome};
+use super::load::{print_team_usage, LoadOptions, LoadOutcome};
 use super::{print_violations, CommandError, MACHINES_MAX};
 use basaltrail_testbed::checker::Violation;
 use basaltrail_testbed::scenarios::racing::{self, RacingConfig, RacingOutcome};
@@ -11,22 +11,23 @@
 /// Options of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// Submissions in the one instant
+    /// Number of jobs to submit at once
     #[arg(long, default_value_t = 1_000, value_parser = clap::value_parser!(u64).range(1..=50_000))]
     jobs: u64,
-    /// Machines that the cloud can rent
+    /// Number of machines that the cloud can provision
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(4..=MACHINES_MAX))]
     machines: u64,
-    /// Where histories, settings and logs go
+    /// Directory for histories, settings and logs
     #[arg(long, default_value = "target/racing")]
     dir: PathBuf,
     #[command(flatten)]
     load: LoadOptions,
 }
 
-/// Runs every seed, one after the other.
+/// Runs all seeds, one after the other.
 pub async fn run(arguments: &Arguments) -> Result<ExitCode, CommandError> {
-    let common = arguments.load.controllers.scenario(arguments.machines, 1, &arguments.dir)?;
+    let common =
+        arguments.load.controllers.scenario_config(arguments.machines, 1, &arguments.dir)?;
     let config = RacingConfig { common, jobs: arguments.jobs };
     arguments.load.run_seeds(async |seed| racing::run(&config, seed).await).await
 }
@@ -39,7 +40,7 @@
     fn print(&self) {
         let submissions = &self.submissions;
         println!(
-            "seed {}, {} controllers: {} of {} jobs accepted, {:.1} a second, {} over",
+            "seed {}, {} controllers: {} of {} jobs accepted, {:.1} per second, {} finished",
             self.seed,
             self.controllers,
             submissions.accepted,
@@ -49,7 +50,7 @@
         );
         let (answers, refusals) = (&submissions.answers, &submissions.refusals);
         println!(
-            "  answers to submissions: {} (p50 {} ms, p99 {} ms, longest {} ms), {} told to come back, {} without",
+            "  answers to submissions: {} (p50 {} ms, p99 {} ms, max {} ms), {} refused, {} unanswered",
             answers.count,
             answers.p50_ms,
             answers.p99_ms,
@@ -58,13 +59,13 @@
             submissions.unanswered
         );
         println!(
-            "  state service, for each accepted job: {:.2} requests, {:.2} changes",
+            "  state service, per accepted job: {:.2} requests, {:.2} changes",
             self.requests_per_job, self.changes_per_job
         );
-        print_teams(&self.teams);
+        print_team_usage(&self.teams);
         let guaranteed = &self.guaranteed;
         println!(
-            "  within a guarantee: {} jobs, {} never begun, wait until the last task p50 {} ms, longest {} ms",
+            "  within a guarantee: {} jobs, {} never started; wait until the last task started p50 {} ms, max {} ms",
             guaranteed.jobs,
             guaranteed.never_started,
             guaranteed.waits.p50_ms,
--- a/crates/basaltrail-testbed/src/commands/serve.rs
+++ b/crates/basaltrail-testbed/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: a deployment to try out.
+//! The command `serve`: runs a deployment for manual trials.
 
 use super::{parse_minutes, CommandError, ControllerOptions, MACHINES_MAX};
 use basaltrail_testbed::config::PolicySource;
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Policy of the try-out, unless a policy file is named: the backlog is short, so that a rejected
-/// submission is soon seen.
+/// Policy entries that apply unless a policy file is given. The backlog limit is low, so that a
+/// few jobs suffice to see a rejected submission.
 const DEFAULT_POLICY: &str = "(admission (backlog-s 120)) (guarantee-leases 2)";
 /// Seed of the stand-ins.
 const SEED: u64 = 1;
@@ -20,16 +20,16 @@
 /// Options of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// Minutes until it ends by itself
+    /// Minutes after which the deployment stops; it runs until Ctrl-C by default
     #[arg(long, value_name = "M", value_parser = parse_minutes)]
     minutes: Option<f64>,
-    /// Machines that the cloud can rent
+    /// Number of machines that the cloud can provision
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(4..=MACHINES_MAX))]
     machines: u64,
-    /// Port of the first controller; the others follow it
+    /// Port of the first controller; the other controllers use the ports that follow
     #[arg(long, default_value_t = 7100, value_parser = clap::value_parser!(u16).range(1..))]
     port: u16,
-    /// Where settings and logs go
+    /// Directory for settings and logs
     #[arg(long, default_value = "target/serve")]
     dir: PathBuf,
     #[command(flatten)]
@@ -37,27 +37,28 @@
 }
 
 fn config(arguments: &Arguments) -> Result<TryOutConfig, CommandError> {
-    let mut common = arguments.controllers.scenario(arguments.machines, 1, &arguments.dir)?;
+    let mut common =
+        arguments.controllers.scenario_config(arguments.machines, 1, &arguments.dir)?;
     if arguments.controllers.policy.is_none() {
         common.policy = PolicySource::Entries(DEFAULT_POLICY.into());
     }
     Ok(TryOutConfig { common, first_port: arguments.port, seed: SEED })
 }
 
-/// Serves until the time is over or the process is told to terminate.
+/// Runs the deployment until the time limit, Ctrl-C or SIGTERM.
 pub async fn run(arguments: &Arguments) -> Result<ExitCode, CommandError> {
     let config = config(arguments)?;
     let mut termination = signal(SignalKind::terminate()).map_err(CommandError::Runtime)?;
     let testbed = tokio::select! {
         testbed = start(&config) => testbed?,
-        // The controllers are killed when the testbed is dropped.
-        () = stop_requested(&mut termination) => return Ok(ExitCode::SUCCESS),
+        // Dropping the testbed kills the controllers.
+        () = wait_for_stop_signal(&mut termination) => return Ok(ExitCode::SUCCESS),
     };
     let has_administration = matches!(config.common.policy, PolicySource::Entries(_));
     print_addresses(&testbed, has_administration, &arguments.dir);
     tokio::select! {
-        () = stop_requested(&mut termination) => {}
-        () = time_is_over(arguments.minutes) => {}
+        () = wait_for_stop_signal(&mut termination) => {}
+        () = wait_for_time_limit(arguments.minutes) => {}
     }
     testbed.stop().await;
     println!("ended");
@@ -65,14 +66,14 @@
 }
 
 /// Waits for Ctrl-C or SIGTERM.
-async fn stop_requested(termination: &mut Signal) {
+async fn wait_for_stop_signal(termination: &mut Signal) {
     tokio::select! {
         _ = tokio::signal::ctrl_c() => {}
         _ = termination.recv() => {}
     }
 }
 
-async fn time_is_over(minutes: Option<f64>) {
+async fn wait_for_time_limit(minutes: Option<f64>) {
     match minutes {
         Some(minutes) => tokio::time::sleep(Duration::from_secs_f64(minutes * 60.0)).await,
         None => std::future::pending().await,
--- a/crates/basaltrail-testbed/src/commands/soak.rs
+++ b/crates/basaltrail-testbed/src/commands/soak.rs
@@ -1,8 +1,8 @@
-//! `soak`: runs with faults.
+//! The command `soak`: runs jobs under injected faults.
 
 use super::{
-    milliseconds, parse_minutes, parse_seeds, CommandError, ControllerOptions, MACHINES_MAX,
-    PRINTED_VIOLATIONS, STATUS_FAULT_NOT_INJECTED, STATUS_UNUSABLE, STATUS_VIOLATION,
+    minutes_to_ms, parse_minutes, parse_seeds, CommandError, ControllerOptions, MACHINES_MAX,
+    PRINTED_VIOLATIONS, STATUS_FAULT_NOT_INJECTED, STATUS_NOT_RUN, STATUS_VIOLATION,
 };
 use basaltrail_testbed::checker::Violation;
 use basaltrail_testbed::faults::FaultKind;
@@ -15,28 +15,28 @@
 use std::process::ExitCode;
 use tokio::task::JoinHandle;
 
-/// Lines of an explanation that are printed; all of its events are in the history.
+/// Maximum number of printed lines of an explanation; the history contains all events.
 const EXPLANATION_LINES: usize = 60;
 
 /// Options of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// Seeds to play: one number, or FIRST..LAST with LAST left out
+    /// Seeds to run: one number, or a range A..B that excludes B
     #[arg(long, value_name = "A..B", value_parser = parse_seeds)]
     seeds: Range<u64>,
-    /// Minutes that each seed lasts
+    /// Duration of each seed's run, in minutes
     #[arg(long, value_name = "M", value_parser = parse_minutes)]
     minutes: f64,
-    /// Kinds of faults, all of them if none is named
+    /// Kinds of faults to inject; all kinds by default
     #[arg(long, value_name = "KIND", value_enum, num_args = 1.., value_delimiter = ',')]
     fault: Vec<FaultKind>,
-    /// Machines that the cloud can rent
+    /// Number of machines that the cloud can provision
     #[arg(long, default_value_t = 40, value_parser = clap::value_parser!(u64).range(4..=MACHINES_MAX))]
     machines: u64,
-    /// Seeds played at once
+    /// Number of seeds to run in parallel
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=8))]
     parallel: u64,
-    /// Where histories, settings and logs go
+    /// Directory for histories, settings and logs
     #[arg(long, default_value = "target/soak")]
     dir: PathBuf,
     #[command(flatten)]
@@ -45,15 +45,15 @@
 
 fn config(arguments: &Arguments) -> Result<SoakConfig, CommandError> {
     let Arguments { machines, parallel, dir, .. } = arguments;
-    let common = arguments.controllers.scenario(*machines, *parallel, dir)?;
+    let common = arguments.controllers.scenario_config(*machines, *parallel, dir)?;
     let faults = match arguments.fault.is_empty() {
         true => FaultKind::all(),
         false => arguments.fault.clone(),
     };
-    Ok(SoakConfig { common, faults, duration_ms: milliseconds(arguments.minutes) })
+    Ok(SoakConfig { common, faults, duration_ms: minutes_to_ms(arguments.minutes) })
 }
 
-/// Runs every seed, some of them in parallel.
+/// Runs all seeds, in groups of parallel runs.
 pub async fn run(arguments: &Arguments) -> Result<ExitCode, CommandError> {
     let config = config(arguments)?;
     let mut worst_status = 0;
@@ -67,8 +67,8 @@
         for (seed, run) in runs {
             let status = match run.await {
                 Ok(Ok(outcome)) => print_outcome(seed, &outcome),
-                Ok(Err(error)) => print_not_run(seed, &error),
-                Err(error) => print_not_run(seed, &error),
+                Ok(Err(error)) => print_run_error(seed, &error),
+                Err(error) => print_run_error(seed, &error),
             };
             worst_status = worse_status(worst_status, status);
         }
@@ -87,11 +87,11 @@
     tokio::spawn(async move { soak::run(&config, seed, show_progress).await })
 }
 
-/// The status that decides: a violation counts for more than a run that could not be made.
-fn worse_status(one: u8, other: u8) -> u8 {
-    match (one, other) {
+/// Returns the more severe of two statuses: a violation, then the higher number.
+fn worse_status(first: u8, second: u8) -> u8 {
+    match (first, second) {
         (STATUS_VIOLATION, _) | (_, STATUS_VIOLATION) => STATUS_VIOLATION,
-        (one, other) => one.max(other),
+        (first, second) => first.max(second),
     }
 }
 
@@ -103,12 +103,12 @@
     format!("seed {seed}: {seconds} s, {machines} machines, {jobs} jobs, token {token}")
 }
 
-fn print_not_run(seed: u64, error: &dyn std::error::Error) -> u8 {
+fn print_run_error(seed: u64, error: &dyn std::error::Error) -> u8 {
     eprintln!("seed {seed}: not run: {error}");
-    STATUS_UNUSABLE
+    STATUS_NOT_RUN
 }
 
-/// Prints the outcome of a seed, and gives the exit status for it.
+/// Prints the outcome of a seed and returns its exit status.
 fn print_outcome(seed: u64, outcome: &SoakOutcome) -> u8 {
     println!(
         "seed {seed}: {} jobs, {} over, {} tasks, {} leaderships, {} faults, {} rules broken ({})",
@@ -121,7 +121,7 @@
         outcome.history.display()
     );
     for (kind, error) in &outcome.failed_faults {
-        println!("  not run here: {} ({error})", kind.name());
+        println!("  fault not injected: {} ({error})", kind.name());
     }
     outcome.violations.iter().take(PRINTED_VIOLATIONS).for_each(print_violation);
     if let Some(explanation) = outcome.explanations.first() {
@@ -143,7 +143,7 @@
 }
 
 fn print_explanation(explanation: &[String]) {
-    println!("  the first of them, event by event:");
+    println!("  events of the first violation:");
     let skipped = explanation.len().saturating_sub(EXPLANATION_LINES);
     if skipped > 0 {
         println!("  ({skipped} earlier events are in the history)");
--- a/crates/basaltrail-testbed/src/main.rs
+++ b/crates/basaltrail-testbed/src/main.rs
@@ -1,5 +1,5 @@
-//! basaltrail-testbed: runs the real program over loopback, to try it out, to soak it or to put
-//! it under load.
+//! basaltrail-testbed: runs basaltrail controllers on loopback for trials, soak tests and load
+//! tests.
 #![warn(missing_docs)]
 
 mod commands;
@@ -8,7 +8,7 @@
 use commands::CommandError;
 use std::process::ExitCode;
 
-/// Plays basaltrail's controllers against stand-ins on loopback.
+/// Runs basaltrail controllers against simulated services on loopback.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -18,13 +18,13 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs with faults at seeded random moments; status 1 if a rule is broken
+    /// Runs jobs under randomly injected faults; exits with status 1 if a rule is violated
     Soak(commands::soak::Arguments),
-    /// A deployment to try out, until Ctrl-C
+    /// Runs a deployment without faults until Ctrl-C
     Serve(commands::serve::Arguments),
-    /// A thousand submissions in one instant; status 1 if a rule is broken
+    /// Submits a thousand jobs at once; exits with status 1 if a rule is violated
     Racing(commands::racing::Arguments),
-    /// More work than the machines can do, for minutes; status 1 if a rule is broken
+    /// Submits more work than the machines can run; exits with status 1 if a rule is violated
     Overload(commands::overload::Arguments),
 }
 
@@ -33,15 +33,15 @@
         Ok(arguments) => arguments,
         Err(error) if error.use_stderr() => {
             let text = error.to_string();
-            eprintln!("{}", text.lines().next().unwrap_or("error: the command line"));
-            return ExitCode::from(commands::STATUS_UNUSABLE);
+            eprintln!("{}", text.lines().next().unwrap_or("error: invalid command line"));
+            return ExitCode::from(commands::STATUS_NOT_RUN);
         }
         Err(help) => {
             print!("{help}");
             return ExitCode::SUCCESS;
         }
     };
-    run(&arguments.command).unwrap_or_else(|error| commands::fail(&error))
+    run(&arguments.command).unwrap_or_else(|error| commands::report_error(&error))
 }
 
 fn run(command: &Command) -> Result<ExitCode, CommandError> {
--- a/crates/basaltrail-testbed/tests/command_line.rs
+++ b/crates/basaltrail-testbed/tests/command_line.rs
@@ -1,11 +1,11 @@
-//! What is wrong on the command line gives one line and exit status 2.
+//! Invalid command lines print one error line and exit with status 2.
 
 use std::process::Command;
 
 #[test]
-fn bad_arguments_give_one_line_and_status_2() {
-    let here = std::env::temp_dir();
-    let none = here.join("no-controller-here");
+fn invalid_arguments_print_one_line_and_exit_with_status_2() {
+    let directory = std::env::temp_dir();
+    let missing_program = directory.join("no-controller-here");
     for arguments in [
         vec!["soak"],
         vec!["soak", "--seeds", "a..3", "--minutes", "1"],
@@ -15,14 +15,23 @@
         vec!["soak", "--seeds", "1", "--minutes", "1", "--fault", "earthquake"],
         vec!["soak", "--seeds", "1", "--minutes", "1", "--machines", "100000"],
         vec!["soak", "--seeds", "1", "--minutes", "1", "--nodes", "0"],
-        vec!["soak", "--seeds", "1", "--minutes", "1", "--controller", none.to_str().unwrap()],
+        vec![
+            "soak",
+            "--seeds",
+            "1",
+            "--minutes",
+            "1",
+            "--controller",
+            missing_program.to_str().unwrap(),
+        ],
         vec!["sock"],
     ] {
         let program = env!("CARGO_BIN_EXE_basaltrail-testbed");
-        let answer = Command::new(program).args(&arguments).current_dir(&here).output().unwrap();
-        let told = String::from_utf8(answer.stderr).unwrap();
-        assert_eq!(answer.status.code(), Some(2), "{arguments:?}: {told}");
-        assert_eq!(told.lines().count(), 1, "{arguments:?}: {told}");
+        let output =
+            Command::new(program).args(&arguments).current_dir(&directory).output().unwrap();
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {stderr}");
+        assert_eq!(stderr.lines().count(), 1, "{arguments:?}: {stderr}");
     }
     let help = Command::new(env!("CARGO_BIN_EXE_basaltrail-testbed"))
         .args(["soak", "--help"])
