--- a/crates/basaltrail-testbed/src/metrics.rs
+++ b/crates/basaltrail-testbed/src/metrics.rs
@@ -261,9 +261,7 @@
             timelines.values().filter(|job| job.belongs_to(team)).collect();
         jobs.sort_by_key(|job| job.accepted);
         for (index, job) in jobs.iter().enumerate() {
-            let Some(accepted) = job.accepted.filter(|accepted| *accepted <= until) else {
-                continue;
-            };
+            let Some(accepted) = job.accepted.filter(|at| *at <= until) else { continue };
             let earlier = jobs[..index].iter().filter(|other| other.is_unfinished_at(accepted));
             let cpus: f64 = earlier.map(|other| other.total_cpus()).sum::<f64>() + job.total_cpus();
             if cpus > team.cpus + CPU_ROUNDING {
