--- a/crates/basaltrail-testbed/src/commands/load.rs
+++ b/crates/basaltrail-testbed/src/commands/load.rs
@@ -55,7 +55,7 @@
 pub fn print_team_usage(teams: &[TeamUsage]) {
     for team in teams {
         println!(
-            "  team {}: peak {} of {} CPUs, above the limit after {} of {} changes",
+            "  team {}: at most {} of {} CPUs, above the limit at {} of {} instants",
             team.team, team.peak, team.limit, team.above, team.instants
         );
     }
--- a/crates/basaltrail-testbed/src/commands/overload.rs
+++ b/crates/basaltrail-testbed/src/commands/overload.rs
@@ -40,7 +40,7 @@
     fn print(&self) {
         let submissions = &self.submissions;
         println!(
-            "seed {}: {} of {} jobs accepted, answers p50 {} ms, p99 {} ms, max {} ms",
+            "seed {}: {} of {} jobs accepted, answers p50 {} ms, p99 {} ms, longest {} ms",
             self.seed,
             submissions.accepted,
             submissions.jobs,
@@ -49,10 +49,10 @@
             submissions.answers.max_ms
         );
         let retries = &self.retries;
-        println!("  retries after a refusal: {}, accepted: {}", retries.retries, retries.accepted);
+        println!("  came back as told: {}, accepted then: {}", retries.retries, retries.accepted);
         for class in &self.classes {
             println!(
-                "  class {}: {} jobs, {} accepted, {} refused at least once; wait p50 {} s, p99 {} s; least share of its team's work in a window {:.3}",
+                "  class {}: {} jobs, {} accepted, {} refused at first; wait p50 {} s, p99 {} s; least part of its team's work in a window {:.3}",
                 class.class,
                 class.jobs,
                 class.accepted,
--- a/crates/basaltrail-testbed/src/commands/racing.rs
+++ b/crates/basaltrail-testbed/src/commands/racing.rs
@@ -40,7 +40,7 @@
     fn print(&self) {
         let submissions = &self.submissions;
         println!(
-            "seed {}, {} controllers: {} of {} jobs accepted, {:.1} per second, {} finished",
+            "seed {}, {} controllers: {} of {} jobs accepted, {:.1} a second, {} over",
             self.seed,
             self.controllers,
             submissions.accepted,
@@ -50,7 +50,7 @@
         );
         let (answers, refusals) = (&submissions.answers, &submissions.refusals);
         println!(
-            "  answers to submissions: {} (p50 {} ms, p99 {} ms, max {} ms), {} refused, {} unanswered",
+            "  answers to submissions: {} (p50 {} ms, p99 {} ms, longest {} ms), {} told to come back, {} without",
             answers.count,
             answers.p50_ms,
             answers.p99_ms,
@@ -59,13 +59,13 @@
             submissions.unanswered
         );
         println!(
-            "  state service, per accepted job: {:.2} requests, {:.2} changes",
+            "  state service, for each accepted job: {:.2} requests, {:.2} changes",
             self.requests_per_job, self.changes_per_job
         );
         print_team_usage(&self.teams);
         let guaranteed = &self.guaranteed;
         println!(
-            "  within a guarantee: {} jobs, {} never started; wait until the last task started p50 {} ms, max {} ms",
+            "  within a guarantee: {} jobs, {} never begun, wait until the last task p50 {} ms, longest {} ms",
             guaranteed.jobs,
             guaranteed.never_started,
             guaranteed.waits.p50_ms,
--- a/crates/basaltrail-testbed/src/commands/soak.rs
+++ b/crates/basaltrail-testbed/src/commands/soak.rs
@@ -121,7 +121,7 @@
         outcome.history.display()
     );
     for (kind, error) in &outcome.failed_faults {
-        println!("  fault not injected: {} ({error})", kind.name());
+        println!("  not run here: {} ({error})", kind.name());
     }
     outcome.violations.iter().take(PRINTED_VIOLATIONS).for_each(print_violation);
     if let Some(explanation) = outcome.explanations.first() {
@@ -143,7 +143,7 @@
 }
 
 fn print_explanation(explanation: &[String]) {
-    println!("  events of the first violation:");
+    println!("  the first of them, event by event:");
     let skipped = explanation.len().saturating_sub(EXPLANATION_LINES);
     if skipped > 0 {
         println!("  ({skipped} earlier events are in the history)");
