--- a/crates/basaltrail-testbed/src/commands/racing.rs
+++ b/crates/basaltrail-testbed/src/commands/racing.rs
@@ -1,6 +1,6 @@
-//! `racing`: a thousand submissions in one instant.
+//! The command `racing`: submits a thousand jobs at once.
 
-use super::load::{print_teams, LoadOptions, LoadOutcome};
+use super::load::{print_team_usage, LoadOptions, LoadOutcome};
 use super::{print_violations, CommandError, MACHINES_MAX};
 use basaltrail_testbed::checker::Violation;
 use basaltrail_testbed::scenarios::racing::{self, RacingConfig, RacingOutcome};
@@ -11,22 +11,23 @@
 /// Options of the command.
 #[derive(Args)]
 pub struct Arguments {
-    /// Submissions in the one instant
+    /// Number of jobs to submit at once
     #[arg(long, default_value_t = 1_000, value_parser = clap::value_parser!(u64).range(1..=50_000))]
     jobs: u64,
-    /// Machines that the cloud can rent
+    /// Number of machines that the cloud can provision
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(4..=MACHINES_MAX))]
     machines: u64,
-    /// Where histories, settings and logs go
+    /// Directory for histories, settings and logs
     #[arg(long, default_value = "target/racing")]
     dir: PathBuf,
     #[command(flatten)]
     load: LoadOptions,
 }
 
-/// Runs every seed, one after the other.
+/// Runs all seeds, one after the other.
 pub async fn run(arguments: &Arguments) -> Result<ExitCode, CommandError> {
-    let common = arguments.load.controllers.scenario(arguments.machines, 1, &arguments.dir)?;
+    let common =
+        arguments.load.controllers.scenario_config(arguments.machines, 1, &arguments.dir)?;
     let config = RacingConfig { common, jobs: arguments.jobs };
     arguments.load.run_seeds(async |seed| racing::run(&config, seed).await).await
 }
@@ -61,7 +62,7 @@
             "  state service, for each accepted job: {:.2} requests, {:.2} changes",
             self.requests_per_job, self.changes_per_job
         );
-        print_teams(&self.teams);
+        print_team_usage(&self.teams);
         let guaranteed = &self.guaranteed;
         println!(
             "  within a guarantee: {} jobs, {} never begun, wait until the last task p50 {} ms, longest {} ms",
