--- a/crates/basaltrail-core/src/io.rs
+++ b/crates/basaltrail-core/src/io.rs
@@ -1,6 +1,6 @@
-//! What goes into the core and what comes out of it: [`Input`] and [`Effect`], with the requests
-//! to the store and the cloud and their replies. The program carries effects out; the protocol
-//! crate turns requests and replies into bodies.
+//! The interface of the core: [`Input`] and [`Effect`], and the requests to the store and the cloud
+//! with their replies. The program executes the effects; the protocol crate encodes requests and
+//! decodes replies.
 
 use crate::answer::Answer;
 use crate::events::LogEvent;
@@ -9,7 +9,7 @@
     Revision,
 };
 
-/// A key of the store with its value.
+/// A key of the store and its value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyValue {
     /// The key.
@@ -18,16 +18,16 @@
     pub value: String,
     /// The revision of its last change.
     pub mod_revision: Revision,
-    /// The lease that it is attached to.
+    /// The lease that the key is attached to, if any.
     pub lease_id: Option<LeaseId>,
 }
 
-/// A change that a watch tells of.
+/// A change of a key, as a watch reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
-    /// A key was put. Watches do not tell of its lease.
+    /// A key was put. Watches do not report the lease of the key.
     Put(KeyValue),
-    /// A key was deleted, or its lease expired.
+    /// A key was deleted, by a request or because its lease expired.
     Delete {
         /// The key.
         key: String,
@@ -36,63 +36,63 @@
     },
 }
 
-/// A key to be put by a transaction.
+/// A put in a transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PutRequest {
     /// The key.
     pub key: String,
     /// The value, as JSON.
     pub value: String,
-    /// The lease to attach it to; none detaches it.
+    /// The lease to attach the key to; `None` detaches the key.
     pub lease_id: Option<LeaseId>,
 }
 
 impl PutRequest {
-    /// A put of a key that is attached to no lease.
+    /// Creates a put of a key without a lease.
     pub fn new(key: impl Into<String>, value: String) -> Self {
         PutRequest { key: key.into(), value, lease_id: None }
     }
 }
 
-/// What must be so for a transaction to be carried out: a key has not changed since it was read.
+/// A precondition of a transaction: a key has not changed since it was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Precondition {
     /// The key.
     pub key: String,
-    /// Its mod revision; [`Revision::NONE`] if it must not exist.
+    /// The mod revision that the key must have; [`Revision::NONE`] if it must not exist.
     pub mod_revision: Revision,
 }
 
 impl Precondition {
-    /// The key still has this mod revision.
+    /// Requires that the key still has this mod revision.
     pub fn new(key: impl Into<String>, mod_revision: Revision) -> Self {
         Precondition { key: key.into(), mod_revision }
     }
 
-    /// The key does not exist.
+    /// Requires that the key does not exist.
     pub fn absent(key: impl Into<String>) -> Self {
         Precondition::new(key, Revision::NONE)
     }
 }
 
-/// A call to the store (PROTOCOL, "Controller nodes -> state service").
+/// A request to the store (PROTOCOL, "Controller nodes -> state service").
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreRequest {
     /// Reads one key.
     Get(String),
-    /// Reads a page of keys, in their order.
+    /// Reads a page of keys, in key order.
     List {
         /// The prefix of the keys.
         prefix: String,
-        /// The key after which the page begins.
+        /// The key after which the page starts; `None` for the first page.
         after: Option<String>,
-        /// The most keys of the page.
+        /// The maximum number of keys in the page.
         limit: u32,
     },
-    /// A compare-and-swap: all changes are made if all preconditions hold. Without changes it only
-    /// compares.
+    /// Makes all changes atomically if all preconditions hold. Without changes, it only checks the
+    /// preconditions.
     Transaction {
-        /// What must be so.
+        /// The preconditions.
         preconditions: Vec<Precondition>,
         /// Keys to put.
         puts: Vec<PutRequest>,
@@ -101,7 +101,7 @@
     },
     /// Grants a lease.
     GrantLease {
-        /// Its time to live, in milliseconds.
+        /// The time to live of the lease, in milliseconds.
         ttl_ms: u64,
     },
     /// Extends a lease by its time to live.
@@ -109,7 +109,7 @@
         /// The lease.
         lease_id: LeaseId,
     },
-    /// Ends a lease and deletes the keys that are attached to it.
+    /// Revokes a lease and deletes the keys that are attached to it.
     RevokeLease {
         /// The lease.
         lease_id: LeaseId,
@@ -118,9 +118,9 @@
     Watch {
         /// The prefix of the keys.
         prefix: String,
-        /// Changes up to this revision are known.
+        /// The revision after which changes are reported.
         after: Revision,
-        /// How long to wait for a change, in milliseconds.
+        /// The maximum time to wait for a change, in milliseconds.
         wait_ms: u64,
     },
 }
@@ -130,23 +130,23 @@
 pub enum StoreReply {
     /// The key that was read.
     KeyValue(KeyValue),
-    /// No such key or lease.
+    /// The key or lease does not exist.
     NotFound,
     /// A page of a list.
     Page {
-        /// The keys.
+        /// The keys and their values.
         items: Vec<KeyValue>,
-        /// Whether more follow.
+        /// Whether more keys follow.
         more: bool,
-        /// The revision at which they were read.
+        /// The revision at which the keys were read.
         revision: Revision,
     },
-    /// The transaction was carried out.
+    /// The transaction was committed.
     Committed {
         /// The revision of its changes.
         revision: Revision,
     },
-    /// The transaction was not carried out, since preconditions failed.
+    /// The transaction was not executed, since preconditions failed.
     Conflict {
         /// The keys of the preconditions that failed.
         failed: Vec<String>,
@@ -160,44 +160,45 @@
     Ok,
     /// All changes since the revision of a watch.
     Events {
-        /// The revision up to which they go.
+        /// The revision up to which changes are reported.
         revision: Revision,
-        /// The changes, in their order.
+        /// The changes, in the order of their revisions.
         events: Vec<WatchEvent>,
     },
-    /// The store does not keep the changes after the revision of a watch any more.
+    /// The store no longer has all changes since the revision of a watch.
     Compacted,
-    /// Not executed, and never will be (429, 503). It may be sent again.
+    /// The request was not executed and never will be (429, 503). It may be retried.
     Refused,
-    /// Not executed, and would not be if it were sent again as it is (400).
+    /// The request was not executed, and a retry without changes would fail as well (400).
     Rejected,
-    /// May have been executed, or may be executed later.
+    /// The request may have been executed, or may be executed later.
     Unknown,
 }
 
-/// A call to the cloud (PROTOCOL, "Controller nodes -> cloud").
+/// A request to the cloud (PROTOCOL, "Controller nodes -> cloud").
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudRequest {
-    /// Asks for the machine types and their prices.
+    /// Reads the machine types and their prices.
     Types,
-    /// Rents machines.
+    /// Provisions machines.
     Provision {
-        /// The name of the request; repeated, it rents nothing more. Never to be used again.
+        /// The idempotency key: a repeated request provisions no further machines. A key must never
+        /// be reused for another request.
         requisition: String,
         /// The machine type.
         machine_type: String,
         /// The zone.
         zone: String,
-        /// Whether spot machines are meant.
+        /// Whether to provision spot machines.
         spot: bool,
-        /// How many.
+        /// Number of machines.
         count: u32,
     },
-    /// Returns machines.
+    /// Terminates machines.
     Terminate(Vec<MachineId>),
-    /// Reads a page of the list of rented machines.
+    /// Reads a page of the inventory of provisioned machines.
     List {
-        /// The machine after which the page begins.
+        /// The machine after which the page starts; `None` for the first page.
         after: Option<String>,
     },
 }
@@ -207,24 +208,24 @@
 pub enum CloudReply {
     /// The machine types.
     Types(Vec<MachineType>),
-    /// The machines that were rented, at most as many as were asked for.
+    /// The machines that were provisioned, at most as many as were requested.
     Provisioned(Vec<MachineId>),
-    /// The cloud has none of this type, zone and kind.
+    /// The cloud has no machines of this type, zone and kind.
     NoCapacity,
-    /// The machines are gone for certain.
+    /// The machines do not exist any more.
     Terminated,
-    /// A page of the list, which may be some seconds old.
+    /// A page of the inventory, which may be some seconds old.
     Listed {
         /// The machines.
         machines: Vec<ListedMachine>,
-        /// Whether more follow.
+        /// Whether more machines follow.
         more: bool,
     },
-    /// No answer, or one that says nothing of what became of the request.
+    /// There is no reply, or the reply does not tell whether the request was executed.
     Failed,
 }
 
-/// Task counts of a job, which the leader tells its peers for display.
+/// Task counts of a job, which the leader sends to its peers for display.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
     /// The job.
@@ -235,21 +236,21 @@
     pub running: u32,
 }
 
-/// What a controller is told.
+/// An input of a controller.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed.
+    /// The clocks have advanced.
     Tick,
     /// A user submits a job.
     Submit {
         /// The request to answer.
         req: RequestId,
-        /// The job, by the id that its user chose.
+        /// The ID of the job, chosen by its user.
         job: JobId,
-        /// What it asks for.
+        /// The specification of the job.
         spec: Box<JobSpec>,
     },
-    /// A user asks for the status of a job.
+    /// A user requests the status of a job.
     Poll {
         /// The request to answer.
         req: RequestId,
@@ -263,72 +264,72 @@
         /// The job.
         job: JobId,
     },
-    /// An operator asks for limits, use and quotas.
+    /// An operator requests limits, usage and quotas.
     Inspect {
         /// The request to answer.
         req: RequestId,
     },
-    /// A worker reports.
+    /// A worker sends a heartbeat.
     Heartbeat {
         /// The request to answer.
         req: RequestId,
-        /// The report.
+        /// The heartbeat.
         heartbeat: Box<Heartbeat>,
     },
-    /// The store replied to a call, or the call was given up.
+    /// The store replied to a call, or the call timed out.
     Store {
         /// The call.
         op: CallId,
         /// The reply.
         reply: StoreReply,
     },
-    /// The cloud replied to a call, or the call was given up.
+    /// The cloud replied to a call, or the call timed out.
     Cloud {
         /// The call.
         op: CallId,
         /// The reply.
         reply: CloudReply,
     },
-    /// A peer that believes to lead tells of progress. It is used for display only.
+    /// A peer that considers itself the leader reports the progress of jobs. Only used for display.
     Peer {
         /// Task counts by job.
         progress: Vec<Progress>,
     },
 }
 
-/// What a controller has the program do.
+/// An action that the program executes for a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Answers a request.
     Answer {
-        /// The request.
+        /// The request to answer.
         req: RequestId,
         /// The answer.
         answer: Answer,
     },
     /// Calls the store.
     Store {
-        /// The call, by which the reply is given back.
+        /// The call; the [`Input`] with the reply names it.
         op: CallId,
         /// The request.
         call: StoreRequest,
-        /// After how many milliseconds it is given up.
+        /// Timeout of the call, in milliseconds.
         timeout_ms: u64,
     },
     /// Calls the cloud.
     Cloud {
-        /// The call, by which the reply is given back.
+        /// The call; the [`Input`] with the reply names it.
         op: CallId,
         /// The request.
         call: CloudRequest,
-        /// After how many milliseconds it is given up.
+        /// Timeout of the call, in milliseconds.
         timeout_ms: u64,
     },
-    /// Tells all peers of progress.
+    /// Sends the progress of jobs to all peers.
     Peers {
         /// Task counts by job.
         progress: Vec<Progress>,
     },
-    /// Writes a line of the log.
+    /// Logs an event.
     Log(LogEvent),
 }
--- a/crates/basaltrail-core/src/model.rs
+++ b/crates/basaltrail-core/src/model.rs
@@ -1,5 +1,5 @@
-//! The terms that every part shares: jobs, tasks and attempts, machines and their types,
-//! heartbeats and commands. PROTOCOL's own words for them are given where they differ.
+//! Types that all modules share: jobs, tasks and attempts, machines and machine types, heartbeats
+//! and commands. Where PROTOCOL uses another word for a type, its doc comment gives that word.
 
 use basaltrail_admission::JobDemand;
 pub use basaltrail_admission::Revision;
@@ -7,12 +7,12 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Milliseconds of this controller's steady clock.
+/// A time on this controller's monotonic clock, or a duration, in milliseconds.
 pub type Ms = u64;
-/// Milliseconds of the time of day.
+/// A wall-clock time, in milliseconds.
 pub type WallMs = i64;
 
-/// A job, by the number in its name.
+/// The ID of a job: the number in its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
@@ -22,27 +22,29 @@
     }
 }
 
-/// One task of a job (PROTOCOL: `leaf`).
+/// The ID of a task (PROTOCOL: `leaf`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// Its number in the job, from 0.
+    /// The index of the task within the job, from 0.
     pub index: u32,
 }
 
-/// Unique for each start of a task, across leaders: the leader's token is in the high half
-/// (PROTOCOL: `printing`).
+/// The ID of one start of a task (PROTOCOL: `printing`). The fencing token of the leader in the high
+/// half makes it unique across leaders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Attempt(pub u64);
 
-/// Shows which leader may command the workers; a larger one wins (PROTOCOL, "Tokens").
+/// The token that identifies a leader to the workers (PROTOCOL, "Tokens"). Workers obey the leader
+/// with the highest token that they have seen.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct FencingToken(pub u64);
 
-/// A lease of the key-value store (PROTOCOL: `loan`); keys put under it go when it expires.
+/// The ID of a lease of the key-value store (PROTOCOL: `loan`). When the lease expires, the keys that
+/// are attached to it are deleted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseId(pub u64);
 
@@ -52,22 +54,22 @@
     }
 }
 
-/// One life of a worker's agent (PROTOCOL: `tenure`): a larger one began later, and what ran in an
-/// earlier one is gone. Agents count from 1; 0 stands for none heard of yet.
+/// The number of a run of a worker's agent (PROTOCOL: `tenure`). A later run has a larger number, and
+/// none of the tasks of an earlier run still exist. Epochs start at 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AgentEpoch(pub u64);
 
 impl AgentEpoch {
-    /// No agent has been heard of.
+    /// The epoch of a worker that has not sent a heartbeat yet.
     pub const NONE: AgentEpoch = AgentEpoch(0);
 
-    /// The one that follows.
+    /// Returns the epoch that follows this one.
     pub fn next(self) -> Self {
         AgentEpoch(self.0 + 1)
     }
 }
 
-/// A machine's name as the cloud gave it.
+/// The ID of a machine: the name that the cloud assigned to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MachineId(pub Arc<str>);
 
@@ -77,39 +79,40 @@
     }
 }
 
-/// A request that somebody waits on; chosen by the program.
+/// The ID of a request that a client waits on; assigned by the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// An outgoing call; chosen by the core.
+/// The ID of a call to the store or the cloud; assigned by the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// The priority of a job, the lowest first (PROTOCOL: `precedence`, "Preemption").
+/// The priority of a job, ordered from the lowest to the highest (PROTOCOL: `precedence`,
+/// "Preemption").
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// `best_effort`.
+    /// PROTOCOL: `best_effort`.
     #[serde(rename = "l")]
     Low,
-    /// `standard`.
+    /// PROTOCOL: `standard`.
     #[serde(rename = "n")]
     Normal,
-    /// `urgent`.
+    /// PROTOCOL: `urgent`.
     #[serde(rename = "h")]
     High,
-    /// `critical`.
+    /// PROTOCOL: `critical`.
     #[serde(rename = "p")]
     Production,
 }
 
-/// Whether the tasks of a job end by themselves.
+/// The kind of a job: whether its tasks run to completion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     #[default]
     #[serde(rename = "a")]
     Array,
-    /// Its tasks are replicas that run until the job is cancelled.
+    /// Replicas that run until the job is cancelled.
     #[serde(rename = "s")]
     Service,
 }
@@ -120,19 +123,20 @@
     }
 }
 
-/// What a user asked for; stored while the job is active (PROTOCOL, "POST /api/jobs").
+/// The specification of a job as its user submitted it; stored while the job is active (PROTOCOL,
+/// "POST /api/jobs").
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Whether its tasks end by themselves.
+    /// The kind of the job.
     #[serde(default, skip_serializing_if = "JobKind::is_array")]
     pub kind: JobKind,
     /// The class, for which objectives are set.
     pub class: String,
     /// The team whose guarantee and limit apply.
     pub team: String,
-    /// Its priority.
+    /// The priority of the job.
     pub priority: Priority,
-    /// Number of its tasks, or of its replicas.
+    /// Number of tasks, or of replicas of a service.
     pub tasks: u32,
     /// CPUs of each task.
     pub cpus: f64,
@@ -141,46 +145,46 @@
     pub gpus: f64,
     /// Memory of each task, in GB.
     pub memory_gb: f64,
-    /// Machine types that it allows; none for any.
+    /// The machine types on which tasks may run; any type if `None`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only zone that it allows; none for any.
+    /// The only zone in which tasks may run; any zone if `None`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All its tasks must be in the same zone.
+    /// Whether all tasks must run in the same zone.
     #[serde(default)]
     pub one_zone: bool,
-    /// At most half of its tasks, rounded up, may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in the same zone.
     #[serde(default)]
     pub spread: bool,
-    /// It may use spot machines.
+    /// Whether tasks may run on spot machines.
     #[serde(default)]
     pub spot: bool,
     /// The image that a machine must hold before a task can start.
     pub image: String,
     /// Size of the image, in GB.
     pub image_gb: f64,
-    /// Seconds that a task is estimated to run, without the fetch of the image. Often wrong by
-    /// half.
+    /// Estimated run time of a task in seconds, without the fetch of the image. Estimates are often
+    /// wrong by half.
     pub estimate_s: f64,
     /// Seconds of progress after which a task saves a checkpoint; 0 if it never saves.
     #[serde(default)]
     pub checkpoint_s: f64,
-    /// Seconds that a task needs to save when it is stopped.
+    /// Seconds that a task needs to save its progress when it is stopped.
     #[serde(default)]
     pub save_s: f64,
-    /// Seconds from its submission to its deadline; none without one.
+    /// Seconds from the submission to the deadline, if the job has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
 impl JobSpec {
-    /// Whether its tasks are replicas that run until it is cancelled.
+    /// Returns whether the job is a service.
     pub fn is_service(&self) -> bool {
         self.kind == JobKind::Service
     }
 
-    /// What its submission asks of an admission quota.
+    /// Returns the amount that the job requests from an admission quota.
     pub fn demand(&self) -> JobDemand {
         JobDemand {
             team: self.team.clone(),
@@ -190,8 +194,8 @@
         }
     }
 
-    /// Whether its tasks may be placed on machines of this type, zone and kind (PROTOCOL:
-    /// `formats`, `room`, `remainders`). Resources and the spread over zones are not considered.
+    /// Returns whether tasks may be placed on machines of a type, zone and kind (PROTOCOL:
+    /// `formats`, `room`, `remainders`). Resources, `one_zone` and `spread` are not considered.
     pub fn permits(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         let type_allowed = self
             .types
@@ -203,84 +207,85 @@
     }
 }
 
-/// How a job ended; never changes once durable.
+/// The outcome of a job. Once durable, it never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobOutcome {
-    /// All its tasks are done.
+    /// All tasks are done.
     #[serde(rename = "d")]
     Done,
-    /// Its user cancelled it.
+    /// The job was cancelled by its user.
     #[serde(rename = "c")]
     Cancelled,
 }
 
-/// Why a task is not on its machine any more (PROTOCOL: `colophon`).
+/// The reason why a task is no longer on its machine (PROTOCOL: `colophon`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitReason {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// It was stopped by a command.
+    /// The task was stopped by a command.
     Stopped,
-    /// It failed: the machine is faulty, or the job is.
+    /// The task failed because of a fault of the job or of the machine.
     Error,
-    /// Its start was refused: not enough free resources on the machine.
+    /// The worker refused the start: the machine has too few free resources.
     NoRoom,
-    /// Its start was refused: the task is there by another attempt.
+    /// The worker refused the start: another attempt of the task is on the machine.
     Busy,
-    /// Its start was refused: the worker knows no such job.
+    /// The worker refused the start: it does not know the job.
     Unknown,
 }
 
-/// What a worker tells of a task on its machine.
+/// The state of a task on a machine, as its worker reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// It waits for its image.
+    /// The machine fetches the image of the task.
     Fetching,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It was told to stop and saves (PROTOCOL: `flushing`).
+    /// The task was commanded to stop and saves its progress (PROTOCOL: `flushing`).
     Saving,
-    /// It is over; the worker tells so until it is told to forget it.
+    /// The task has ended. The worker reports it until it gets [`TaskCommand::Forget`].
     Exited(ExitReason),
 }
 
-/// A task on a machine, as a heartbeat tells of it.
+/// The entry of a task in a heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskStatus {
     /// The task.
     pub task: TaskId,
     /// The attempt that was started.
     pub attempt: Attempt,
-    /// Its state.
+    /// The state of the attempt.
     pub state: TaskState,
 }
 
-/// A worker's report, whichever way it came (PROTOCOL, "POST /checkin").
+/// A heartbeat of a worker (PROTOCOL, "POST /checkin").
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
     /// The machine.
     pub machine: MachineId,
-    /// Where its agent takes commands.
+    /// The address at which the agent accepts commands.
     pub endpoint: String,
-    /// Its type.
+    /// The machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// The life of the agent.
+    /// The epoch of the agent.
     pub agent_epoch: AgentEpoch,
-    /// Grows with every report; of two, the one with the larger epoch and number is the newer.
+    /// The sequence number within the epoch. The heartbeat with the larger pair of epoch and
+    /// sequence number is the newer one.
     pub sequence: u64,
     /// The highest fencing token that the agent has seen.
     pub token: FencingToken,
-    /// Seconds until the cloud takes the machine back, if it has said so.
+    /// Seconds until the cloud reclaims the machine, if it has announced that.
     pub reclaim_notice_s: Option<f64>,
     /// All tasks on the machine, exited ones included.
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker; all can be repeated (PROTOCOL, "POST /checkin").
+/// A command to a worker. All commands are idempotent (PROTOCOL, "POST /checkin").
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TaskCommand {
     /// Starts an attempt.
@@ -296,10 +301,11 @@
         task: TaskId,
         /// The attempt.
         attempt: Attempt,
-        /// Seconds that it may take to save; less than it needs ends it at once.
+        /// Seconds that the task may take to save its progress. If it needs more, it is ended at
+        /// once.
         grace_s: f64,
     },
-    /// Drops an exited attempt from the heartbeats.
+    /// Removes an exited attempt from the worker's heartbeats.
     Forget {
         /// The task.
         task: TaskId,
@@ -308,10 +314,10 @@
     },
 }
 
-/// A type of machine that the cloud rents (PROTOCOL, "GET /machine_types").
+/// A machine type that the cloud offers (PROTOCOL, "GET /machine_types").
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// The name of the type.
     pub name: String,
     /// CPUs.
     pub cpus: f64,
@@ -319,84 +325,86 @@
     pub gpus: f64,
     /// Memory, in GB.
     pub memory_gb: f64,
-    /// Space for images, in GB.
+    /// Size of the image cache, in GB.
     pub cache_gb: f64,
-    /// Rate at which images are fetched, in GB a second.
+    /// Rate at which images are fetched, in GB per second.
     pub fetch_gb_per_s: f64,
     /// Price of an on-demand machine, per hour.
     pub price: f64,
     /// Price of a spot machine, per hour.
     pub spot_price: f64,
-    /// Seconds from the request until a machine usually is up.
+    /// Usual time from the provisioning request until a machine is up, in seconds.
     pub boot_s: f64,
-    /// Zones where it is rented.
+    /// Zones in which the type is offered.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// Whether the job allows this type, in one of its zones at least.
+    /// Returns whether a job allows this type in at least one of the zones that offer it.
     pub fn allowed(&self, job: &JobSpec) -> bool {
         job.types.as_ref().is_none_or(|types| types.contains(&self.name))
             && job.zone.as_ref().is_none_or(|zone| self.zones.contains(zone))
     }
 }
 
-/// Rounding allowed when a demand is compared with what is there.
+/// Rounding error that is tolerated when a demand is compared with the available amount.
 const FIT_TOLERANCE: f64 = 1e-6;
-/// More than any job has tasks.
-const MAX_FITS: f64 = 1e9;
+/// Upper bound of [`fits`]; no job has as many tasks.
+const MAX_FIT_COUNT: f64 = 1e9;
 
-/// How often `need` goes into `have`, with a tolerance for rounding; without a need, without end.
-pub fn fits(have: f64, need: f64) -> u32 {
-    if need <= 0.0 {
+/// Returns how often `demand` fits into `available`, with a tolerance for rounding errors;
+/// `u32::MAX` if the demand is zero.
+pub fn fits(available: f64, demand: f64) -> u32 {
+    if demand <= 0.0 {
         return u32::MAX;
     }
-    let times = ((have + FIT_TOLERANCE) / need).floor();
-    if times.is_nan() || times <= 0.0 {
+    let count = ((available + FIT_TOLERANCE) / demand).floor();
+    if count.is_nan() || count <= 0.0 {
         return 0;
     }
-    times.min(MAX_FITS) as u32
+    count.min(MAX_FIT_COUNT) as u32
 }
 
-/// The state of a machine in the cloud's list.
+/// The state of a machine in the cloud's inventory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It is being provisioned (PROTOCOL: `starting`); it may be up already, since the list lags.
+    /// The machine is being provisioned (PROTOCOL: `starting`). It may be up already, since the
+    /// inventory lags.
     Booting,
-    /// It is up, or was when the list was made.
+    /// The machine was up at the time that the inventory describes.
     Running,
-    /// It stopped by itself, and is listed until it is returned.
+    /// The machine has failed. It is listed until it is terminated.
     Failed,
 }
 
-/// A rented machine in the cloud's list (PROTOCOL, "GET /rentals").
+/// A machine in the cloud's inventory (PROTOCOL, "GET /rentals").
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedMachine {
     /// The machine.
     pub machine: MachineId,
-    /// Where its agent takes commands.
+    /// The address at which the agent accepts commands.
     pub endpoint: String,
-    /// Its type.
+    /// The machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// The zone of the machine.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Its state.
+    /// The state of the machine.
     pub state: ListedState,
-    /// Seconds since it was asked for, at the time that the list describes.
+    /// Seconds from the provisioning request to the time that the inventory describes.
     pub age_s: f64,
 }
 
-/// What a user is told of a job.
+/// The status of a job as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobStatus {
-    /// No task runs.
+    /// No task is running.
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
-    /// All tasks are done; it stays so.
+    /// All tasks are done. This status is final.
     Done,
-    /// Cancelled by its user; it stays so.
+    /// The job was cancelled by its user. This status is final.
     Cancelled,
 }
