--- a/crates/basaltrail-core/src/answer.rs
+++ b/crates/basaltrail-core/src/answer.rs
@@ -1,7 +1,7 @@
-//! What users, workers and operators are answered.
+//! Answers to requests of users, workers and operators.
 //!
-//! The reasons are typed; their `Display` is the text that goes into the body of the answer. That
-//! text is part of the interface, so a reason may be renamed and its text may not.
+//! The `Display` text of a reason is sent in the body of the answer. The text is part of the
+//! interface and must not change; the name of the variant may.
 
 use crate::inspection::LimitsReport;
 use crate::lease_renewal;
@@ -9,10 +9,11 @@
 use basaltrail_admission::RejectionReason;
 use std::fmt;
 
-/// Why a submission cannot be kept (PROTOCOL, "POST /api/jobs": status 400). It is not repeated.
+/// The reason why a submission is invalid (PROTOCOL, "POST /api/jobs": status 400). Clients do not
+/// retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidReason {
-    /// Its record would be longer than a value of the store may be.
+    /// The record of the job would exceed the size limit of a value in the store.
     DescriptionTooLong,
 }
 
@@ -24,14 +25,15 @@
     }
 }
 
-/// Why a job can never run (PROTOCOL, "POST /api/jobs": status 422). The same on every controller.
+/// The reason why a job can never run (PROTOCOL, "POST /api/jobs": status 422). All controllers give
+/// the same one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnschedulableReason {
-    /// The settings name no such team.
+    /// The settings do not contain the team.
     UnknownTeam,
-    /// One task, or all replicas of a service, need more than the team may use.
+    /// A single task, or all replicas of a service together, exceed the limit of the team.
     OverTeamLimit,
-    /// No machine type that the job allows holds a task.
+    /// A task does not fit on any machine type that the job allows.
     NoMachineType,
 }
 
@@ -45,32 +47,32 @@
     }
 }
 
-/// Why a request cannot be answered now (status 503). It is repeated.
+/// The reason why a request cannot be served now (status 503). Clients retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnavailableReason {
-    /// The jobs have not been listed since the process began.
+    /// The process has not listed the jobs yet.
     Starting,
-    /// The machine types, by which a submission is judged, are not known yet.
+    /// The machine types are not known yet, so submissions cannot be validated.
     MachineTypesUnknown,
-    /// As many requests wait as the controller's memory bears.
+    /// The number of waiting requests has reached the limit that the controller's memory allows.
     TooManyRequests,
-    /// More submissions wait than can be written soon.
+    /// More submissions are waiting than can be written soon.
     TooManySubmissions,
-    /// The rate of changes at the store is used up.
+    /// The rate limit for writes to the store is exhausted.
     TooManyChanges,
-    /// As many jobs are active as the controller's memory bears.
+    /// The number of active jobs has reached the limit that the controller's memory allows.
     TooManyJobs,
-    /// The store refused the change.
+    /// The store refused the write.
     StoreRefused,
-    /// The store did not confirm what is known of the job.
+    /// The store did not confirm the cached state of the job.
     NotConfirmed,
-    /// It is not known whether the store carried the change out.
+    /// The store may or may not have executed the write.
     NotDecided,
-    /// The record of the job cannot be read by this version.
+    /// This version cannot decode the record of the job.
     RecordUnreadable,
-    /// The submission is not admitted now.
+    /// The submission was not admitted.
     NotAdmitted(RejectionReason),
-    /// A heartbeat that the leader may not answer now.
+    /// The leader must not renew the lease of the worker that sent the heartbeat.
     HeartbeatRefused(lease_renewal::RenewalRefusal),
 }
 
@@ -100,47 +102,47 @@
 /// The answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// A submission was accepted just now.
+    /// The submission was accepted.
     Created {
         /// The job.
         job: JobId,
     },
-    /// A job that is known.
+    /// The job exists.
     Job {
         /// The job.
         job: JobId,
-        /// Its status.
+        /// The status of the job.
         status: JobStatus,
-        /// Completed tasks, for display.
+        /// Number of completed tasks, for display.
         done: u32,
-        /// Running tasks, for display.
+        /// Number of running tasks, for display.
         running: u32,
     },
-    /// The submission cannot be kept.
+    /// The submission is invalid.
     Invalid(InvalidReason),
     /// The job can never run.
     Unschedulable(UnschedulableReason),
-    /// No such job was accepted.
+    /// No job with this ID was accepted.
     NotFound,
-    /// Not now.
+    /// The request cannot be served now.
     Unavailable {
-        /// Seconds after which the request may be repeated.
+        /// Seconds after which the request may be retried.
         retry_after_s: u32,
-        /// Why.
+        /// The reason.
         reason: UnavailableReason,
     },
-    /// The answer to a heartbeat: it renews the worker's lease.
+    /// The answer to a heartbeat, which renews the worker's lease.
     Commands {
-        /// The leader's token.
+        /// The fencing token of the leader.
         token: FencingToken,
         /// Commands for the worker, in order.
         commands: Vec<TaskCommand>,
     },
-    /// Limits, use and quotas, for operators.
+    /// Limits, usage and quotas, for operators.
     Limits(Box<LimitsReport>),
-    /// This controller may not answer workers.
+    /// This controller is not the leader and must not answer heartbeats.
     NotLeader {
-        /// The controller that may, if one is known.
+        /// The leader, if it is known.
         leader: Option<String>,
     },
 }
--- a/crates/basaltrail-core/src/events.rs
+++ b/crates/basaltrail-core/src/events.rs
@@ -1,46 +1,46 @@
-//! Every event that a controller logs, as a typed value.
+//! The events that a controller logs, as typed values.
 //!
-//! The core emits [`LogEvent`]s as effects and never formats them; the program writes each as
-//! one line of `tracing` fields. `docs/on-call.md` tells what each event means and what to do.
+//! The core emits [`LogEvent`]s as effects and never formats them; the program writes each as one
+//! line of `tracing` fields. `docs/on-call.md` describes each event and the action to take.
 
 use crate::jobs::watch::WatchKind;
 use crate::lease_renewal::{AnswerCounters, RenewalRefusal};
 use crate::model::{AgentEpoch, FencingToken, JobId, MachineId, Ms, Revision, TaskId};
 use basaltrail_admission::RejectionReason;
 
-/// Name of [`HeartbeatEvent::RenewalViolation`] in a log line. Checks of the logs read it.
+/// Name of [`HeartbeatEvent::RenewalViolation`] in the log, where automated checks search for it.
 pub const RENEWAL_VIOLATION: &str = "renewal_violation";
 
-/// How much an event matters.
+/// The severity of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// A fault that somebody has to look at.
+    /// A fault that needs the attention of an operator.
     Error,
-    /// A change of state that operators follow.
+    /// A change of state that is of interest to operators.
     Info,
-    /// Single decisions and reads, one or more a heartbeat.
+    /// A single decision or read, up to several per heartbeat.
     Debug,
 }
 
-/// An event of one family.
+/// A log event, grouped by subject.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// Who leads.
+    /// Elections and leadership.
     Leadership(LeadershipEvent),
-    /// Machines and their number.
+    /// Machines and scaling.
     Machine(MachineEvent),
-    /// Jobs, their tasks and what is read of them.
+    /// Jobs, their tasks and reads of their records.
     Job(JobEvent),
-    /// Answers to workers' heartbeats.
+    /// Answers to heartbeats.
     Heartbeat(HeartbeatEvent),
     /// Admission of submissions.
     Admission(AdmissionEvent),
-    /// Records of the store.
+    /// Records in the store.
     Store(StoreEvent),
 }
 
 impl LogEvent {
-    /// How much it matters.
+    /// Returns the severity of the event.
     pub fn level(&self) -> Level {
         match self {
             LogEvent::Store(_)
@@ -54,7 +54,7 @@
     }
 }
 
-/// Declares the reasons of an event, each with its name in a log line.
+/// Declares an enum of reasons for an event, each with its name in the log.
 macro_rules! reasons {
     ($(#[$doc:meta])* $reason:ident { $($(#[$variant_doc:meta])* $variant:ident => $name:literal,)* }) => {
         $(#[$doc])*
@@ -64,7 +64,7 @@
         }
 
         impl $reason {
-            /// Its name in a log line.
+            /// Returns the name of the reason in the log.
             pub fn name(self) -> &'static str {
                 match self {
                     $($reason::$variant => $name,)*
@@ -75,54 +75,54 @@
 }
 
 reasons! {
-    /// Why a leader gives its leadership up.
+    /// The reason why a leader resigns.
     ResignReason {
-        /// Most workers went silent; another controller may still reach them.
+        /// Most workers have gone silent. Another controller may still reach them.
         WorkersSilent => "workers_silent",
     }
 }
 
-/// Who leads.
+/// Events of elections and leadership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeadershipEvent {
     /// This controller won an election.
     Elected {
-        /// Its fencing token.
+        /// The fencing token of the new leader.
         token: FencingToken,
     },
-    /// This leader has loaded its predecessor's records and schedules from here on.
+    /// This leader has loaded the records of its predecessor and starts to schedule.
     Leading {
-        /// Its fencing token.
+        /// The fencing token of this leader.
         token: FencingToken,
         /// Machines in the registry.
         machines: usize,
         /// Active jobs.
         jobs: usize,
     },
-    /// This controller leads no more.
+    /// This controller is no longer the leader.
     Deposed {
-        /// The fencing token that it led with.
+        /// The fencing token with which it led.
         token: FencingToken,
     },
-    /// This leader gives its leadership up.
+    /// This leader resigns.
     Resigned {
-        /// Why.
+        /// The reason.
         reason: ResignReason,
     },
-    /// This controller learnt of another leader.
+    /// This controller observed a change of leader.
     LeaderSeen {
-        /// The leader's name, if there is one.
+        /// The name of the leader, if there is one.
         leader: Option<String>,
-        /// The last term that was read.
+        /// The latest term that was read.
         term: FencingToken,
-        /// The store's revision at which it was read.
+        /// The store's revision at which the leader was read.
         revision: Revision,
     },
-    /// How the machines are used, once a scheduling round.
+    /// The use of the machines, once per round of the fairness ledger.
     Round(RoundSummary),
 }
 
-/// How the machines are used.
+/// The use of the machines at the end of a round.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoundSummary {
     /// On-demand machines that are up.
@@ -131,70 +131,70 @@
     pub spot: usize,
     /// Machines that are not up.
     pub down: usize,
-    /// CPUs of tasks that were assigned and not confirmed by their worker.
+    /// CPUs of assigned tasks whose start no worker has confirmed yet.
     pub assigned_cpus: f64,
-    /// CPUs of tasks that fetch their image.
+    /// CPUs of tasks whose images are being fetched.
     pub fetching_cpus: f64,
-    /// CPUs of tasks that run.
+    /// CPUs of running tasks.
     pub running_cpus: f64,
     /// CPUs of tasks that save their progress.
     pub saving_cpus: f64,
-    /// CPUs of tasks that wait.
+    /// CPUs of waiting tasks.
     pub waiting_cpus: f64,
-    /// The same by team.
+    /// Used and waiting CPUs of each team.
     pub teams: Vec<TeamSummary>,
 }
 
-/// What one team uses.
+/// The use of one team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamSummary {
-    /// The team's name.
+    /// The name of the team.
     pub team: String,
     /// CPUs in use.
     pub used_cpus: f64,
-    /// CPUs of tasks that wait.
+    /// CPUs of waiting tasks.
     pub waiting_cpus: f64,
 }
 
 reasons! {
-    /// Why a machine takes no more work.
+    /// The reason why a machine is drained.
     DrainReason {
-        /// It was idle for longer than the operators allow.
+        /// The machine has been idle for longer than the operators allow.
         Idle => "idle",
-        /// Its kind costs more than the work that is left pays for.
+        /// The remaining work does not justify the price of the machine.
         TooExpensive => "too_expensive",
     }
 }
 
 reasons! {
-    /// Why a machine is given back to the cloud.
+    /// The reason why a machine is terminated.
     ReleaseReason {
-        /// The time at which the cloud reclaims it has passed.
+        /// The time of its reclaim notice has passed.
         Reclaimed => "reclaimed",
-        /// It runs replicas of a service and has gone silent.
+        /// The machine runs replicas of a service and has gone silent.
         ReplicasSilent => "replicas_silent",
-        /// One of the few machines of its zone that are silent after a failover.
+        /// The machine is one of the few in its zone that are silent after a failover.
         SilentSinceFailover => "silent_since_failover",
-        /// It was drained and is empty.
+        /// The machine was drained and is empty.
         Drained => "drained",
-        /// Tasks of several jobs failed there: it is quarantined.
+        /// The machine is quarantined, since tasks of several jobs failed there.
         Quarantined => "quarantined",
-        /// The cloud lists it as failed.
+        /// The cloud lists the machine as failed.
         Failed => "failed",
-        /// The cloud does not list it and it is silent.
+        /// The machine is silent and the cloud does not list it.
         NotListed => "not_listed",
-        /// It has been silent for several leases.
+        /// The machine has been silent for several worker leases.
         Silent => "silent",
-        /// It has not come up in the time that its kind takes.
+        /// The machine has not come up in the time that machines of its kind take.
         NeverUp => "never_up",
-        /// It was never heard of, for longer than any machine takes to come up.
+        /// The machine has never sent a heartbeat, for longer than any machine takes to come up.
         NeverHeard => "never_heard",
-        /// It has been silent for so long that no cut of its zone explains it.
+        /// The machine has been silent for too long to be explained by a partition of its zone.
         SilentForLong => "silent_for_long",
     }
 }
 
-/// Machines and their number.
+/// Events of machines and scaling.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MachineEvent {
     /// A machine that this leader did not provision sent a heartbeat.
@@ -202,54 +202,54 @@
         /// The machine.
         machine: MachineId,
     },
-    /// The first heartbeat of a machine that this leader took.
+    /// This leader accepted the first heartbeat of a machine.
     Up {
         /// The machine.
         machine: MachineId,
-        /// Its zone.
+        /// The zone of the machine.
         zone: String,
         /// Whether it is a spot machine.
         spot: bool,
-        /// Milliseconds since this leader first knew of it.
+        /// Milliseconds since this leader first knew of the machine.
         age_ms: Ms,
     },
-    /// The cloud is about to reclaim a spot machine; it is drained.
+    /// A machine received a reclaim notice from the cloud and is drained.
     ReclaimNotice {
         /// The machine.
         machine: MachineId,
     },
-    /// The lease of a machine's worker has surely ended: its tasks are over.
+    /// The lease of a machine's worker has certainly expired, so its tasks have ended.
     LeaseExpired {
         /// The machine.
         machine: MachineId,
-        /// Its zone.
+        /// The zone of the machine.
         zone: String,
         /// Task slots that were in use.
         tasks: usize,
     },
-    /// A machine takes no more work and goes back once it is empty.
+    /// A machine accepts no new tasks and is terminated once it is empty.
     Draining {
         /// The machine.
         machine: MachineId,
-        /// Why.
+        /// The reason.
         reason: DrainReason,
     },
     /// The cloud answered a provisioning request.
     ScaleOut {
-        /// The zone asked for.
+        /// The requested zone.
         zone: String,
-        /// Whether spot machines were asked for.
+        /// Whether spot machines were requested.
         spot: bool,
-        /// Machines asked for.
+        /// Number of requested machines.
         requested: u32,
-        /// Machines that the cloud gave.
+        /// Number of provisioned machines.
         provisioned: usize,
     },
-    /// A machine is given back to the cloud.
+    /// A machine is terminated.
     ScaleIn {
         /// The machine.
         machine: MachineId,
-        /// Why.
+        /// The reason.
         reason: ReleaseReason,
     },
     /// The cloud's inventory lists a machine that this leader did not know.
@@ -257,82 +257,83 @@
         /// The machine.
         machine: MachineId,
     },
-    /// The cloud's inventory does not list a machine any more: it is gone with all on it.
+    /// The cloud's inventory no longer lists a machine, so the machine and its tasks are gone.
     Gone {
         /// The machine.
         machine: MachineId,
     },
 }
 
-/// Jobs, their tasks and what is read of them.
+/// Events of jobs, their tasks and reads of their records.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobEvent {
-    /// A cancellation is durable.
+    /// The cancellation of a job is durable.
     Cancelled {
         /// The job.
         job: JobId,
     },
-    /// The end of a job whose tasks are all done is durable.
+    /// All tasks of a job are done, and its outcome is durable.
     Completed {
         /// The job.
         job: JobId,
     },
-    /// A task failed; one line for the first failure of a job on a machine.
+    /// A task failed. Only the first failure of a job on a machine is logged.
     TaskFailed {
         /// The task.
         task: TaskId,
-        /// Where it ran.
+        /// The machine on which it ran.
         machine: MachineId,
-        /// Whether the job is now taken to fail wherever it runs.
+        /// Whether the job is now considered to be in a crash loop on all machines.
         crash_looping: bool,
-        /// Milliseconds that the task ran; 0 if it was not seen running.
+        /// Milliseconds for which the task ran; 0 if no heartbeat reported it as running.
         ran_ms: Ms,
     },
-    /// Tasks were stopped in favour of others in one scheduling cycle.
+    /// A scheduling cycle preempted tasks.
     TasksPreempted {
-        /// Tasks stopped.
+        /// Number of preempted tasks.
         tasks: usize,
     },
     /// All active jobs were listed.
     Listed {
-        /// The store's revision of the list.
+        /// The store's revision at which the jobs were listed.
         revision: Revision,
-        /// Active jobs.
+        /// Number of active jobs.
         active: usize,
-        /// Milliseconds from the first request to the last answer.
+        /// Milliseconds from the first request to the last reply.
         took_ms: Ms,
     },
-    /// A watch of the jobs was answered.
+    /// The store replied to a watch of the jobs.
     WatchAnswered {
-        /// The store's revision up to which changes are known.
+        /// The store's revision up to which changes were reported.
         revision: Revision,
-        /// Changes that it told of.
+        /// Number of reported changes.
         events: usize,
-        /// Which of the two watches it was.
+        /// The kind of the watch.
         kind: WatchKind,
-        /// Milliseconds from the request to the answer.
+        /// Milliseconds from the request to the reply.
         took_ms: Ms,
     },
 }
 
-/// What became of one heartbeat.
+/// The result of one heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatVerdict {
-    /// Its worker's lease was renewed.
+    /// The worker's lease was renewed.
     Renewed {
-        /// The fencing token that the answer carried.
+        /// The fencing token in the answer.
         token: FencingToken,
-        /// Commands that the answer carried.
+        /// Number of commands in the answer.
         commands: usize,
     },
-    /// It was refused.
+    /// The renewal was refused.
     Refused(RenewalRefusal),
 }
 
-/// Answers to workers' heartbeats.
+/// Events of answers to heartbeats.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HeartbeatEvent {
-    /// An answer kept a task without the knowledge that this takes: a fault of the program.
+    /// An answer kept a task running without the required evidence that its job is active. This is a
+    /// bug.
     RenewalViolation {
         /// The machine.
         machine: MachineId,
@@ -343,69 +344,70 @@
     Answered {
         /// The machine.
         machine: MachineId,
-        /// Epoch of the worker's agent.
+        /// The epoch of the worker's agent.
         agent_epoch: AgentEpoch,
-        /// Number of the heartbeat in its epoch.
+        /// The sequence number of the heartbeat within the epoch.
         sequence: u64,
-        /// The fencing token that the worker showed.
+        /// The highest fencing token that the worker has seen.
         token: FencingToken,
-        /// Tasks that the heartbeat lists.
+        /// Number of tasks in the heartbeat.
         tasks: usize,
-        /// What became of it.
+        /// The result of the heartbeat.
         verdict: HeartbeatVerdict,
     },
-    /// All answers since the last event of this kind, once a scheduling round.
+    /// Counts of all answers since the previous event of this kind, once per round of the fairness
+    /// ledger.
     Summary(HeartbeatSummary),
 }
 
-/// How heartbeats were answered, and the knowledge that the answers rested on.
+/// Counts of answers to heartbeats, and the state of knowledge on which the answers are based.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeartbeatSummary {
-    /// The fencing token that this controller leads with; 0 if it does not lead.
+    /// The fencing token of this leader; 0 if this controller does not lead.
     pub token: FencingToken,
     /// Whether this controller holds a valid leader lease.
     pub holds_valid_lease: bool,
-    /// The store's revision up to which jobs are known; 0 if none is.
+    /// The store's revision of the job cache; 0 if the jobs have not been read.
     pub jobs_revision: Revision,
-    /// Milliseconds since that was read, if it was.
+    /// Age of the job cache in milliseconds, if the jobs have been read.
     pub jobs_age_ms: Option<Ms>,
-    /// The answers, counted.
+    /// Counts of the answers.
     pub counters: AnswerCounters,
 }
 
-/// Admission of submissions.
+/// Events of the admission of submissions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionEvent {
-    /// Whether submissions need an admission quota has changed.
+    /// The enforcement of admission quotas was turned on or off.
     Mode {
-        /// Whether they do.
+        /// Whether quotas are enforced now.
         quotas_bind: bool,
     },
-    /// The leader gives a controller a new admission quota.
+    /// The leader planned a new admission quota for a controller.
     QuotaPlanned {
         /// The team.
         team: String,
         /// The controller.
         controller: String,
-        /// Quota by class.
+        /// The quotas of the classes.
         classes: Vec<ClassQuota>,
     },
-    /// Submissions that were told to come back, by reason, once a scheduling round.
+    /// Counts of submissions that were not admitted, once per round of the fairness ledger.
     Refused {
-        /// How often each reason was given.
+        /// Number of submissions by reason.
         reasons: Vec<(RejectionReason, u64)>,
     },
-    /// The record of an admission quota cannot be read; nothing is accepted on it.
+    /// The record of an admission quota cannot be decoded. No job is accepted under it.
     QuotaUnreadable {
-        /// Its key.
+        /// The key of the record.
         key: String,
     },
 }
 
-/// The part of an admission quota that is one class's.
+/// The entry of one class in an admission quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassQuota {
-    /// The class; empty for all that have no entry of their own.
+    /// The class; empty for the entry of all classes that the quota does not name.
     pub class: String,
     /// Jobs that may be accepted.
     pub jobs: u32,
@@ -413,32 +415,32 @@
     pub work: f64,
 }
 
-/// Records of the store.
+/// Events of records in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreEvent {
-    /// The record of a job cannot be read; questions about it are answered 503.
+    /// The record of a job cannot be decoded. Requests for the job are answered with 503.
     JobUnreadable {
         /// The job.
         job: JobId,
     },
-    /// A part of the machine registry cannot be read and is left as it is.
+    /// A record of the machine registry cannot be decoded and is left unchanged.
     RegistryUnreadable {
-        /// Its key.
+        /// The key of the record.
         key: String,
     },
-    /// The store rejected a transaction for good; its keys rest for a while.
+    /// The store rejected a transaction permanently. Its keys are not written again for a while.
     WriteRejected {
         /// The keys.
         keys: String,
     },
 }
 
-/// Families convert into [`LogEvent`], so that callers name the event alone.
+/// Implements the conversion of events of each group into [`LogEvent`].
 macro_rules! into_log_event {
-    ($($family:ident($event:ty)),* $(,)?) => {
+    ($($group:ident($event:ty)),* $(,)?) => {
         $(impl From<$event> for LogEvent {
             fn from(event: $event) -> Self {
-                LogEvent::$family(event)
+                LogEvent::$group(event)
             }
         })*
     };
--- a/crates/basaltrail-core/src/inspection.rs
+++ b/crates/basaltrail-core/src/inspection.rs
@@ -1,49 +1,48 @@
-//! What a controller tells operators of limits, use, backlog and admission quotas.
+//! The report of a controller on limits, usage, backlog and admission quotas, for operators.
 
 use crate::model::Revision;
 
-/// What one class of a team has here.
+/// The report on one class of a team.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassReport {
-    /// The class; empty for all that are not named.
+    /// The class; empty for the entry of all classes that the quota does not name.
     pub class: String,
-    /// Unfinished jobs of it, on all controllers.
+    /// Unfinished jobs of the class, accepted by any controller.
     pub jobs: u32,
-    /// Jobs and CPU-seconds that this controller may accept until the next quota; none where
-    /// quotas do not bind.
+    /// Jobs and CPU-seconds of the quota of this controller; `None` if quotas are not enforced.
     pub allotted: Option<(u32, f64)>,
-    /// Jobs and CPU-seconds that are left of them.
+    /// Jobs and CPU-seconds of the quota that are not used yet.
     pub left: Option<(u32, f64)>,
 }
 
-/// One team.
+/// The report on one team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamReport {
-    /// Its name.
+    /// The name of the team.
     pub team: String,
-    /// CPUs that it is guaranteed.
+    /// Guaranteed CPUs.
     pub guaranteed: f64,
-    /// CPUs that it may use; none without a limit.
+    /// Limit of CPUs; `None` if the team has no limit.
     pub limit: Option<f64>,
-    /// CPUs that its tasks may be using; only the leader knows.
+    /// CPUs that the tasks of the team may be using; `None` unless this controller leads.
     pub used: Option<f64>,
-    /// Submissions that this controller did not admit since its process began.
+    /// Submissions that this controller did not admit since its process started.
     pub refused: u64,
-    /// Its classes.
+    /// Reports on the classes of the team.
     pub classes: Vec<ClassReport>,
 }
 
-/// One controller's report.
+/// The report of one controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitsReport {
-    /// The controller that tells.
+    /// The controller that made the report.
     pub controller: String,
-    /// The controller that leads, as far as is known here.
+    /// The leader, as far as this controller knows.
     pub leader: Option<String>,
-    /// The revision up to which jobs and quotas are known here.
+    /// The store's revision up to which this controller knows jobs and quotas.
     pub revision: Revision,
-    /// Whether admission quotas bind.
+    /// Whether admission quotas are enforced.
     pub allotted: bool,
-    /// Every team of the settings.
+    /// Reports on all teams in the settings.
     pub teams: Vec<TeamReport>,
 }
--- a/crates/basaltrail-core/src/lib.rs
+++ b/crates/basaltrail-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! basaltrail's decisions, without I/O: inputs go in, effects come out.
+//! The decision logic of basaltrail's controller, without I/O: it maps inputs to effects.
 //!
-//! [`Controller::step`] is the only way in. The program (crate `basaltrail`) reads the clocks, carries
-//! the effects out and writes the log; the protocol crate knows the bodies on the wire.
+//! [`Controller::step`] is the only entry point. The program (crate `basaltrail`) reads the clocks,
+//! executes the effects and writes the log; the protocol crate defines the wire formats.
 
 pub mod answer;
 pub mod controller;
