--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -96,7 +96,7 @@
                 incarnation: cfg.incarnation,
                 allocates_quotas: cfg.policy.admission.is_some(),
                 lease_ttl_ms: lease_ttl,
-                lease_validity_ms: cfg.less_drift_margin(lease_ttl),
+                lease_validity_ms: cfg.minus_drift_margin(lease_ttl),
             }),
             job_cache: JobCache::new(max_outcomes),
             job_watch: JobWatch::default(),
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -173,7 +173,7 @@
     /// Expires leases that have certainly ended, and withdraws what was not sent to machines
     /// that went silent.
     fn check_machines(&mut self, ctx: &Context, calls: &mut Calls) {
-        let lease_ms = ctx.cfg.with_drift_margin(ctx.cfg.lease_ms);
+        let lease_ms = ctx.cfg.plus_drift_margin(ctx.cfg.lease_ms);
         let silence_ms = ctx.cfg.heartbeat_interval_ms * SILENCE_INTERVALS;
         let reachable_since = self.liveness.reachable_since;
         let expires = |m: &Machine| !m.lease_expired && ctx.now > m.lease_renewed_at + lease_ms;
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -94,7 +94,7 @@
             job_back_offs.chain(avoided_machines).chain(full_machines).filter(|at| *at > ctx.now);
         let guarantee_overdue_at = ctx
             .cfg
-            .guarantee_patience_ms()
+            .guarantee_wait_ms()
             .and_then(|patience_ms| self.guarantee_waits.next_overdue_at(ctx.now, patience_ms));
         back_off_ends.min().into_iter().chain(guarantee_overdue_at).min().unwrap_or(Ms::MAX)
     }
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
@@ -183,7 +183,7 @@
             load.add_job(ctx, job);
         }
         feasible.extend(load.incomplete_services.iter().map(|job| (*job, 0.0)));
-        let share_cpus = match ctx.cfg.teams[team].without_guarantee() {
+        let share_cpus = match ctx.cfg.teams[team].has_no_guarantee() {
             // The capacity that other teams will leave to this one is unknown. Measured by its
             // quota, none of its jobs would be feasible, and its longest tasks would start first.
             true => fleet_cpus,
--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -199,7 +199,7 @@
             unused_guarantee_cpus: (ctx.cfg.teams[job.team].cpus - self.used[job.team].cpus)
                 .max(0.0),
             is_urgent: is_urgent(ctx, scheduler, job),
-            is_guarantee_overdue: ctx.cfg.guarantee_patience_ms().is_some_and(|patience_ms| {
+            is_guarantee_overdue: ctx.cfg.guarantee_wait_ms().is_some_and(|patience_ms| {
                 scheduler.guarantee_waits.is_overdue(job.team, ctx.now, patience_ms)
             }),
         };
--- a/crates/basaltrail-core/src/settings.rs
+++ b/crates/basaltrail-core/src/settings.rs
@@ -1,61 +1,62 @@
-//! What the platform and the operators set. Times elsewhere in the core are ratios to these, since
-//! deployments differ widely in them; the program reads them from its files.
+//! The settings of the platform and of the operators, read by the program from its files.
+//!
+//! Other times in the core are derived as ratios of these, since deployments differ widely in them.
 
 use crate::model::{fits, JobSpec, Ms};
 use crate::resources::Resources;
 use basaltrail_admission::BacklogBounds;
 
-/// A team, with its guarantee and its limit.
+/// A team with its guarantee and its limit.
 #[derive(Clone, Debug)]
 pub struct Team {
-    /// Its name.
+    /// The name of the team.
     pub name: String,
-    /// CPUs that it is guaranteed; 0 for a guest.
+    /// Guaranteed CPUs; 0 without a guarantee.
     pub cpus: f64,
-    /// CPUs that it may use; infinite without a limit.
+    /// Limit of CPUs; infinite without a limit.
     pub cpus_max: f64,
-    /// GPUs that it is guaranteed.
+    /// Guaranteed GPUs.
     pub gpus: f64,
-    /// GPUs that it may use; infinite without a limit.
+    /// Limit of GPUs; infinite without a limit.
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// Without a guarantee: what it runs is borrowed.
-    pub fn without_guarantee(&self) -> bool {
+    /// Returns whether the team has no guarantee, so that it only runs on borrowed capacity.
+    pub fn has_no_guarantee(&self) -> bool {
         self.cpus <= 0.0
     }
 
-    /// How many more tasks of a job the limit allows beside what the team may be using.
+    /// Returns how many more tasks of a job the limit allows, given what the team may be using.
     pub fn tasks_within_limit(&self, used: Resources, job: &JobSpec) -> u32 {
-        // What an unknown type of machine may hold is infinite as well: nothing of it
-        // counts against a team without a limit.
-        let within = |limit: f64, used: f64, need: f64| match limit.is_infinite() {
+        // The use of a machine of an unknown type may be infinite, too, and infinity minus infinity
+        // is not a number: no use counts against an infinite limit.
+        let count = |limit: f64, used: f64, demand: f64| match limit.is_infinite() {
             true => u32::MAX,
-            false => fits(limit - used, need),
+            false => fits(limit - used, demand),
         };
-        within(self.cpus_max, used.cpus, job.cpus).min(within(self.gpus_max, used.gpus, job.gpus))
+        count(self.cpus_max, used.cpus, job.cpus).min(count(self.gpus_max, used.gpus, job.gpus))
     }
 }
 
-/// When jobs of a class should have begun or be complete.
+/// An objective for the start or the completion of the jobs of a class.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Objective {
-    /// Complete by its own deadline.
+    /// Each job completes by its own deadline.
     Deadline {
         /// The class.
         class: String,
-        /// The deadline, counted from the submission, is stretched by this factor.
+        /// Factor by which the time from the submission to the deadline is multiplied.
         times: f64,
     },
-    /// Complete within a time.
+    /// Each job completes within a fixed time.
     Finished {
         /// The class.
         class: String,
         /// Seconds from the submission.
         within_s: f64,
     },
-    /// All tasks begun within a time.
+    /// All tasks of each job start within a fixed time.
     Begun {
         /// The class.
         class: String,
@@ -64,57 +65,60 @@
     },
 }
 
-/// One controller's settings.
+/// The settings of one controller.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The name of this controller.
     pub controller: String,
-    /// Its zone.
+    /// The zone of this controller.
     pub zone: String,
-    /// Controllers in all, this one included.
+    /// Number of controllers, including this one.
     pub controller_count: usize,
-    /// Zones where machines may be rented.
+    /// Zones in which machines may be provisioned.
     pub zones: Vec<String>,
-    /// Zones of the other controllers, one for each.
+    /// Zones of the other controllers, one entry for each controller.
     pub peer_zones: Vec<String>,
     /// The teams.
     pub teams: Vec<Team>,
-    /// What is expected of classes of jobs.
+    /// The objectives of classes.
     pub objectives: Vec<Objective>,
-    /// Milliseconds between two heartbeats of a worker.
+    /// Interval between heartbeats of a worker, in milliseconds.
     pub heartbeat_interval_ms: Ms,
-    /// Milliseconds of a worker's lease.
+    /// Duration of a worker lease, in milliseconds.
     pub lease_ms: Ms,
-    /// Milliseconds after which no task of a cancelled job may be on a machine.
+    /// Maximum time from the answer to a cancellation until all tasks of the job are gone, in
+    /// milliseconds.
     pub cancel_ms: Ms,
-    /// Requests per second that the store takes of all controllers together.
+    /// Requests per second that the store accepts from all controllers together.
     pub store_rps: f64,
-    /// Puts and deletes per second that the store takes of all controllers together.
+    /// Puts and deletes per second that the store accepts from all controllers together.
     pub write_rps: f64,
-    /// Bytes of one value of the store.
+    /// Maximum size of a value in the store, in bytes.
     pub value_bytes: usize,
-    /// Puts and deletes of one transaction of the store; preconditions may be four times as many.
+    /// Maximum number of puts and deletes in a transaction of the store. A transaction may have
+    /// four times as many preconditions.
     pub transaction_ops: usize,
-    /// Requests per second that the cloud takes of all controllers together.
+    /// Requests per second that the cloud accepts from all controllers together.
     pub cloud_rps: f64,
-    /// Milliseconds by which the cloud's list of machines lags; at times twice as many.
+    /// Lag of the cloud's inventory, in milliseconds; at times it is twice as long.
     pub list_lag_ms: Ms,
-    /// Megabytes of memory of this process.
+    /// Memory of this process, in megabytes.
     pub memory_mb: f64,
-    /// Machines that may report to one controller beside its users.
+    /// Maximum number of machines that can send heartbeats to one controller in addition to the
+    /// requests of users.
     pub max_machines: usize,
-    /// Differs at every start of the process.
+    /// Identifier of this run of the process, different at each start.
     pub incarnation: u64,
-    /// The operators' own settings.
+    /// The settings of the operators.
     pub policy: Policy,
 }
 
-/// How the backlogs of the teams are bounded, and what classes of a team get.
+/// The bound of each team's backlog, and the least share of each class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionPolicy {
-    /// Seconds of work that may wait of a team, at the rate at which it is served.
+    /// Maximum backlog of a team: seconds of work at the rate at which the team is served.
     pub backlog_s: f64,
-    /// The part of its team's CPUs that a class with work gets, whatever its priority.
+    /// Fraction of a team's CPUs that each class with work gets, regardless of priority.
     pub class_least: f64,
 }
 
@@ -124,40 +128,43 @@
     }
 }
 
-/// Active jobs that a megabyte of memory bears.
+/// Active jobs per megabyte of memory.
 const ACTIVE_JOBS_PER_MB: f64 = 100.0;
-/// The least number of active jobs.
+/// Lower bound of [`Settings::max_active_jobs`].
 const MIN_ACTIVE_JOBS: f64 = 100.0;
-/// Changes of the store that a job takes in all: its acceptance, its outcome (two), and a part of
-/// its completions.
-const CHANGES_PER_JOB: f64 = 4.0;
-/// The part of the store's changes that a leader has for the outcomes of jobs.
-const CHANGES_FOR_JOBS: f64 = 0.4;
-/// The shortest and the longest lease, in milliseconds, that the store grants (PROTOCOL, "POST
+/// Puts and deletes in the store per job: one for its acceptance, two for its outcome, and a part of
+/// the writes of completion records.
+const WRITES_PER_JOB: f64 = 4.0;
+/// Fraction of the store's write rate that the leader may use for job outcomes.
+const OUTCOME_WRITE_FRACTION: f64 = 0.4;
+/// The shortest and the longest lease that the store grants, in milliseconds (PROTOCOL, "POST
 /// /grants").
 const LEADER_LEASE_RANGE_MS: (Ms, Ms) = (100, 600_000);
 
-/// The operators' own settings; every one has a default.
+/// The settings of the operators. Each has a default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// The leader's lease as a part of the workers' lease.
+    /// Duration of the leader lease, as a fraction of the duration of a worker lease.
     pub leader_lease: f64,
-    /// Seconds between two rounds of the fair-share ledger.
+    /// Duration of a round of the fairness ledger, in seconds.
     pub round_s: f64,
-    /// Seconds of use that a grant of the fair-share ledger counts for at once.
+    /// Seconds of use that the fairness ledger charges in advance when a task is assigned.
     pub lease_term_s: f64,
-    /// Capacity kept ready, as a multiple of the summed guarantees, where cost is no objective.
+    /// Capacity to keep ready, as a multiple of the sum of all guarantees, where cost is not an
+    /// objective.
     pub headroom: f64,
-    /// Seconds that a machine may idle before it is returned where cost is an objective.
+    /// Seconds for which a machine may be idle before it is terminated, where cost is an objective.
     pub idle_s: f64,
-    /// Machines looked at for one placement before sampling starts.
+    /// Maximum number of machines to evaluate for a placement. If there are more, a random sample
+    /// of this size is evaluated.
     pub sample: usize,
-    /// Workers' leases that a team within its guarantee waits before work that others borrowed
-    /// is stopped for it even if it cannot save; never if not set.
+    /// Time that a team within its guarantee waits before tasks on borrowed capacity are preempted
+    /// for it even if they cannot save their progress, as a multiple of the duration of a worker
+    /// lease. Such tasks are never preempted if `None`.
     pub guarantee_leases: Option<f64>,
-    /// Bounds of the backlogs, handed out in admission quotas; none if not set.
+    /// Bounds of the backlogs, enforced by admission quotas; backlogs are unbounded if `None`.
     pub admission: Option<AdmissionPolicy>,
-    /// Weights by team; a team that is not named weighs its guarantee.
+    /// Fair-share weights by team name. The default weight of a team is its guarantee in CPUs.
     pub weights: Vec<(String, f64)>,
 }
 
@@ -178,57 +185,60 @@
 }
 
 impl Settings {
-    /// The zone with the most controllers, where nothing better is known.
+    /// Returns the zone with the most controllers, which stands in for an unknown primary zone.
     pub fn busiest_zone(&self) -> &str {
         let all = || self.peer_zones.iter().chain([&self.zone]);
         let count = |zone: &String| all().filter(|other| *other == zone).count();
         all().max_by_key(|zone| (count(zone), *zone)).map_or("", |zone| zone)
     }
 
-    /// Milliseconds of the leader's lease.
+    /// Returns the duration of the leader lease, in milliseconds.
     pub fn leader_lease_ms(&self) -> Ms {
         let (min, max) = LEADER_LEASE_RANGE_MS;
         ((self.lease_ms as f64 * self.policy.leader_lease) as Ms).clamp(min, max)
     }
 
-    /// Milliseconds between two rounds of the fair-share ledger.
+    /// Returns the duration of a round of the fairness ledger, in milliseconds.
     pub fn round_ms(&self) -> Ms {
         (self.policy.round_s * 1000.0) as Ms
     }
 
-    /// A span of our clock after which a span of `ms` is over by any other. Clocks drift apart by
-    /// 0.05% (PROTOCOL); the margin is four times that, and 50 ms.
-    pub fn with_drift_margin(&self, ms: Ms) -> Ms {
+    /// Returns a duration on the local clock after which `ms` have passed on the clock of any other
+    /// process. Clocks drift apart by up to 0.05% (PROTOCOL); the margin is four times that plus
+    /// 50 ms.
+    pub fn plus_drift_margin(&self, ms: Ms) -> Ms {
         ms + ms / 500 + 50
     }
 
-    /// A span of our clock that is over before a span of `ms` is by any other.
-    pub fn less_drift_margin(&self, ms: Ms) -> Ms {
+    /// Returns a duration on the local clock that ends before `ms` have passed on the clock of any
+    /// other process.
+    pub fn minus_drift_margin(&self, ms: Ms) -> Ms {
         ms - ms / 500
     }
 
-    /// How old the leader's knowledge of jobs may be while it still answers workers: what it
-    /// answers last keeps a task for a worker's lease, and a task of a cancelled job must be
-    /// gone `cancel_s` after its user was told.
+    /// Returns the maximum age of the leader's job cache at which it may renew worker leases, in
+    /// milliseconds. A renewal keeps a task running for one more worker lease, and the tasks of a
+    /// cancelled job must be gone `cancel_ms` after the answer to the user.
     pub fn max_job_cache_age_ms(&self) -> Ms {
-        self.cancel_ms.saturating_sub(self.with_drift_margin(self.lease_ms)).max(self.cancel_ms / 4)
+        self.cancel_ms.saturating_sub(self.plus_drift_margin(self.lease_ms)).max(self.cancel_ms / 4)
     }
 
-    /// How long one watch of the jobs waits for a change.
+    /// Returns the time for which a watch of the jobs waits for a change, in milliseconds.
     pub fn watch_timeout_ms(&self) -> Ms {
         (self.cancel_ms / 6).min(self.max_job_cache_age_ms() / 3)
     }
 
-    /// Active jobs that a controller's memory bears.
+    /// Returns the maximum number of active jobs that the memory of a controller allows.
     pub fn max_active_jobs(&self) -> usize {
         (self.memory_mb * ACTIVE_JOBS_PER_MB).max(MIN_ACTIVE_JOBS) as usize
     }
 
-    /// What bounds the backlog of all teams, if the operators bound it.
+    /// Returns the bounds of the backlogs, if the operators set them.
     pub fn admission_bounds(&self) -> Option<BacklogBounds> {
         let policy = self.policy.admission.as_ref()?;
-        // More jobs than could end within the horizon would wait for the store.
-        let outcomes = policy.backlog_s * self.write_rps * CHANGES_FOR_JOBS / CHANGES_PER_JOB;
+        // If more jobs were accepted than the store can record the outcomes of within the horizon,
+        // they would wait for the store.
+        let outcomes = policy.backlog_s * self.write_rps * OUTCOME_WRITE_FRACTION / WRITES_PER_JOB;
         Some(BacklogBounds {
             horizon_s: policy.backlog_s,
             jobs: outcomes.min(self.max_active_jobs() as f64) as u32,
@@ -236,24 +246,25 @@
         })
     }
 
-    /// A team's part of all weights.
+    /// Returns a team's fraction of the sum of all weights.
     pub fn weight_share(&self, team: usize) -> f64 {
         let sum: f64 = (0..self.teams.len()).map(|team| self.weight(team)).sum();
         self.weight(team) / sum.max(1e-9)
     }
 
-    /// How long a team within its guarantee waits for work that cannot save; for ever if the
-    /// operators set nothing.
-    pub fn guarantee_patience_ms(&self) -> Option<Ms> {
+    /// Returns the time that a team within its guarantee waits before tasks that cannot save their
+    /// progress are preempted for it, in milliseconds; see [`Policy::guarantee_leases`].
+    pub fn guarantee_wait_ms(&self) -> Option<Ms> {
         self.policy.guarantee_leases.map(|leases| (self.lease_ms as f64 * leases) as Ms)
     }
 
-    /// The index of a team.
+    /// Returns the index of a team.
     pub fn team(&self, name: &str) -> Option<usize> {
         self.teams.iter().position(|team| team.name == name)
     }
 
-    /// The times, in seconds from submission, by which the objectives want a job complete.
+    /// Returns the times by which the objectives require a job to complete, in seconds from its
+    /// submission.
     pub fn completion_objectives_s<'a>(
         &'a self,
         job: &'a JobSpec,
@@ -267,7 +278,8 @@
         })
     }
 
-    /// The times, in seconds from submission, by which its tasks are to have begun.
+    /// Returns the times by which the objectives require all tasks of a job to start, in seconds
+    /// from its submission.
     pub fn start_objectives_s<'a>(&'a self, job: &'a JobSpec) -> impl Iterator<Item = f64> + 'a {
         self.objectives.iter().filter_map(|objective| match objective {
             Objective::Begun { class, within_s } if *class == job.class => Some(*within_s),
@@ -275,15 +287,15 @@
         })
     }
 
-    /// A team's weight in the fair share.
+    /// Returns the fair-share weight of a team.
     pub fn weight(&self, team: usize) -> f64 {
         let team = &self.teams[team];
-        let set = self.policy.weights.iter().find(|(name, _)| *name == team.name);
-        set.map_or(team.cpus.max(1.0), |(_, weight)| *weight)
+        let configured = self.policy.weights.iter().find(|(name, _)| *name == team.name);
+        configured.map_or(team.cpus.max(1.0), |(_, weight)| *weight)
     }
 }
 
-/// Settings, a job and a machine type that unit tests start from.
+/// Settings, a job and a machine type for unit tests.
 #[cfg(test)]
 pub(crate) mod sample {
     use super::{Policy, Settings};
