--- a/crates/basaltrail-core/src/model.rs
+++ b/crates/basaltrail-core/src/model.rs
@@ -60,7 +60,7 @@
 pub struct AgentEpoch(pub u64);
 
 impl AgentEpoch {
-    /// The epoch of a worker that has not sent a heartbeat yet.
+    /// Epoch 0, of a worker that has not sent a heartbeat yet.
     pub const NONE: AgentEpoch = AgentEpoch(0);
 
     /// Returns the epoch that follows this one.
