--- a/crates/basaltrail-admission/src/lib.rs
+++ b/crates/basaltrail-admission/src/lib.rs
@@ -1,11 +1,10 @@
-//! Admission of submissions, agreed between all controllers, without I/O.
+//! Admission control for submissions across all controllers, without I/O.
 //!
-//! The leader bounds the backlog of each team and hands out parts of the bound, admission quotas,
-//! to the controllers ([`QuotaPlanner`]). A controller admits submissions out of its quotas in
-//! memory ([`QuotaLimiter`]) and makes each acceptance conditional on the mod revision of the
-//! quota's record, so that nothing is accepted out of a record that has been replaced. What is
-//! known of the records, and of what was accepted under each, is a [`QuotaCache`], which every
-//! controller keeps by its watch of the store.
+//! The leader bounds the backlog of each team and divides the bound among the controllers as
+//! admission quotas ([`QuotaPlanner`]). A controller admits submissions within its quotas in memory
+//! ([`QuotaLimiter`]). Each acceptance is conditional on the mod revision of the quota's record, so
+//! that no job is accepted under a record that has been replaced. Every controller maintains a
+//! [`QuotaCache`] of the records and of the jobs accepted under each, from its watch of the store.
 #![warn(missing_docs)]
 
 mod limiter;
--- a/crates/basaltrail-admission/src/limiter.rs
+++ b/crates/basaltrail-admission/src/limiter.rs
@@ -1,4 +1,4 @@
-//! The controller's side: what it admits out of its quotas.
+//! The controller's side of admission: admits submissions within the quotas.
 
 use crate::quota::JobDemand;
 use crate::quota_cache::{CachedQuota, QuotaCache};
@@ -6,31 +6,31 @@
 use crate::work_amount::WorkAmount;
 use std::collections::BTreeMap;
 
-/// Seconds after which a submission is tried again while its controller waits for a quota.
+/// Seconds after which a submission may be retried while its controller waits for a quota.
 const RETRY_SOON_S: u32 = 1;
 
-/// Whether quotas bind.
+/// The enforcement of quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaMode {
-    /// The leader hands out none: everything is admitted.
+    /// The leader does not plan quotas: all submissions are admitted.
     Unlimited,
-    /// Nothing is admitted without a quota.
+    /// Submissions are only admitted within a quota.
     Enforced,
 }
 
-/// Why a submission is not admitted now.
+/// The reason why a submission is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
     /// This process has no quota yet.
     NoQuota,
-    /// A newer quota has been written and is not known here yet.
+    /// The quota has been replaced, and the cache does not have the new one yet.
     QuotaReplaced,
     /// The quota is used up.
     BacklogFull,
 }
 
 impl RejectionReason {
-    /// Its name in logs and reports.
+    /// Returns the name of the reason in logs and reports.
     pub fn name(self) -> &'static str {
         match self {
             RejectionReason::NoQuota => "no_allotment",
@@ -40,91 +40,92 @@
     }
 }
 
-/// A submission is not admitted now.
+/// The rejection of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaRejection {
-    /// Why.
+    /// The reason.
     pub reason: RejectionReason,
-    /// Seconds after which it may be admitted.
+    /// Seconds after which the submission may be retried.
     pub retry_after_s: u32,
 }
 
-/// What is reserved of a quota for one submission. Its acceptance is conditional on the quota's
-/// mod revision.
+/// The part of a quota that is reserved for one submission. The acceptance of the job must be
+/// conditional on the mod revision of the quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reservation {
     demand: JobDemand,
     /// The index of the quota's entry.
     entry: usize,
     cost: WorkAmount,
-    /// The mod revision of the quota; none where quotas do not bind.
+    /// The mod revision of the quota; `None` if quotas were not enforced.
     mod_revision: Option<Revision>,
 }
 
 impl Reservation {
-    /// The team whose quota must still have this mod revision when the job is accepted.
+    /// Returns the team and the mod revision that the team's quota must still have when the job is
+    /// accepted; `None` if the acceptance is not conditional.
     pub fn precondition(&self) -> Option<(&str, Revision)> {
         self.mod_revision.map(|mod_revision| (self.demand.team.as_str(), mod_revision))
     }
 }
 
-/// What became of an acceptance.
+/// Whether the acceptance of a job used its reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptanceOutcome {
-    /// It was carried out, or may be.
+    /// The acceptance was committed, or may still be.
     Used,
-    /// It was not carried out, and never will be.
+    /// The acceptance was not executed and never will be.
     NotUsed,
 }
 
-/// What this process has reserved of one quota.
+/// The amounts that this process has reserved of one quota.
 #[derive(Clone, Debug, Default)]
-struct Spending {
-    /// The quota's mod revision.
+struct QuotaUsage {
+    /// The mod revision of the quota.
     mod_revision: Revision,
-    /// By entry of the quota.
+    /// Reserved amounts, by index of the quota's entry.
     used: Vec<WorkAmount>,
-    /// An acceptance under this mod revision failed: the quota has been replaced.
-    replaced: bool,
+    /// Whether an acceptance failed since the quota has been replaced.
+    is_replaced: bool,
 }
 
-/// Admits submissions out of the quotas of one process of a controller.
+/// Admits submissions within the quotas of one process of a controller.
 #[derive(Clone, Debug)]
 pub struct QuotaLimiter {
     controller: String,
     incarnation: u64,
     mode: QuotaMode,
-    /// By team.
-    spending: BTreeMap<String, Spending>,
+    /// Use of the quotas, by team.
+    usage: BTreeMap<String, QuotaUsage>,
 }
 
 impl QuotaLimiter {
-    /// The limiter of a process that has just started.
+    /// Creates the limiter of a process that has just started.
     pub fn new(controller: &str, incarnation: u64, mode: QuotaMode) -> Self {
-        QuotaLimiter { controller: controller.into(), incarnation, mode, spending: BTreeMap::new() }
+        QuotaLimiter { controller: controller.into(), incarnation, mode, usage: BTreeMap::new() }
     }
 
-    /// Whether quotas bind.
+    /// Returns whether quotas are enforced.
     pub fn mode(&self) -> QuotaMode {
         self.mode
     }
 
-    /// Sets whether quotas bind: the leader says so.
+    /// Sets whether quotas are enforced, as the leader decides.
     pub fn set_mode(&mut self, mode: QuotaMode) {
         self.mode = mode;
     }
 
-    /// This process's quota of a team.
+    /// Returns the quota of a team if it was planned for this process.
     fn own_quota<'a>(&self, cache: &'a QuotaCache, team: &str) -> Option<&'a CachedQuota> {
         let cached = cache.quota(team, &self.controller);
         cached.filter(|cached| cached.quota.incarnation == self.incarnation)
     }
 
-    /// Reserves what a submission takes.
+    /// Reserves the cost of a submission.
     ///
     /// # Errors
     ///
-    /// If there is no quota for it, or nothing left of it.
+    /// Returns a rejection if there is no current quota for the submission or the quota is used up.
     pub fn admit(
         &mut self,
         cache: &QuotaCache,
@@ -141,63 +142,63 @@
         let Some(entry) = cached.quota.entry_index(&demand.class) else {
             return reject(RejectionReason::NoQuota, RETRY_SOON_S);
         };
-        let spending = self.spending.entry(demand.team.clone()).or_default();
-        if spending.mod_revision != cached.mod_revision {
+        let usage = self.usage.entry(demand.team.clone()).or_default();
+        if usage.mod_revision != cached.mod_revision {
             let used = vec![WorkAmount::default(); cached.quota.classes.len()];
-            *spending = Spending { mod_revision: cached.mod_revision, used, replaced: false };
+            *usage = QuotaUsage { mod_revision: cached.mod_revision, used, is_replaced: false };
         }
-        if spending.replaced {
+        if usage.is_replaced {
             return reject(RejectionReason::QuotaReplaced, RETRY_SOON_S);
         }
         let class = &cached.quota.classes[entry];
-        if !class.amount().minus(spending.used[entry]).admits_job() {
+        if !class.amount().minus(usage.used[entry]).admits_job() {
             let retry_after_s = class.retry_after_s.max(RETRY_SOON_S);
             return reject(RejectionReason::BacklogFull, retry_after_s);
         }
         let cost = demand.cost(cached.quota.horizon_s);
-        spending.used[entry] = spending.used[entry].plus(cost);
+        usage.used[entry] = usage.used[entry].plus(cost);
         Ok(Reservation { demand, entry, cost, mod_revision: Some(cached.mod_revision) })
     }
 
-    /// Whether a reservation still holds. One that does not is to be renewed before its submission
-    /// is sent.
+    /// Returns whether a reservation is still valid. If it is not, it must be renewed before the
+    /// acceptance of the job is sent to the store.
     pub fn is_current(&self, cache: &QuotaCache, reservation: &Reservation) -> bool {
         match (self.mode, reservation.mod_revision) {
             (QuotaMode::Unlimited, _) => true,
             (QuotaMode::Enforced, None) => false,
             (QuotaMode::Enforced, Some(mod_revision)) => {
                 let team = &reservation.demand.team;
-                let replaced = self.spending.get(team).is_some_and(|spending| spending.replaced);
+                let is_replaced = self.usage.get(team).is_some_and(|usage| usage.is_replaced);
                 let cached = cache.quota(team, &self.controller);
-                cached.is_some_and(|cached| cached.mod_revision == mod_revision) && !replaced
+                cached.is_some_and(|cached| cached.mod_revision == mod_revision) && !is_replaced
             }
         }
     }
 
-    /// Takes what became of the acceptance that a reservation was for; what was not used is
-    /// available again.
+    /// Ends a reservation by the outcome of its acceptance. A reservation that was not used is
+    /// released.
     pub fn settle(&mut self, reservation: &Reservation, outcome: AcceptanceOutcome) {
-        let Some(spending) = self.spending.get_mut(&reservation.demand.team) else { return };
-        let same_quota = Some(spending.mod_revision) == reservation.mod_revision;
+        let Some(usage) = self.usage.get_mut(&reservation.demand.team) else { return };
+        let same_quota = Some(usage.mod_revision) == reservation.mod_revision;
         if outcome == AcceptanceOutcome::NotUsed && same_quota {
-            let used = &mut spending.used[reservation.entry];
+            let used = &mut usage.used[reservation.entry];
             *used = used.minus(reservation.cost);
         }
     }
 
-    /// An acceptance failed since its quota has been replaced. Nothing more is admitted out of
-    /// that quota.
+    /// Marks the quota of a reservation as replaced, after an acceptance failed for that reason. No
+    /// more submissions are admitted under that quota.
     pub fn mark_replaced(&mut self, reservation: &Reservation) {
-        if let Some(spending) = self.spending.get_mut(&reservation.demand.team) {
-            spending.replaced |= Some(spending.mod_revision) == reservation.mod_revision;
+        if let Some(usage) = self.usage.get_mut(&reservation.demand.team) {
+            usage.is_replaced |= Some(usage.mod_revision) == reservation.mod_revision;
         }
     }
 
-    /// Gives a reservation back and reserves the same of the present quota.
+    /// Releases a reservation and makes a new one under the current quota.
     ///
     /// # Errors
     ///
-    /// As [`QuotaLimiter::admit`]; the reservation is given back all the same.
+    /// As [`QuotaLimiter::admit`]. The reservation is released even then.
     pub fn renew(
         &mut self,
         cache: &QuotaCache,
@@ -207,10 +208,10 @@
         self.admit(cache, reservation.demand)
     }
 
-    /// Whether this controller has used up what the leader takes for unspent, so that it has to
-    /// request another quota. What became of some acceptances was never heard, and they were not
-    /// carried out; or jobs that were accepted and have ended were never read of. The leader does
-    /// not replace the record by itself then.
+    /// Returns whether this controller must request another quota, since it has used up an entry that
+    /// the leader considers unspent and would not replace on its own. This happens if acceptances
+    /// with unknown results were not executed, or if jobs were accepted and ended before the cache
+    /// read them.
     pub fn needs_replacement(&self, cache: &QuotaCache, team: &str) -> bool {
         let Some(cached) = cache.quota(team, &self.controller) else { return false };
         let remaining = self.remaining(cache, team);
@@ -221,14 +222,13 @@
         })
     }
 
-    /// What is left of a team's quota here, by entry; nothing without a quota.
+    /// Returns the remaining amounts of a team's quota, by index of the quota's entry; empty without
+    /// a quota.
     pub fn remaining(&self, cache: &QuotaCache, team: &str) -> Vec<WorkAmount> {
         let Some(cached) = self.own_quota(cache, team) else { return Vec::new() };
-        let spending =
-            self.spending.get(team).filter(|spending| spending.mod_revision == cached.mod_revision);
-        let used = |entry| {
-            spending.map_or(WorkAmount::default(), |spending: &Spending| spending.used[entry])
-        };
+        let usage = self.usage.get(team).filter(|usage| usage.mod_revision == cached.mod_revision);
+        let used =
+            |entry| usage.map_or(WorkAmount::default(), |usage: &QuotaUsage| usage.used[entry]);
         let classes = cached.quota.classes.iter().enumerate();
         classes.map(|(entry, class)| class.amount().minus(used(entry))).collect()
     }
--- a/crates/basaltrail-admission/src/quota.rs
+++ b/crates/basaltrail-admission/src/quota.rs
@@ -1,62 +1,63 @@
-//! The record that tells a controller how much it may accept.
+//! The record of an admission quota.
 
 use crate::work_amount::WorkAmount;
 use serde::{Deserialize, Serialize};
 
-/// The class that stands for all classes that a quota does not name.
+/// The class name of the entry for all classes that a quota does not name.
 pub const OTHER_CLASSES: &str = "";
 
-/// The least run time that a task counts for, in seconds: its owner may not know it.
+/// Minimum run time that is counted for a task, in seconds, since users may not know it.
 const MIN_RUN_S: f64 = 1.0;
 
-/// What one submission asks for.
+/// The demand of one job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobDemand {
-    /// Its team.
+    /// The team of the job.
     pub team: String,
-    /// Its class.
+    /// The class of the job.
     pub class: String,
-    /// CPUs of all its tasks together.
+    /// CPUs of all tasks together.
     pub cpus: f64,
-    /// Seconds that each task is estimated to run; none for a service, which does not end.
+    /// Estimated run time of each task, in seconds; `None` for a service, which does not end.
     pub run_s: Option<f64>,
 }
 
 impl JobDemand {
-    /// What the job takes of a quota. Work counts up to the horizon only, so that jobs that fit
-    /// into a team's guarantee together never count for more than the guarantee over it.
+    /// Returns the amount that the job uses of a quota. Run times count up to the horizon only, so
+    /// that jobs that fit into a team's guarantee together never use more than the work of that
+    /// guarantee over the horizon.
     pub fn cost(&self, horizon_s: f64) -> WorkAmount {
-        let run_s = self.run_s.map_or(horizon_s, |run| run.max(MIN_RUN_S).min(horizon_s));
+        let run_s = self.run_s.map_or(horizon_s, |run_s| run_s.max(MIN_RUN_S).min(horizon_s));
         WorkAmount { jobs: 1, work: self.cpus * run_s }
     }
 }
 
-/// How much a controller may accept of one class of a team.
+/// The amount that a controller may accept of one class of a team.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaEntry {
-    /// The class; [`OTHER_CLASSES`] for all that are not named.
+    /// The class; [`OTHER_CLASSES`] for the entry of all classes that are not named.
     #[serde(rename = "c")]
     pub class: String,
-    /// Jobs.
+    /// Number of jobs.
     #[serde(rename = "j")]
     pub jobs: u32,
-    /// CPU-seconds of work.
+    /// Work, in CPU-seconds.
     #[serde(rename = "w")]
     pub work: f64,
-    /// Seconds after which a submission may be admitted again once the entry is used up, as the
-    /// leader estimates.
+    /// The leader's estimate of the time until a submission is admitted again once the entry is used
+    /// up, in seconds.
     #[serde(rename = "s")]
     pub retry_after_s: u32,
 }
 
 impl QuotaEntry {
-    /// Its jobs and work.
+    /// Returns the jobs and work of the entry.
     pub fn amount(&self) -> WorkAmount {
         WorkAmount { jobs: self.jobs, work: self.work }
     }
 }
 
-/// How much one process of a controller may accept of a team's jobs.
+/// The amounts that one process of a controller may accept of a team's jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionQuota {
     /// The team.
@@ -65,27 +66,27 @@
     /// The controller.
     #[serde(rename = "n")]
     pub controller: String,
-    /// The process: a later one of the same controller may accept nothing out of it.
+    /// The incarnation of the process. A later process of the same controller must not use the quota.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Seconds up to which the run time of a task counts.
+    /// Upper bound of the run time that is counted for a task, in seconds.
     #[serde(rename = "h")]
     pub horizon_s: f64,
-    /// One entry for each named class, and one for all others.
+    /// One entry for each named class, and one for all other classes.
     #[serde(rename = "r")]
     pub classes: Vec<QuotaEntry>,
 }
 
 impl AdmissionQuota {
-    /// The index of the entry that a class is counted under.
+    /// Returns the index of the entry that applies to a class.
     pub fn entry_index(&self, class: &str) -> Option<usize> {
         let named = |name: &str| self.classes.iter().position(|entry| entry.class == name);
         named(class).or_else(|| named(OTHER_CLASSES))
     }
 
-    /// Whether its numbers can be counted with: a record may come from another version.
+    /// Returns whether all numbers are in range. A record of another version may hold others.
     pub fn is_valid(&self) -> bool {
-        let valid = |entry: &QuotaEntry| entry.work.is_finite() && entry.work >= 0.0;
-        self.horizon_s.is_finite() && self.horizon_s > 0.0 && self.classes.iter().all(valid)
+        let is_valid = |entry: &QuotaEntry| entry.work.is_finite() && entry.work >= 0.0;
+        self.horizon_s.is_finite() && self.horizon_s > 0.0 && self.classes.iter().all(is_valid)
     }
 }
--- a/crates/basaltrail-admission/src/revision.rs
+++ b/crates/basaltrail-admission/src/revision.rs
@@ -1,9 +1,9 @@
-//! The store's revision, by which records are ordered.
+//! Revisions of the store, which order its records.
 
 use std::fmt;
 
-/// A revision of the key-value store (PROTOCOL: `stamp`, `impression`). Every change of the store
-/// raises it by one; a key's mod revision is the revision of its last change.
+/// A revision of the key-value store (PROTOCOL: `stamp`, `impression`). Each change of the store
+/// increments it by one. The mod revision of a key is the revision of its last change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Revision(pub u64);
 
@@ -11,7 +11,7 @@
     /// The mod revision of a key that does not exist.
     pub const NONE: Revision = Revision(0);
 
-    /// The revision of the change that follows.
+    /// Returns the revision of the next change.
     pub fn next(self) -> Self {
         Revision(self.0 + 1)
     }
--- a/crates/basaltrail-core/src/controller/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -236,7 +236,7 @@
         for team in &self.cfg.teams {
             for controller in self.job_cache.quotas.controller_names() {
                 if quota_key(&team.name, &controller) == key {
-                    self.job_cache.quotas.drop_quota(&team.name, &controller, mod_revision);
+                    self.job_cache.quotas.remove_quota(&team.name, &controller, mod_revision);
                 }
             }
         }
