--- a/crates/basaltrail-admission/tests/limiter.rs
+++ b/crates/basaltrail-admission/tests/limiter.rs
@@ -1,4 +1,4 @@
-//! What a controller admits out of its quotas, and what it rejects.
+//! Tests of the admission of submissions within quotas.
 
 use basaltrail_admission::*;
 
@@ -23,12 +23,12 @@
     cache
 }
 
-fn reason(admitted: Result<Reservation, QuotaRejection>) -> RejectionReason {
-    admitted.expect_err("admitted").reason
+fn rejection_reason(admitted: Result<Reservation, QuotaRejection>) -> RejectionReason {
+    admitted.expect_err("the submission must be rejected").reason
 }
 
 #[test]
-fn a_class_is_admitted_up_to_its_entry_and_others_share_one() {
+fn a_named_class_uses_its_own_entry_and_other_classes_share_one() {
     let cache = cache(quota(1, 2, 1_000.0), 5);
     let mut limiter = QuotaLimiter::new("n", 1, QuotaMode::Enforced);
     for _ in 0..2 {
@@ -39,80 +39,83 @@
     assert_eq!((rejection.reason, rejection.retry_after_s), (RejectionReason::BacklogFull, 7));
     assert!(limiter.admit(&cache, demand("x")).is_ok());
     assert!(limiter.admit(&cache, demand("y")).is_ok());
-    assert_eq!(reason(limiter.admit(&cache, demand("z"))), RejectionReason::BacklogFull);
+    assert_eq!(rejection_reason(limiter.admit(&cache, demand("z"))), RejectionReason::BacklogFull);
     let other_team = JobDemand { team: "u".into(), ..demand("c") };
-    assert_eq!(reason(limiter.admit(&cache, other_team)), RejectionReason::NoQuota);
+    assert_eq!(rejection_reason(limiter.admit(&cache, other_team)), RejectionReason::NoQuota);
 }
 
-/// The last job may be larger than what is left: it could never be admitted otherwise.
+/// Otherwise a job larger than the quota could never be admitted.
 #[test]
-fn one_job_may_be_larger_than_what_is_left() {
+fn one_job_may_exceed_the_remaining_work() {
     let cache = cache(quota(1, 9, 15.0), 5);
     let mut limiter = QuotaLimiter::new("n", 1, QuotaMode::Enforced);
     assert!(limiter.admit(&cache, demand("c")).is_ok());
-    assert_eq!(reason(limiter.admit(&cache, demand("c"))), RejectionReason::BacklogFull);
+    assert_eq!(rejection_reason(limiter.admit(&cache, demand("c"))), RejectionReason::BacklogFull);
 }
 
 #[test]
-fn a_later_process_may_use_nothing_of_an_earlier_ones_quota() {
+fn a_process_cannot_use_the_quota_of_an_earlier_process() {
     let cache = cache(quota(1, 9, 1_000.0), 5);
     let mut limiter = QuotaLimiter::new("n", 2, QuotaMode::Enforced);
-    assert_eq!(reason(limiter.admit(&cache, demand("c"))), RejectionReason::NoQuota);
+    assert_eq!(rejection_reason(limiter.admit(&cache, demand("c"))), RejectionReason::NoQuota);
     assert!(limiter.remaining(&cache, "t").is_empty());
 }
 
 #[test]
-fn a_reservation_that_was_not_used_is_given_back() {
+fn an_unused_reservation_is_released() {
     let cache = cache(quota(1, 1, 1_000.0), 5);
     let mut limiter = QuotaLimiter::new("n", 1, QuotaMode::Enforced);
     let reservation = limiter.admit(&cache, demand("c")).unwrap();
     limiter.settle(&reservation, AcceptanceOutcome::NotUsed);
     let reservation = limiter.admit(&cache, demand("c")).unwrap();
     limiter.settle(&reservation, AcceptanceOutcome::Used);
-    assert_eq!(reason(limiter.admit(&cache, demand("c"))), RejectionReason::BacklogFull);
+    assert_eq!(rejection_reason(limiter.admit(&cache, demand("c"))), RejectionReason::BacklogFull);
 }
 
 #[test]
-fn a_replaced_quota_admits_nothing_until_the_next_is_known() {
+fn a_replaced_quota_admits_nothing_until_the_new_quota_is_cached() {
     let mut cache = cache(quota(1, 9, 1_000.0), 5);
     let mut limiter = QuotaLimiter::new("n", 1, QuotaMode::Enforced);
     let reservation = limiter.admit(&cache, demand("c")).unwrap();
     limiter.mark_replaced(&reservation);
     assert!(!limiter.is_current(&cache, &reservation));
-    assert_eq!(reason(limiter.renew(&cache, reservation.clone())), RejectionReason::QuotaReplaced);
+    assert_eq!(
+        rejection_reason(limiter.renew(&cache, reservation.clone())),
+        RejectionReason::QuotaReplaced
+    );
     cache.put_quota(quota(1, 1, 1_000.0), Revision(9), std::iter::empty(), true);
     let renewed = limiter.renew(&cache, reservation).unwrap();
     assert_eq!(renewed.precondition(), Some(("t", Revision(9))));
-    assert_eq!(reason(limiter.admit(&cache, demand("c"))), RejectionReason::BacklogFull);
+    assert_eq!(rejection_reason(limiter.admit(&cache, demand("c"))), RejectionReason::BacklogFull);
 }
 
 #[test]
-fn without_quotas_everything_is_admitted_and_nothing_is_conditional() {
+fn without_enforcement_submissions_are_admitted_without_a_precondition() {
     let mut limiter = QuotaLimiter::new("n", 1, QuotaMode::Unlimited);
     let reservation = limiter.admit(&QuotaCache::default(), demand("c")).unwrap();
     assert_eq!(reservation.precondition(), None);
     limiter.set_mode(QuotaMode::Enforced);
-    assert!(!limiter.is_current(&QuotaCache::default(), &reservation), "it must ask again");
+    assert!(!limiter.is_current(&QuotaCache::default(), &reservation), "it must be renewed");
 }
 
-/// Jobs that fit into a guarantee together are within its bound, however long they run.
+/// Jobs that fit into a guarantee together must stay within its bound, regardless of run times.
 #[test]
-fn work_counts_up_to_the_horizon() {
+fn run_times_count_up_to_the_horizon() {
     let cost = |run_s| JobDemand { run_s, ..demand("c") }.cost(100.0).work;
     assert_eq!([Some(0.0), Some(10.0), Some(9e9), None].map(cost), [2.0, 20.0, 200.0, 200.0]);
 }
 
 #[test]
-fn records_are_stored_under_short_names_and_odd_ones_are_not_valid() {
+fn records_use_short_keys_and_out_of_range_numbers_are_invalid() {
     let text = r#"{"t":"t","n":"n","i":1,"h":100.0,"r":[{"c":"c","j":2,"w":5.0,"s":7}]}"#;
-    let read: AdmissionQuota = serde_json::from_str(text).unwrap();
-    assert_eq!(serde_json::to_string(&read).unwrap(), text);
-    assert!(read.is_valid());
-    let odd = [
+    let decoded: AdmissionQuota = serde_json::from_str(text).unwrap();
+    assert_eq!(serde_json::to_string(&decoded).unwrap(), text);
+    assert!(decoded.is_valid());
+    let invalid = [
         r#"{"t":"t","n":"n","i":1,"h":0.0,"r":[]}"#,
         r#"{"t":"t","n":"n","i":1,"h":100.0,"r":[{"c":"c","j":2,"w":-5.0,"s":7}]}"#,
     ];
-    for text in odd {
+    for text in invalid {
         assert!(!serde_json::from_str::<AdmissionQuota>(text).unwrap().is_valid(), "{text}");
     }
 }
--- a/crates/basaltrail-admission/tests/model.rs
+++ b/crates/basaltrail-admission/tests/model.rs
@@ -1,7 +1,6 @@
-//! Controllers, a leader and a store as a model: caches that lag, writes that are carried out
-//! late or twice, answers that are lost, processes that stand still, end and come back, leaders
-//! that change. At no revision have more jobs of a team been accepted and not ended than its
-//! bound allows.
+//! Simulation of controllers, a leader and a store: caches lag, writes are executed late or twice,
+//! replies are lost, processes freeze and restart, and leaders change. The number of unfinished jobs
+//! of a team must never exceed the bound of the team.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
 
@@ -16,7 +15,7 @@
 const BOUNDS: BacklogBounds = BacklogBounds { horizon_s: 100.0, jobs: 240, round_s: 10.0 };
 const GUARANTEED: f64 = 100.0;
 
-/// What is written, in the order of the revisions.
+/// A record in the store's log.
 #[derive(Clone)]
 enum Record {
     Controller { controller: usize, incarnation: u64 },
@@ -24,48 +23,59 @@
     Job { id: u64, acceptance: Acceptance },
 }
 
-/// A transaction on its way.
+/// A transaction in flight.
 #[derive(Clone)]
 enum Write {
+    /// The acceptance of a job by a process, which is named by its controller and incarnation.
     Accept { from: (usize, u64), id: u64, reservation: Reservation, class: &'static str },
+    /// The write of a quota by the leader with this revision.
     Quota { leader: u64, write: QuotaWrite },
 }
 
+/// The process of a controller.
 struct Process {
     incarnation: u64,
     cache: QuotaCache,
     limiter: QuotaLimiter,
-    /// How much of the log it has read.
+    /// Number of records of the log that the process has read.
     read: usize,
     frozen_until: u64,
-    /// Since when it has watched: what was accepted before and has ended is not known to it.
-    began: usize,
+    /// Number of records in the log when the watch started. Of the jobs accepted before, the process
+    /// only knows those that have not ended.
+    watch_start: usize,
 }
 
 struct Model {
     rng: SmallRng,
-    t: u64,
+    /// Time in steps.
+    now: u64,
     log: Vec<Record>,
+    /// Mod revisions of the quotas, by controller name.
     mod_revisions: BTreeMap<String, Revision>,
     controllers: Vec<Process>,
+    /// Index of the controller that leads.
     leader: usize,
     leader_revision: u64,
     planner: QuotaPlanner,
+    /// Transactions in flight: the time of execution, the transaction, and whether the reply is lost.
     writes: Vec<(u64, Write, bool)>,
+    /// Unfinished jobs.
     jobs: BTreeMap<u64, Acceptance>,
     next_job: u64,
     next_plan: u64,
+    /// Number of accepted jobs.
     accepted: u64,
-    /// No job ends until then.
+    /// No job ends before this time.
     stalled_until: u64,
-    /// The most that were accepted and not ended.
-    most: usize,
-    flood: Option<usize>,
+    /// Maximum number of unfinished jobs so far.
+    max_unfinished: usize,
+    /// The only controller that gets submissions; all controllers get them if `None`.
+    flooded_controller: Option<usize>,
     /// Whether acceptances are conditional on the quota's mod revision.
     fenced: bool,
 }
 
-fn name(controller: usize) -> String {
+fn controller_name(controller: usize) -> String {
     format!("n{controller}")
 }
 
@@ -90,14 +100,14 @@
         let process = |controller: usize| Process {
             incarnation: 1,
             cache: QuotaCache::default(),
-            limiter: QuotaLimiter::new(&name(controller), 1, QuotaMode::Enforced),
+            limiter: QuotaLimiter::new(&controller_name(controller), 1, QuotaMode::Enforced),
             read: 0,
             frozen_until: 0,
-            began: 0,
+            watch_start: 0,
         };
         let mut model = Model {
             rng: SmallRng::seed_from_u64(seed),
-            t: 0,
+            now: 0,
             log: Vec::new(),
             mod_revisions: BTreeMap::new(),
             controllers: (0..CONTROLLERS).map(process).collect(),
@@ -110,8 +120,8 @@
             next_plan: 0,
             accepted: 0,
             stalled_until: 0,
-            most: 0,
-            flood: None,
+            max_unfinished: 0,
+            flooded_controller: None,
             fenced,
         };
         for controller in 0..CONTROLLERS {
@@ -120,20 +130,22 @@
         model
     }
 
-    /// Served and guaranteed are always the same here, and so is the bound. Nobody asks for a
-    /// class that is not named, so the least share of those is never taken.
+    /// Returns the maximum number of unfinished jobs. It is constant, since the team is always served
+    /// at its guarantee. All submissions are of named classes, so the part that is reserved for other
+    /// classes is never used.
     fn bound(&self) -> u32 {
         let bound = QuotaPlanner::bound(&BOUNDS, &team(Vec::new()), GUARANTEED, CONTROLLERS).jobs;
         bound - bound / 2 / (CLASSES.len() as u32 + 1)
     }
 
-    /// What the leader knows: acceptances that it has read, and which jobs have ended.
+    /// Returns the load from the leader's view: the acceptances that it has read, without the jobs
+    /// that have ended.
     fn load(&self) -> TeamLoad {
-        let read = &self.log[..self.controllers[self.leader].read];
+        let read_records = &self.log[..self.controllers[self.leader].read];
         let mut classes: Vec<ClassLoad> = CLASSES
             .map(|class| ClassLoad { class: class.into(), waiting: WorkAmount::default() })
             .to_vec();
-        for record in read {
+        for record in read_records {
             let Record::Job { id, acceptance } = record else { continue };
             if self.jobs.contains_key(id) {
                 let load = classes.iter_mut().find(|load| load.class == acceptance.demand.class);
@@ -144,19 +156,23 @@
         team(classes)
     }
 
-    /// A controller reads what is new.
-    fn read(&mut self, controller: usize) {
+    /// Reads the new records of the log into the cache of a controller.
+    fn read_log(&mut self, controller: usize) {
         let process = &mut self.controllers[controller];
         while process.read < self.log.len() {
             let mod_revision = Revision(process.read as u64 + 1);
             let earlier = &self.log[..process.read];
             match &self.log[process.read] {
                 Record::Controller { controller, incarnation } => {
-                    process.cache.put_controller(&name(*controller), *incarnation, mod_revision);
+                    process.cache.put_controller(
+                        &controller_name(*controller),
+                        *incarnation,
+                        mod_revision,
+                    );
                 }
                 Record::Quota(quota) => {
-                    let complete = process.read >= process.began;
-                    // Of what was read from a list, ended jobs are missing.
+                    let complete = process.read >= process.watch_start;
+                    // Jobs that have ended are missing in a list.
                     let jobs = &self.jobs;
                     let accepted = earlier.iter().filter_map(|record| match record {
                         Record::Job { id, acceptance } if complete || jobs.contains_key(id) => {
@@ -167,7 +183,7 @@
                     process.cache.put_quota(quota.clone(), mod_revision, accepted, complete);
                 }
                 Record::Job { id, acceptance } => {
-                    if process.read >= process.began || self.jobs.contains_key(id) {
+                    if process.read >= process.watch_start || self.jobs.contains_key(id) {
                         process.cache.count_acceptance(acceptance);
                     }
                 }
@@ -176,19 +192,21 @@
         }
     }
 
+    /// Sends a transaction to the store. It may be lost, delayed or duplicated.
     fn send(&mut self, write: Write) {
-        let lost = self.rng.random_bool(0.1);
-        let late = self.rng.random_bool(0.2);
-        let delay = if late { self.rng.random_range(10..300) } else { self.rng.random_range(1..4) };
+        let is_lost = self.rng.random_bool(0.1);
+        let is_late = self.rng.random_bool(0.2);
+        let delay =
+            if is_late { self.rng.random_range(10..300) } else { self.rng.random_range(1..4) };
         if self.rng.random_bool(0.05) {
-            // It is carried out twice; nobody hears of the second.
-            let copy = self.t + self.rng.random_range(5..300);
-            self.writes.push((copy, write.clone(), true));
+            // A duplicate is executed, and its reply is lost.
+            let duplicate_at = self.now + self.rng.random_range(5..300);
+            self.writes.push((duplicate_at, write.clone(), true));
         }
-        if lost || late {
-            // Its sender gives up before that.
+        if is_lost || is_late {
+            // The sender times out before it gets a reply.
             match &write {
-                Write::Accept { from, reservation, .. } if self.is_there(*from) => {
+                Write::Accept { from, reservation, .. } if self.is_running(*from) => {
                     self.controllers[from.0].limiter.settle(reservation, AcceptanceOutcome::Used);
                 }
                 Write::Quota { leader, write } if *leader == self.leader_revision => {
@@ -197,23 +215,27 @@
                 _ => {}
             }
         }
-        let gone = lost && !late && self.rng.random_bool(0.5);
-        if !gone {
-            self.writes.push((self.t + delay, write, lost || late));
+        let is_dropped = is_lost && !is_late && self.rng.random_bool(0.5);
+        if !is_dropped {
+            self.writes.push((self.now + delay, write, is_lost || is_late));
         }
     }
 
-    fn is_there(&self, (controller, incarnation): (usize, u64)) -> bool {
+    /// Returns whether a process is the current process of its controller.
+    fn is_running(&self, (controller, incarnation): (usize, u64)) -> bool {
         self.controllers[controller].incarnation == incarnation
     }
 
-    fn carry_out(&mut self, write: Write, unheard: bool) {
+    /// Executes a transaction in the store, and hands its result to the sender unless the reply is
+    /// lost.
+    fn execute(&mut self, write: Write, reply_lost: bool) {
         match write {
             Write::Accept { from, id, reservation, class } => {
                 let (_, mod_revision) = reservation.precondition().unwrap();
-                let key = name(from.0);
-                let moved = self.fenced && self.mod_revisions.get(&key) != Some(&mod_revision);
-                if !moved && !self.jobs.contains_key(&id) {
+                let key = controller_name(from.0);
+                let quota_replaced =
+                    self.fenced && self.mod_revisions.get(&key) != Some(&mod_revision);
+                if !quota_replaced && !self.jobs.contains_key(&id) {
                     let mod_revision = Revision(self.log.len() as u64 + 1);
                     let acceptance =
                         Acceptance { controller: key, demand: demand(class), mod_revision };
@@ -221,11 +243,11 @@
                     self.jobs.insert(id, acceptance);
                     self.accepted += 1;
                 }
-                if unheard || !self.is_there(from) {
+                if reply_lost || !self.is_running(from) {
                     return;
                 }
                 let limiter = &mut self.controllers[from.0].limiter;
-                match moved {
+                match quota_replaced {
                     true => {
                         limiter.mark_replaced(&reservation);
                         limiter.settle(&reservation, AcceptanceOutcome::NotUsed);
@@ -236,37 +258,37 @@
             Write::Quota { leader, write } => {
                 let key = write.quota.controller.clone();
                 let mod_revision = self.mod_revisions.get(&key).copied().unwrap_or(Revision::NONE);
-                let done = leader == self.leader_revision && mod_revision == write.replaces;
-                if done {
+                let committed = leader == self.leader_revision && mod_revision == write.replaces;
+                if committed {
                     self.log.push(Record::Quota(write.quota.clone()));
                     self.mod_revisions.insert(key, Revision(self.log.len() as u64));
                 }
-                if !unheard && leader == self.leader_revision {
-                    let outcome =
-                        if done { WriteResult::Committed } else { WriteResult::NotExecuted };
-                    self.planner.record_result(&write, outcome);
+                if !reply_lost && leader == self.leader_revision {
+                    let result =
+                        if committed { WriteResult::Committed } else { WriteResult::NotExecuted };
+                    self.planner.record_result(&write, result);
                 }
             }
         }
     }
 
     fn step(&mut self) {
-        self.t += 1;
+        self.now += 1;
         let due: Vec<(u64, Write, bool)> =
-            self.writes.extract_if(.., |(at, _, _)| *at <= self.t).collect();
-        for (_, write, unheard) in due {
-            self.carry_out(write, unheard);
+            self.writes.extract_if(.., |(at, _, _)| *at <= self.now).collect();
+        for (_, write, reply_lost) in due {
+            self.execute(write, reply_lost);
         }
         for controller in 0..CONTROLLERS {
-            if self.t < self.controllers[controller].frozen_until {
+            if self.now < self.controllers[controller].frozen_until {
                 continue;
             }
             if self.rng.random_bool(0.4) {
-                self.read(controller);
+                self.read_log(controller);
             }
-            let flooded = self.flood.is_none_or(|flooded| flooded == controller);
-            let asks = if flooded { 12 } else { 0 };
-            for _ in 0..asks {
+            let is_flooded = self.flooded_controller.is_none_or(|flooded| flooded == controller);
+            let submissions = if is_flooded { 12 } else { 0 };
+            for _ in 0..submissions {
                 let class = CLASSES[self.rng.random_range(0..CLASSES.len())];
                 let process = &mut self.controllers[controller];
                 let Ok(reservation) = process.limiter.admit(&process.cache, demand(class)) else {
@@ -280,94 +302,108 @@
                 self.send(Write::Accept { from, id, reservation, class });
             }
         }
-        if self.t >= self.next_plan && self.t >= self.controllers[self.leader].frozen_until {
-            self.next_plan = self.t + 10;
+        if self.now >= self.next_plan && self.now >= self.controllers[self.leader].frozen_until {
+            self.next_plan = self.now + 10;
             let (load, cache) = (self.load(), &self.controllers[self.leader].cache);
             for write in self.planner.plan(cache, &BOUNDS, &[load]) {
                 self.send(Write::Quota { leader: self.leader_revision, write });
             }
         }
-        // Some jobs end.
-        while self.t >= self.stalled_until && self.rng.random_bool(0.8) && !self.jobs.is_empty() {
+        // A random number of jobs end.
+        while self.now >= self.stalled_until && self.rng.random_bool(0.8) && !self.jobs.is_empty() {
             let nth = self.rng.random_range(0..self.jobs.len());
             let id = *self.jobs.keys().nth(nth).unwrap();
             self.jobs.remove(&id);
         }
         let bound = self.bound();
-        self.most = self.most.max(self.jobs.len());
+        self.max_unfinished = self.max_unfinished.max(self.jobs.len());
         assert!(
             self.jobs.len() as u32 <= bound,
-            "{} ms: {} jobs accepted, {bound} allowed",
-            self.t,
+            "step {}: {} unfinished jobs accepted, {bound} allowed",
+            self.now,
             self.jobs.len()
         );
     }
 
-    fn trouble(&mut self) {
+    /// Freezes or restarts a process, changes the leader, stalls the jobs, or directs all submissions
+    /// to one controller.
+    fn inject_fault(&mut self) {
         let controller = self.rng.random_range(0..CONTROLLERS);
         match self.rng.random_range(0..6) {
-            0 => self.controllers[controller].frozen_until = self.t + self.rng.random_range(5..80),
+            0 => {
+                self.controllers[controller].frozen_until = self.now + self.rng.random_range(5..80)
+            }
             1 => {
-                // It ends and is back at once, knowing nothing but what a list tells.
+                // The process restarts at once, and reads the present records from a list.
                 let incarnation = self.controllers[controller].incarnation + 1;
                 self.controllers[controller] = Process {
                     incarnation,
                     cache: QuotaCache::default(),
-                    limiter: QuotaLimiter::new(&name(controller), incarnation, QuotaMode::Enforced),
+                    limiter: QuotaLimiter::new(
+                        &controller_name(controller),
+                        incarnation,
+                        QuotaMode::Enforced,
+                    ),
                     read: 0,
                     frozen_until: 0,
-                    began: self.log.len(),
+                    watch_start: self.log.len(),
                 };
                 self.log.push(Record::Controller { controller, incarnation });
                 if controller == self.leader {
-                    self.lead((controller + 1) % CONTROLLERS);
+                    self.change_leader((controller + 1) % CONTROLLERS);
                 }
             }
-            2 => self.lead(controller),
-            3 | 4 => self.stalled_until = self.t + self.rng.random_range(50..200),
-            _ => self.flood = [None, Some(controller)][self.rng.random_range(0..2)],
+            2 => self.change_leader(controller),
+            3 | 4 => self.stalled_until = self.now + self.rng.random_range(50..200),
+            _ => self.flooded_controller = [None, Some(controller)][self.rng.random_range(0..2)],
         }
     }
 
-    /// Another leader begins; what the one before sent is refused from now on. It reads what
-    /// was written before it acts.
-    fn lead(&mut self, controller: usize) {
+    /// Makes a controller the leader. It reads the log before it acts, and the store refuses the
+    /// previous leader's writes from now on.
+    fn change_leader(&mut self, controller: usize) {
         self.leader = controller;
         self.leader_revision += 1;
         self.planner = QuotaPlanner::default();
-        self.read(controller);
+        self.read_log(controller);
     }
 }
 
-/// Jobs that were accepted in all, and the most that were at one time.
-fn play(seed: u64, fenced: bool) -> (u64, usize) {
+/// Runs the simulation. Returns the number of accepted jobs and the maximum number of unfinished
+/// jobs.
+fn simulate(seed: u64, fenced: bool) -> (u64, usize) {
     let mut model = Model::new(seed, fenced);
     for step in 0..2_000 {
         model.step();
         if step % 60 == 59 {
-            model.trouble();
+            model.inject_fault();
         }
     }
-    (model.accepted, model.most)
+    (model.accepted, model.max_unfinished)
 }
 
 #[test]
-fn no_more_is_accepted_than_the_bound_allows() {
-    let (mut accepted, mut most) = (0, 0);
+fn unfinished_jobs_stay_within_the_bound() {
+    let (mut total_accepted, mut max_unfinished) = (0, 0);
     for seed in 0..40 {
-        let (in_all, at_once) = play(seed, true);
-        (accepted, most) = (accepted + in_all, most.max(at_once));
+        let (accepted, unfinished) = simulate(seed, true);
+        (total_accepted, max_unfinished) =
+            (total_accepted + accepted, max_unfinished.max(unfinished));
     }
-    println!("{accepted} accepted, {most} at once");
-    assert!(accepted > 10_000, "{accepted} jobs in all: too little was admitted");
-    assert!(most as u32 >= BOUNDS.jobs * 3 / 4, "{most}: the bound was never near");
+    println!("{total_accepted} jobs accepted, at most {max_unfinished} unfinished");
+    assert!(total_accepted > 10_000, "only {total_accepted} jobs were accepted");
+    assert!(
+        max_unfinished as u32 >= BOUNDS.jobs * 3 / 4,
+        "at most {max_unfinished} unfinished jobs: the bound was not approached"
+    );
 }
 
-/// The same model with acceptances that do not name their quota's mod revision.
+/// Acceptances without a precondition on the mod revision of their quota exceed the bound, so the
+/// simulation detects that fault.
 #[test]
 #[should_panic(expected = "jobs accepted")]
-fn without_the_revision_more_is_accepted() {
+fn unconditional_acceptances_exceed_the_bound() {
     for seed in 0..40 {
-        play(seed, false);
+        simulate(seed, false);
     }
 }
--- a/crates/basaltrail-admission/tests/planner.rs
+++ b/crates/basaltrail-admission/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The quotas that a leader hands out.
+//! Tests of the quotas that a leader plans.
 
 use basaltrail_admission::*;
 
@@ -36,28 +36,28 @@
         .fold(WorkAmount::default(), |sum, entry| sum.plus(entry.amount()))
 }
 
-/// The cache takes the writes, carried out at this revision and those that follow.
-fn arrive(cache: &mut QuotaCache, writes: &[QuotaWrite], mod_revision: u64) {
-    for (n, write) in writes.iter().enumerate() {
+/// Puts the written quotas into the cache, at consecutive revisions.
+fn put_written(cache: &mut QuotaCache, writes: &[QuotaWrite], first_revision: u64) {
+    for (index, write) in writes.iter().enumerate() {
         let quota = write.quota.clone();
-        cache.put_quota(quota, Revision(mod_revision + n as u64), std::iter::empty(), true);
+        cache.put_quota(quota, Revision(first_revision + index as u64), std::iter::empty(), true);
     }
 }
 
 #[test]
-fn a_flood_of_one_team_or_class_leaves_the_others_theirs() {
+fn the_backlog_of_one_team_or_class_does_not_reduce_the_quotas_of_others() {
     let cache = controllers(3);
     let teams = [load("flood", &[("a", 5_000), ("b", 0)]), load("calm", &[("c", 0)])];
     let writes = QuotaPlanner::default().plan(&cache, &BOUNDS, &teams);
     assert_eq!(sum(&writes, "flood", "a").jobs, 0);
-    assert!(sum(&writes, "flood", "b").jobs >= 3, "the other class keeps its least share");
+    assert!(sum(&writes, "flood", "b").jobs >= 3, "the other class keeps its reserved part");
     let alone = QuotaPlanner::default().plan(&cache, &BOUNDS, &teams[1..]);
     assert_eq!(sum(&writes, "calm", "c").jobs, sum(&alone, "calm", "c").jobs);
     assert!(sum(&writes, "calm", "c").jobs >= 30);
 }
 
 #[test]
-fn a_write_in_flight_counts_until_the_cache_has_it() {
+fn a_quota_is_not_written_again_while_its_write_is_pending() {
     let mut cache = controllers(3);
     let mut planner = QuotaPlanner::default();
     let team = load("t", &[("c", 0)]);
@@ -65,13 +65,13 @@
     assert_eq!(first.len(), 3);
     first.iter().for_each(|write| planner.record_result(write, WriteResult::Committed));
     assert!(planner.plan(&cache, &BOUNDS, std::slice::from_ref(&team)).is_empty());
-    arrive(&mut cache, &first, 10);
-    assert!(planner.plan(&cache, &BOUNDS, &[team]).is_empty(), "nothing has changed");
+    put_written(&mut cache, &first, 10);
+    assert!(planner.plan(&cache, &BOUNDS, &[team]).is_empty(), "no quota deviates from its target");
 }
 
-/// A write without an answer is written again: until then it may come late.
+/// A write without a reply may be executed late. Only a further write of the record rules that out.
 #[test]
-fn a_write_of_unknown_result_is_settled_by_the_next() {
+fn a_write_with_unknown_result_is_repeated_and_counts_until_then() {
     let cache = controllers(2);
     let mut planner = QuotaPlanner::default();
     let team = [load("t", &[("c", 0)])];
@@ -81,12 +81,12 @@
     let second = planner.plan(&cache, &BOUNDS, &team);
     assert_eq!(second.len(), 2);
     let bound = QuotaPlanner::bound(&BOUNDS, &team[0], 20.0, 2).jobs;
-    let both = sum(&first[..1], "t", "c").plus(sum(&second, "t", "c")).jobs;
-    assert!(both <= bound, "{both} of {bound}");
+    let written = sum(&first[..1], "t", "c").plus(sum(&second, "t", "c")).jobs;
+    assert!(written <= bound, "{written} jobs written, {bound} allowed");
 }
 
 #[test]
-fn shares_follow_what_controllers_accept_and_none_goes_without() {
+fn quotas_follow_the_demand_at_controllers_and_none_is_empty() {
     let mut cache = controllers(3);
     let mut planner = QuotaPlanner::default();
     let team = [load("t", &[("c", 0)])];
@@ -94,42 +94,43 @@
     let mut writes = planner.plan(&cache, &BOUNDS, &team);
     for _ in 0..8 {
         writes.iter().for_each(|write| planner.record_result(write, WriteResult::Committed));
-        arrive(&mut cache, &writes, mod_revision);
+        put_written(&mut cache, &writes, mod_revision);
         mod_revision += 100;
-        // All of it is used at one controller, and has ended by the next plan.
-        let used = cache.quota("t", "n1").unwrap().unspent(0).jobs;
-        for n in 0..u64::from(used) {
+        // One controller uses its whole quota, and the jobs end before the next plan.
+        let unspent = cache.quota("t", "n1").unwrap().unspent(0).jobs;
+        for index in 0..u64::from(unspent) {
             let demand =
                 JobDemand { team: "t".into(), class: "c".into(), cpus: 1.0, run_s: Some(1.0) };
-            let mod_revision = Revision(mod_revision - 50 + n % 50);
+            let mod_revision = Revision(mod_revision - 50 + index % 50);
             cache.count_acceptance(&Acceptance { controller: "n1".into(), demand, mod_revision });
         }
         writes = planner.plan(&cache, &BOUNDS, &team);
     }
-    let has = |controller: &str| cache.quota("t", controller).unwrap().quota.classes[0].jobs;
-    assert!(has("n1") >= 2 * has("n0"), "{} and {}", has("n1"), has("n0"));
-    assert!(has("n0") >= 1 && has("n2") >= 1);
+    let jobs = |controller: &str| cache.quota("t", controller).unwrap().quota.classes[0].jobs;
+    assert!(jobs("n1") >= 2 * jobs("n0"), "{} and {} jobs", jobs("n1"), jobs("n0"));
+    assert!(jobs("n0") >= 1 && jobs("n2") >= 1);
 }
 
 #[test]
-fn a_new_process_gets_a_quota_of_its_own() {
+fn a_new_process_of_a_controller_gets_a_new_quota() {
     let mut cache = controllers(2);
     let mut planner = QuotaPlanner::default();
     let team = [load("t", &[("c", 0)])];
     let first = planner.plan(&cache, &BOUNDS, &team);
     first.iter().for_each(|write| planner.record_result(write, WriteResult::Committed));
-    arrive(&mut cache, &first, 10);
+    put_written(&mut cache, &first, 10);
     cache.put_controller("n1", 2, Revision(50));
     let second = planner.plan(&cache, &BOUNDS, &team);
     assert_eq!(second.len(), 1);
     assert_eq!((second[0].quota.incarnation, second[0].replaces), (2, Revision(11)));
 }
 
-/// One controller's quota holds much that is not used; it and another's are replaced at once.
+/// The quota of one controller has a large unspent amount when it and that of the other controller
+/// are replaced in the same plan.
 #[test]
-fn what_is_left_of_a_quota_counts_while_it_is_replaced() {
+fn the_unspent_amount_of_a_quota_counts_while_it_is_replaced() {
     let mut cache = controllers(2);
-    let held = |controller: &str, jobs| {
+    let quota = |controller: &str, jobs| {
         let class = |name: &str, jobs| QuotaEntry {
             class: name.into(),
             jobs,
@@ -144,31 +145,31 @@
             classes: vec![class("c", jobs), class(OTHER_CLASSES, 0)],
         }
     };
-    cache.put_quota(held("n0", 140), Revision(10), std::iter::empty(), true);
-    cache.put_quota(held("n1", 0), Revision(11), std::iter::empty(), true);
+    cache.put_quota(quota("n0", 140), Revision(10), std::iter::empty(), true);
+    cache.put_quota(quota("n1", 0), Revision(11), std::iter::empty(), true);
     let team = [load("t", &[("c", 0)])];
     let bound = QuotaPlanner::bound(&BOUNDS, &team[0], 20.0, 2).jobs;
     let writes = QuotaPlanner::default().plan(&cache, &BOUNDS, &team);
-    let granted = sum(&writes, "t", "c").plus(sum(&writes, "t", OTHER_CLASSES)).jobs;
-    assert!(140 + granted <= bound, "{granted} beside 140 of {bound}");
+    let written = sum(&writes, "t", "c").plus(sum(&writes, "t", OTHER_CLASSES)).jobs;
+    assert!(140 + written <= bound, "{written} jobs written, 140 unspent, {bound} allowed");
 }
 
-/// Controllers join one after the other, and the cache shows none of the records that were written.
+/// Controllers join one after another, while the cache does not show any of the written quotas.
 #[test]
-fn what_was_written_counts_for_the_others_until_the_cache_has_it() {
+fn committed_writes_count_until_the_cache_shows_them() {
     let mut cache = QuotaCache::default();
     let mut planner = QuotaPlanner::default();
     let team = [load("t", &[])];
-    let mut granted = WorkAmount::default();
+    let mut written = WorkAmount::default();
     let mut bound = 0;
     for controller in 0..16 {
         cache.put_controller(&format!("n{controller:02}"), 1, Revision(controller + 1));
         let writes = planner.plan(&cache, &BOUNDS, &team);
         writes.iter().for_each(|write| planner.record_result(write, WriteResult::Committed));
-        granted = granted.plus(sum(&writes, "t", OTHER_CLASSES));
+        written = written.plus(sum(&writes, "t", OTHER_CLASSES));
         bound = QuotaPlanner::bound(&BOUNDS, &team[0], 20.0, controller as usize + 1).jobs;
     }
-    assert!(granted.jobs <= bound, "{} of {bound}", granted.jobs);
+    assert!(written.jobs <= bound, "{} jobs written, {bound} allowed", written.jobs);
 }
 
 #[test]
@@ -178,7 +179,7 @@
     let team = [load("t", &[("c", 0)])];
     let first = planner.plan(&cache, &BOUNDS, &team);
     first.iter().for_each(|write| planner.record_result(write, WriteResult::Committed));
-    arrive(&mut cache, &first, 10);
+    put_written(&mut cache, &first, 10);
     assert!(planner.plan(&cache, &BOUNDS, &team).is_empty());
     cache.put_controller("n1", 1, Revision(50));
     let second = planner.plan(&cache, &BOUNDS, &team);
