--- a/crates/basaltrail-admission/src/planner.rs
+++ b/crates/basaltrail-admission/src/planner.rs
@@ -16,7 +16,7 @@
 /// Fraction of a class's amount that is divided among the controllers in equal parts, regardless of
 /// demand.
 const RESERVED_CONTROLLER_FRACTION: f64 = 0.5;
-/// Fraction of the available amount that quotas hold. The rest is needed to replace quotas, since a
+/// Fraction of the available amount that is allocated to quotas. The rest is needed to replace quotas, since a
 /// quota counts until its replacement is known.
 const ALLOCATED_FRACTION: f64 = 0.5;
 /// A quota is replaced once its unspent amount is less than this fraction of the target, or the
@@ -325,7 +325,7 @@
         }
         let cached = cache.quota(team, controller);
         cached.filter(|cached| cached.quota.incarnation == incarnation).is_none_or(|cached| {
-            !cached.complete
+            !cached.is_complete
                 || cache.replacement_requested(cached)
                 || deviates_from_targets(cached, &plan.classes, targets, remaining)
         })
--- a/crates/basaltrail-admission/src/quota_cache.rs
+++ b/crates/basaltrail-admission/src/quota_cache.rs
@@ -33,7 +33,7 @@
     pub mod_revision: Revision,
     /// Whether all acceptances under the quota are counted. If the quota was read from a list, jobs
     /// that have ended since are missing, and the unspent amounts are too high.
-    pub complete: bool,
+    pub is_complete: bool,
     /// Accepted amounts, by index of the quota's entry.
     spent: Vec<WorkAmount>,
 }
@@ -90,14 +90,14 @@
     }
 
     /// Puts a quota, unless a later one is cached. `accepted` are the known acceptances; those of
-    /// other controllers and teams are ignored. `complete` must be false if acceptances after the
+    /// other controllers and teams are ignored. `is_complete` must be false if acceptances after the
     /// mod revision of the quota may be missing, since their jobs have ended.
     pub fn put_quota(
         &mut self,
         quota: AdmissionQuota,
         mod_revision: Revision,
         accepted: impl Iterator<Item = Acceptance>,
-        complete: bool,
+        is_complete: bool,
     ) {
         let key = (quota.team.clone(), quota.controller.clone());
         let known = self.quotas.get(&key);
@@ -107,7 +107,7 @@
             return;
         }
         let spent = vec![WorkAmount::default(); quota.classes.len()];
-        let mut cached = CachedQuota { quota, mod_revision, complete, spent };
+        let mut cached = CachedQuota { quota, mod_revision, is_complete, spent };
         let is_under_quota = |acceptance: &Acceptance| {
             acceptance.controller == key.1 && acceptance.demand.team == key.0
         };
--- a/crates/basaltrail-admission/tests/model.rs
+++ b/crates/basaltrail-admission/tests/model.rs
@@ -171,16 +171,16 @@
                     );
                 }
                 Record::Quota(quota) => {
-                    let complete = process.read >= process.watch_start;
+                    let is_complete = process.read >= process.watch_start;
                     // Jobs that have ended are missing in a list.
                     let jobs = &self.jobs;
                     let accepted = earlier.iter().filter_map(|record| match record {
-                        Record::Job { id, acceptance } if complete || jobs.contains_key(id) => {
+                        Record::Job { id, acceptance } if is_complete || jobs.contains_key(id) => {
                             Some(acceptance.clone())
                         }
                         _ => None,
                     });
-                    process.cache.put_quota(quota.clone(), mod_revision, accepted, complete);
+                    process.cache.put_quota(quota.clone(), mod_revision, accepted, is_complete);
                 }
                 Record::Job { id, acceptance } => {
                     if process.read >= process.watch_start || self.jobs.contains_key(id) {
--- a/crates/basaltrail-core/src/answer.rs
+++ b/crates/basaltrail-core/src/answer.rs
@@ -67,7 +67,7 @@
     /// The store did not confirm the cached state of the job.
     NotConfirmed,
     /// The store may or may not have executed the write.
-    NotDecided,
+    OutcomeUnknown,
     /// This version cannot decode the record of the job.
     RecordUnreadable,
     /// The submission was not admitted.
@@ -87,7 +87,7 @@
             UnavailableReason::TooManyJobs => "too many jobs",
             UnavailableReason::StoreRefused => "state service refused",
             UnavailableReason::NotConfirmed => "no check possible",
-            UnavailableReason::NotDecided => "not decided",
+            UnavailableReason::OutcomeUnknown => "not decided",
             UnavailableReason::RecordUnreadable => "record unreadable",
             UnavailableReason::NotAdmitted(RejectionReason::BacklogFull) => {
                 "the team's backlog is full"
--- a/crates/basaltrail-core/src/controller/job_lookups.rs
+++ b/crates/basaltrail-core/src/controller/job_lookups.rs
@@ -214,7 +214,7 @@
             }
             StoreReply::Conflict { .. } => self.requests.look_up(job, requests),
             _ => {
-                let reason = UnavailableReason::NotDecided;
+                let reason = UnavailableReason::OutcomeUnknown;
                 self.answer_waiting_unavailable(requests, RETRY_SOON_S, reason);
             }
         }
@@ -247,7 +247,7 @@
             Some(Rejection::Invalid(reason)) => Answer::Invalid(reason),
             None => Answer::Unavailable {
                 retry_after_s: RETRY_SOON_S,
-                reason: UnavailableReason::NotDecided,
+                reason: UnavailableReason::OutcomeUnknown,
             },
         }
     }
--- a/crates/basaltrail-core/src/controller/submissions.rs
+++ b/crates/basaltrail-core/src/controller/submissions.rs
@@ -128,7 +128,7 @@
                 for new in batch {
                     // It may yet be carried out.
                     self.admission.settle(&new, AcceptanceOutcome::Used);
-                    let reason = UnavailableReason::NotDecided;
+                    let reason = UnavailableReason::OutcomeUnknown;
                     self.answer_waiting_unavailable(new.requests, RETRY_SOON_S, reason);
                 }
             }
--- a/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
@@ -54,7 +54,7 @@
     let mut underserved = Vec::new();
     for (team, jobs) in waiting.iter().enumerate() {
         for (class, job) in oldest_by_class(cluster, jobs) {
-            let deficit_cpus = usage.deficit_cpus(team, class, policy.class_least);
+            let deficit_cpus = usage.deficit_cpus(team, class, policy.min_class_share);
             if deficit_cpus > CPU_TOLERANCE {
                 let tasks = (deficit_cpus / job.spec.cpus.max(1e-9)).ceil().max(1.0) as u32;
                 underserved.push((job.id, tasks));
--- a/crates/basaltrail-core/src/settings.rs
+++ b/crates/basaltrail-core/src/settings.rs
@@ -119,12 +119,12 @@
     /// Maximum backlog of a team: seconds of work at the rate at which the team is served.
     pub backlog_s: f64,
     /// Fraction of a team's CPUs that each class with work gets, regardless of priority.
-    pub class_least: f64,
+    pub min_class_share: f64,
 }
 
 impl Default for AdmissionPolicy {
     fn default() -> Self {
-        AdmissionPolicy { backlog_s: 300.0, class_least: 0.1 }
+        AdmissionPolicy { backlog_s: 300.0, min_class_share: 0.1 }
     }
 }
 
@@ -156,7 +156,7 @@
     /// Seconds for which a machine may be idle before it is terminated, where cost is an objective.
     pub idle_s: f64,
     /// Maximum number of machines to evaluate for a placement. If there are more, a random sample
-    /// of this size is evaluated.
+    /// of this size is evaluated. A backfill makes at most as many attempts to place a job.
     pub sample: usize,
     /// Time that a team within its guarantee waits before tasks on borrowed capacity are preempted
     /// for it even if they cannot save their progress, as a multiple of the duration of a worker
--- a/crates/basaltrail-core/tests/simulation/simulated/allotments.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/allotments.rs
@@ -9,7 +9,7 @@
 const BACKLOG_S: f64 = 60.0;
 
 fn policy() -> Policy {
-    let admission = AdmissionPolicy { backlog_s: BACKLOG_S, class_least: 0.1 };
+    let admission = AdmissionPolicy { backlog_s: BACKLOG_S, min_class_share: 0.1 };
     Policy { admission: Some(admission), ..Policy::default() }
 }
 
@@ -221,14 +221,14 @@
 
 /// Jobs of high priority come without end and fill their team's limit; those of another class
 /// of the team rank behind all of them.
-fn priorities(class_least: f64) -> [usize; 2] {
+fn priorities(min_class_share: f64) -> [usize; 2] {
     let job = |class: &str, priority| JobSpec { class: class.into(), priority, ..job(1, 4) };
     let high =
         (0..400).map(|i| User::new(1000 + i, job("urgent", Priority::High), 5_000 + i * 700, None));
     let low = (0..12).map(|i| User::new(5000 + i, job("idle", Priority::Low), 5_000, None));
     let mut w = World::with(SmallRng::seed_from_u64(1), high.chain(low).collect());
     for controller in 0..CONTROLLERS {
-        let admission = AdmissionPolicy { backlog_s: 600.0, class_least };
+        let admission = AdmissionPolicy { backlog_s: 600.0, min_class_share };
         w.controllers[controller].next_configuration.policy.admission = Some(admission);
         w.start_controller(controller);
     }
--- a/crates/basaltrail/src/policy.rs
+++ b/crates/basaltrail/src/policy.rs
@@ -188,7 +188,9 @@
         self.for_each_entry(&entry.values, PolicyProblem::NotAnAdmissionEntry, |field| {
             match field.key.as_str() {
                 "backlog-s" => policy.backlog_s = self.admission_number(field, BACKLOG_S)?,
-                "class-least" => policy.class_least = self.admission_number(field, CLASS_LEAST)?,
+                "class-least" => {
+                    policy.min_class_share = self.admission_number(field, CLASS_LEAST)?
+                }
                 _ => {
                     let problem = PolicyProblem::UnknownAdmissionKey { key: field.key.clone() };
                     return Err(self.error(&entry.datum, problem));
--- a/tests/mixed-versions/tests/versions/convert.rs
+++ b/tests/mixed-versions/tests/versions/convert.rs
@@ -264,7 +264,7 @@
                     old::Answer::NotFound => new::Answer::NotFound,
                     old::Answer::Busy { retry_s, .. } => new::Answer::Unavailable {
                         retry_after_s: retry_s,
-                        reason: new::UnavailableReason::NotDecided,
+                        reason: new::UnavailableReason::OutcomeUnknown,
                     },
                     old::Answer::Orders { token, orders } => new::Answer::Commands {
                         token: new::FencingToken(token.0),
