--- a/crates/basaltrail-core/src/controller/submissions.rs
+++ b/crates/basaltrail-core/src/controller/submissions.rs
@@ -144,7 +144,7 @@
                 for submission in batch {
                     // The transaction may have been committed, or may be committed later.
                     self.admission.settle(&submission, AcceptanceOutcome::Used);
-                    let reason = UnavailableReason::NotDecided;
+                    let reason = UnavailableReason::OutcomeUnknown;
                     self.answer_waiting_unavailable(submission.requests, RETRY_SOON_S, reason);
                 }
             }
--- a/crates/basaltrail-core/src/settings_tests.rs
+++ b/crates/basaltrail-core/src/settings_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What nobody knows the use of counts in full: an infinite use of no limit is no amount.
+/// Use and limit may both be infinite, and their difference is then not a number.
 #[test]
 fn a_team_without_a_limit_may_start_any_number_of_tasks() {
     let inf = f64::INFINITY;
--- a/crates/basaltrail/src/policy.rs
+++ b/crates/basaltrail/src/policy.rs
@@ -208,7 +208,9 @@
         self.for_each_entry(&entry.values, PolicyProblem::InvalidAdmissionEntry, |field| {
             match field.key.as_str() {
                 "backlog-s" => policy.backlog_s = self.parse_bound(field, BACKLOG_S_RANGE)?,
-                "class-least" => policy.class_least = self.parse_bound(field, CLASS_LEAST_RANGE)?,
+                "class-least" => {
+                    policy.min_class_share = self.parse_bound(field, CLASS_LEAST_RANGE)?
+                }
                 _ => {
                     let problem = PolicyProblem::UnknownAdmissionKey { key: field.key.clone() };
                     return Err(self.error(&entry.datum, problem));
