--- a/crates/basaltrail-protocol/src/administration.rs
+++ b/crates/basaltrail-protocol/src/administration.rs
@@ -1,9 +1,10 @@
-//! The answer of the administration listener: limits, use, backlog and admission quotas of the
-//! teams.
+//! Defines the answer of the administration listener: limits, usage, backlog and admission quotas
+//! of the teams.
 //!
-//! The published schema, `docs/schemas/limits.json`, is generated from these types with their
-//! names, field names and doc comments, so all of them are part of a fixed format. A `Room` is
-//! an amount of work, an allotment the admission quota of a controller, a node a controller.
+//! The published schema, `docs/schemas/limits.json`, is generated from the names, field names and
+//! doc comments of these types, so all of them are part of a fixed format. In its terms, a `Room`
+//! is an amount of work, an allotment is the admission quota of a controller, and a node is a
+//! controller.
 
 use basaltrail_core::inspection::{ClassReport, LimitsReport, TeamReport};
 use schemars::JsonSchema;
--- a/crates/basaltrail-protocol/src/frames.rs
+++ b/crates/basaltrail-protocol/src/frames.rs
@@ -1,21 +1,21 @@
-//! Frames between controllers (PROTOCOL, Between controller nodes): fixed layouts, little-endian,
-//! versioned.
+//! Encodes and decodes the frames between controllers (PROTOCOL, Between controller nodes), which
+//! have a fixed, versioned, little-endian layout.
 //!
-//! They carry the leader's progress of jobs, for display only. A frame of another version or
-//! length ends the connection.
+//! Frames carry the progress of jobs from the leader to its peers, for display only. The receiver
+//! closes the connection when a frame has an unknown version or an invalid length.
 
 use basaltrail_core::io::Progress;
 use basaltrail_core::model::JobId;
 use zerocopy::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// First bytes of every frame.
+/// Magic number: the first four bytes of every frame.
 pub const MAGIC: [u8; 4] = *b"BTRL";
-/// Version of the layout.
+/// Version of the frame layout.
 pub const VERSION: u16 = 1;
-/// Kind of the frames that carry progress.
+/// Kind of the frames that carry the progress of jobs.
 const PROGRESS_KIND: u16 = 1;
-/// Records in one frame at the most; the rest goes into further frames.
+/// Maximum number of records in a frame. [`encode`] puts more records into several frames.
 pub const MAX_RECORDS: usize = 1024;
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
@@ -35,12 +35,13 @@
     running: U32,
 }
 
-/// Length of a frame's header, in bytes.
+/// Size of a frame header, in bytes.
 pub const HEADER_BYTES: usize = std::mem::size_of::<Header>();
+/// Size of a progress record, in bytes.
 const RECORD_BYTES: usize = std::mem::size_of::<ProgressRecord>();
 
-/// The length of the body that follows a header, in bytes; `None` if the header is not that of a
-/// frame of this version.
+/// Returns the length in bytes of the body that follows a header, or `None` if the header is not
+/// a valid header of this version.
 pub fn body_length(header: &[u8]) -> Option<usize> {
     let header = Header::ref_from_bytes(header).ok()?;
     let count = header.count.get() as usize;
@@ -50,21 +51,21 @@
     (is_known && count <= MAX_RECORDS).then_some(count * RECORD_BYTES)
 }
 
-/// Decodes the body of a frame; `None` if it is not a whole number of records.
+/// Decodes the body of a frame. Returns `None` if the body is not a whole number of records.
 pub fn decode_body(body: &[u8]) -> Option<Vec<Progress>> {
     let records = <[ProgressRecord]>::ref_from_bytes(body).ok()?;
-    let progress = |record: &ProgressRecord| Progress {
+    let to_progress = |record: &ProgressRecord| Progress {
         job: JobId(record.job.get()),
         done: record.done.get(),
         running: record.running.get(),
     };
-    Some(records.iter().map(progress).collect())
+    Some(records.iter().map(to_progress).collect())
 }
 
-/// Encodes progress as as many frames as it takes, with the first records in the last frame.
+/// Encodes progress as one or more frames, with the first records in the last frame.
 ///
-/// Earlier versions keep the last frame only. The records are sorted by job, so those versions
-/// show the jobs with the lowest numbers.
+/// Earlier versions keep only the last frame that they receive. The records are sorted by job, so
+/// those versions show the jobs with the lowest numbers.
 pub fn encode(progress: &[Progress]) -> Vec<u8> {
     if progress.is_empty() {
         return encode_frame(progress);
@@ -81,11 +82,11 @@
     };
     let mut frame = Vec::with_capacity(HEADER_BYTES + progress.len() * RECORD_BYTES);
     frame.extend_from_slice(header.as_bytes());
-    for progress in progress {
+    for job_progress in progress {
         let record = ProgressRecord {
-            job: U64::new(progress.job.0),
-            done: U32::new(progress.done),
-            running: U32::new(progress.running),
+            job: U64::new(job_progress.job.0),
+            done: U32::new(job_progress.done),
+            running: U32::new(job_progress.running),
         };
         frame.extend_from_slice(record.as_bytes());
     }
--- a/crates/basaltrail-protocol/src/heartbeats.rs
+++ b/crates/basaltrail-protocol/src/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of workers, and the commands that answer them (PROTOCOL, Workers -> controller
-//! nodes).
+//! Parses the heartbeats of workers and encodes the answers to them (PROTOCOL, Workers ->
+//! controller nodes).
 
 use crate::{names, Malformed};
 use basaltrail_core::model::{
@@ -7,11 +7,11 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Longest address, machine type or zone of a worker, in bytes.
-const MAX_TEXT: usize = 100;
+/// Maximum length of the endpoint, machine type or zone of a worker, in bytes.
+const MAX_TEXT_BYTES: usize = 100;
 
-/// A heartbeat as it is on the wire. The name of the type, like that of [`LeafBody`], is part of
-/// the message about a body that is no object; PROTOCOL calls a heartbeat a report.
+/// A heartbeat on the wire, which PROTOCOL calls a report. The names of this type and of
+/// [`LeafBody`] are part of the error message for a value that is not an object, so they stay.
 #[derive(Deserialize)]
 struct ReportBody {
     #[serde(rename = "stack")]
@@ -36,7 +36,7 @@
     tasks: Vec<LeafBody>,
 }
 
-/// The status of one task.
+/// The status of one task, which PROTOCOL calls a leaf.
 #[derive(Deserialize)]
 struct LeafBody {
     #[serde(rename = "leaf")]
@@ -62,7 +62,7 @@
         Ok(TaskStatus { task, attempt: Attempt(self.attempt), state })
     }
 
-    /// An unknown reason counts as an error of the task.
+    /// Returns the exit reason. A missing or unknown reason counts as [`ExitReason::Error`].
     fn exit_reason(&self) -> ExitReason {
         match self.exit_reason.as_deref() {
             Some("done") => ExitReason::Done,
@@ -79,14 +79,14 @@
 ///
 /// # Errors
 ///
-/// If any part of it is malformed, also if that is one task of many: a list of tasks with a gap
-/// would say that the missing task is not on the machine.
+/// Fails if any part of the body is malformed, even if it is one task of many: if that task were
+/// skipped, the list of tasks would say that it is not on the machine.
 pub fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, Malformed> {
     let body: ReportBody = serde_json::from_slice(body)?;
     let machine =
         names::parse_machine(&body.machine).ok_or(Malformed::MachineName { field: "stack" })?;
     let texts = [&body.endpoint, &body.machine_type, &body.zone];
-    if texts.iter().any(|text| text.len() > MAX_TEXT) {
+    if texts.iter().any(|text| text.len() > MAX_TEXT_BYTES) {
         return Err(Malformed::WorkerText);
     }
     let tasks: Result<Vec<TaskStatus>, Malformed> =
@@ -142,16 +142,16 @@
     leader: Option<&'a str>,
 }
 
-/// The body of the leader's answer to a heartbeat (status 200).
+/// Returns the body of the leader's answer to a heartbeat (status 200).
 pub fn commands_body(token: FencingToken, commands: &[TaskCommand]) -> String {
     let commands = commands.iter().map(CommandBody::from).collect();
     let body = CommandsBody { token: token.0, commands };
-    // Only maps with other keys than text fail to be written.
+    // Serialization fails only for maps whose keys are not strings; the body has none.
     serde_json::to_string(&body).unwrap_or_default()
 }
 
-/// The body of the answer of a controller that is not the leader (status 421). `leader` is the
-/// name of the one that may be.
+/// Returns the body of the answer of a controller that is not the leader (status 421). `leader` is
+/// the name of the presumed leader.
 pub fn not_leader_body(leader: Option<&str>) -> String {
     serde_json::to_string(&NotLeaderBody { leader }).unwrap_or_default()
 }
--- a/crates/basaltrail-protocol/src/heartbeats_tests.rs
+++ b/crates/basaltrail-protocol/src/heartbeats_tests.rs
@@ -1,22 +1,25 @@
 use super::*;
 
 #[test]
-fn a_heartbeat_is_parsed_and_commands_are_written() {
-    let r = parse_heartbeat(
+fn heartbeats_are_parsed_and_commands_are_encoded() {
+    let heartbeat = parse_heartbeat(
         br#"{"stack":"m-000231","endpoint":"10.1.0.232:9000","format":"g8","room":"a",
         "remainders":true,"tenure":1,"folio":88,"warrant":41,"recallS":null,"leaves":[
         {"leaf":"job-000412/3","printing":2,"condition":"running"},
         {"leaf":"job-000398/0","printing":1,"condition":"ended","colophon":"done"}]}"#,
     )
     .unwrap();
-    assert_eq!((r.agent_epoch, r.sequence, r.token), (AgentEpoch(1), 88, FencingToken(41)));
-    assert_eq!(r.tasks[1].state, TaskState::Exited(ExitReason::Done));
-    let t = r.tasks[0].task;
+    assert_eq!(
+        (heartbeat.agent_epoch, heartbeat.sequence, heartbeat.token),
+        (AgentEpoch(1), 88, FencingToken(41))
+    );
+    assert_eq!(heartbeat.tasks[1].state, TaskState::Exited(ExitReason::Done));
+    let task = heartbeat.tasks[0].task;
     let body = commands_body(
         FencingToken(41),
         &[
-            TaskCommand::Start { task: t, attempt: Attempt(2) },
-            TaskCommand::Stop { task: t, attempt: Attempt(2), grace_s: 10.0 },
+            TaskCommand::Start { task, attempt: Attempt(2) },
+            TaskCommand::Stop { task, attempt: Attempt(2), grace_s: 10.0 },
         ],
     );
     assert_eq!(
@@ -25,13 +28,14 @@
     );
 }
 
-/// A list with one malformed task must not pass for a list without that task.
+/// Guards against dropping a malformed task from the list: the controller would conclude that the
+/// task is not on the machine.
 #[test]
-fn a_heartbeat_with_a_malformed_task_is_refused() {
-    let body = |leaf: &str, condition: &str| {
+fn heartbeat_with_a_malformed_task_is_rejected() {
+    let body = |task: &str, state: &str| {
         format!(
             r#"{{"stack":"m-000001","format":"g","room":"a","tenure":1,"folio":1,"leaves":[
-            {{"leaf":"{leaf}","printing":1,"condition":"{condition}"}}]}}"#
+            {{"leaf":"{task}","printing":1,"condition":"{state}"}}]}}"#
         )
     };
     assert!(parse_heartbeat(body("job-000001/0", "running").as_bytes()).is_ok());
@@ -43,22 +47,22 @@
     .is_err());
 }
 
-/// The messages go to workers, with the text of earlier versions.
+/// The messages go to workers and have the same text as in earlier versions.
 #[test]
-fn a_refusal_says_what_is_wrong() {
-    let report = |machine: &str, zone: &str, task: &str, condition: &str| {
+fn error_message_describes_the_malformed_field() {
+    let heartbeat_body = |machine: &str, zone: &str, task: &str, state: &str| {
         format!(
             r#"{{"stack":"{machine}","format":"g","room":"{zone}","tenure":1,"folio":1,"leaves":[
-            {{"leaf":"{task}","printing":1,"condition":"{condition}"}}]}}"#
+            {{"leaf":"{task}","printing":1,"condition":"{state}"}}]}}"#
         )
     };
-    let long = "z".repeat(101);
+    let long_zone = "z".repeat(101);
     for (body, message) in [
         ("[]".to_string(), "not a JSON object of the expected form: invalid length 0, expected struct ReportBody with 10 elements at line 1 column 2"),
-        (report("x-1", "a", "job-000001/0", "running"), "stack is not a name"),
-        (report("m-1", &long, "job-000001/0", "running"), "a name is too long"),
-        (report("m-1", "a", "job-1/0", "running"), "leaf is not a task"),
-        (report("m-1", "a", "job-000001/0", "idle"), "condition is not known"),
+        (heartbeat_body("x-1", "a", "job-000001/0", "running"), "stack is not a name"),
+        (heartbeat_body("m-1", &long_zone, "job-000001/0", "running"), "a name is too long"),
+        (heartbeat_body("m-1", "a", "job-1/0", "running"), "leaf is not a task"),
+        (heartbeat_body("m-1", "a", "job-000001/0", "idle"), "condition is not known"),
     ] {
         assert_eq!(parse_heartbeat(body.as_bytes()).unwrap_err().to_string(), message);
     }
--- a/crates/basaltrail-protocol/src/lib.rs
+++ b/crates/basaltrail-protocol/src/lib.rs
@@ -1,9 +1,8 @@
-//! Everything that goes over the wire: JSON bodies to users, workers, the cloud and the state
-//! service, and the frames between controllers.
+//! Encodes and decodes all messages on the wire: the JSON bodies exchanged with users, workers,
+//! the cloud and the state service, and the frames between controllers.
 //!
-//! Wire names are mapped to the terms of `basaltrail-core` here and nowhere else: the private
-//! types of each module have the field's terms as their names, and PROTOCOL's names as serde
-//! renames.
+//! Only this crate maps wire names to the terms of `basaltrail-core`: the fields of its private
+//! types use the terms of the core, and serde renames give the wire names of PROTOCOL.
 #![warn(missing_docs)]
 
 pub mod administration;
@@ -20,9 +19,9 @@
 /// An HTTP request to the cloud or the state service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpRequest {
-    /// Method.
+    /// HTTP method.
     pub method: &'static str,
-    /// Path and query.
+    /// Path and query string.
     pub path: String,
     /// JSON body; empty if the request has none.
     pub body: String,
--- a/crates/basaltrail-protocol/src/names_tests.rs
+++ b/crates/basaltrail-protocol/src/names_tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn every_name_has_one_spelling() {
+fn every_identifier_has_exactly_one_valid_name() {
     assert_eq!(parse_job("job-000412"), Some(JobId(412)));
     assert_eq!(parse_job("job-1000412"), Some(JobId(1_000_412)));
-    for bad in [
+    for invalid in [
         "job-412",
         "job-0000412",
         "job-00041x",
@@ -14,12 +14,12 @@
         "job-",
         "job-99999999999999999999999",
     ] {
-        assert_eq!(parse_job(bad), None, "{bad}");
+        assert_eq!(parse_job(invalid), None, "{invalid}");
     }
-    for n in [0, 7, 999_999, 1_000_000, u64::MAX] {
-        assert_eq!(parse_job(&job_name(JobId(n))), Some(JobId(n)));
+    for number in [0, 7, 999_999, 1_000_000, u64::MAX] {
+        assert_eq!(parse_job(&job_name(JobId(number))), Some(JobId(number)));
     }
-    assert_eq!(parse_task("job-000412/3").map(|t| t.index), Some(3));
+    assert_eq!(parse_task("job-000412/3").map(|task| task.index), Some(3));
     assert_eq!(parse_task("job-000412/+3"), None);
     assert_eq!(parse_task("job-000412"), None);
 }
