--- a/crates/basaltrail-protocol/src/cloud.rs
+++ b/crates/basaltrail-protocol/src/cloud.rs
@@ -1,14 +1,14 @@
-//! Requests to the cloud, and its replies (PROTOCOL, Controller nodes -> cloud).
+//! Encodes requests to the cloud and parses its replies (PROTOCOL, Controller nodes -> cloud).
 
 use crate::{names, HttpRequest, Malformed};
 use basaltrail_core::io::{CloudReply, CloudRequest};
 use basaltrail_core::model::{ListedMachine, ListedState, MachineId, MachineType};
 use serde::{Deserialize, Serialize};
 
-/// Machines in one page of the list.
-const PAGE_LENGTH: u32 = 500;
-/// The error of a rental for which the cloud has no machine.
-const NO_CAPACITY: &str = "no capacity";
+/// Maximum number of machines in one page of the machine list.
+const PAGE_SIZE: u32 = 500;
+/// Error text with which the cloud rejects a provision request that it has no machines for.
+const NO_CAPACITY_ERROR: &str = "no capacity";
 
 #[derive(Deserialize)]
 struct TypesBody {
@@ -133,7 +133,7 @@
     error: String,
 }
 
-/// The HTTP request that carries a request to the cloud.
+/// Returns the HTTP request for a request to the cloud.
 pub fn http_request(request: &CloudRequest) -> HttpRequest {
     match request {
         CloudRequest::Types => HttpRequest::get("/machine_types".into()),
@@ -148,24 +148,24 @@
         }
         CloudRequest::List { after } => {
             let after = after.as_ref().map(|after| format!("&after={after}")).unwrap_or_default();
-            HttpRequest::get(format!("/rentals?most={PAGE_LENGTH}{after}"))
+            HttpRequest::get(format!("/rentals?most={PAGE_SIZE}{after}"))
         }
     }
 }
 
-/// Parses the reply to a request. Any status but 200 is [`CloudReply::Failed`], except that of a
-/// rental without capacity.
+/// Parses the reply to a request. Any status other than 200 yields [`CloudReply::Failed`], except
+/// for a provision request that fails for lack of capacity.
 ///
 /// # Errors
 ///
-/// If the body of a reply with status 200 is malformed.
+/// Fails if the body of a reply with status 200 is malformed.
 pub fn parse_reply(
     request: &CloudRequest,
     status: u16,
     body: &[u8],
 ) -> Result<CloudReply, Malformed> {
     if status != 200 {
-        return Ok(refusal(request, status, body));
+        return Ok(failure_reply(request, status, body));
     }
     match request {
         CloudRequest::Types => {
@@ -188,16 +188,17 @@
     }
 }
 
-fn refusal(request: &CloudRequest, status: u16, body: &[u8]) -> CloudReply {
+fn failure_reply(request: &CloudRequest, status: u16, body: &[u8]) -> CloudReply {
     let error: Option<ErrorBody> = serde_json::from_slice(body).ok();
-    let is_no_capacity = status == 503 && error.is_some_and(|body| body.error == NO_CAPACITY);
+    let is_no_capacity = status == 503 && error.is_some_and(|body| body.error == NO_CAPACITY_ERROR);
     match request {
         CloudRequest::Provision { .. } if is_no_capacity => CloudReply::NoCapacity,
         _ => CloudReply::Failed,
     }
 }
 
-/// A type with an amount that is none is left out: no decision could be made about it.
+/// Returns whether the amounts of a machine type are finite and at least 0. Other types are dropped,
+/// because no scheduling or scale-out decision could use them.
 fn is_usable(machine_type: &MachineType) -> bool {
     let amounts =
         [machine_type.cpus, machine_type.memory_gb, machine_type.price, machine_type.boot_s];
--- a/crates/basaltrail-protocol/src/heartbeats.rs
+++ b/crates/basaltrail-protocol/src/heartbeats.rs
@@ -11,7 +11,8 @@
 const MAX_TEXT_BYTES: usize = 100;
 
 /// A heartbeat on the wire, which PROTOCOL calls a report. The names of this type and of
-/// [`LeafBody`] are part of the error message for a value that is not an object, so they stay.
+/// [`LeafBody`] are part of the error message for a value that is not an object, so they must not
+/// change.
 #[derive(Deserialize)]
 struct ReportBody {
     #[serde(rename = "stack")]
--- a/crates/basaltrail-protocol/src/store.rs
+++ b/crates/basaltrail-protocol/src/store.rs
@@ -1,4 +1,5 @@
-//! Requests to the state service, and its replies (PROTOCOL, Controller nodes -> state service).
+//! Encodes requests to the state service and parses its replies (PROTOCOL, Controller nodes ->
+//! state service).
 
 use crate::{HttpRequest, Malformed};
 use basaltrail_core::io::{
@@ -134,11 +135,11 @@
     }
 }
 
-/// The HTTP request that carries a request to the state service.
+/// Returns the HTTP request for a request to the state service.
 ///
 /// # Errors
 ///
-/// If a value that is to be put is not JSON.
+/// Fails if a value in a put is not JSON.
 pub fn http_request(request: &StoreRequest) -> Result<HttpRequest, Malformed> {
     Ok(match request {
         StoreRequest::Get(key) => HttpRequest::get(format!("/kv/{key}")),
@@ -188,30 +189,30 @@
     serde_json::to_string(&TransactionBody { preconditions, changes })
 }
 
-/// Parses the reply to a request. A status that PROTOCOL does not name for the request is
-/// [`StoreReply::Unknown`]: it may have been carried out.
+/// Parses the reply to a request. A status that PROTOCOL does not define for the request yields
+/// [`StoreReply::Unknown`], because the service may have executed the request.
 ///
 /// # Errors
 ///
-/// If the body is malformed.
+/// Fails if the body is malformed.
 pub fn parse_reply(
     request: &StoreRequest,
     status: u16,
     body: &[u8],
 ) -> Result<StoreReply, Malformed> {
     match status {
-        200 => parse_success(request, body),
-        404 => Ok(not_found(request)),
-        409 => conflict(request, body),
+        200 => parse_success_reply(request, body),
+        404 => Ok(not_found_reply(request)),
+        409 => conflict_reply(request, body),
         410 => Ok(StoreReply::Compacted),
-        // The service says that it did not carry the request out.
+        // With these statuses the service guarantees that it did not execute the request.
         429 | 503 => Ok(StoreReply::Refused),
         400 => Ok(StoreReply::Rejected),
         _ => Ok(StoreReply::Unknown),
     }
 }
 
-fn parse_success(request: &StoreRequest, body: &[u8]) -> Result<StoreReply, Malformed> {
+fn parse_success_reply(request: &StoreRequest, body: &[u8]) -> Result<StoreReply, Malformed> {
     Ok(match request {
         StoreRequest::Get(_) => {
             StoreReply::KeyValue(serde_json::from_slice::<KeyValueBody>(body)?.into())
@@ -239,8 +240,8 @@
     })
 }
 
-/// Only single keys and leases can be missing.
-fn not_found(request: &StoreRequest) -> StoreReply {
+/// Returns the reply for status 404, which is defined only for requests about one key or lease.
+fn not_found_reply(request: &StoreRequest) -> StoreReply {
     match request {
         StoreRequest::Get(_)
         | StoreRequest::GrantLease { .. }
@@ -252,8 +253,9 @@
     }
 }
 
-/// Only transactions have preconditions.
-fn conflict(request: &StoreRequest, body: &[u8]) -> Result<StoreReply, Malformed> {
+/// Returns the reply for status 409, which is defined only for transactions, because only they have
+/// preconditions.
+fn conflict_reply(request: &StoreRequest, body: &[u8]) -> Result<StoreReply, Malformed> {
     if !matches!(request, StoreRequest::Transaction { .. }) {
         return Ok(StoreReply::Unknown);
     }
--- a/crates/basaltrail-protocol/src/submissions.rs
+++ b/crates/basaltrail-protocol/src/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs, and the answers to users (PROTOCOL, Users -> controller nodes).
+//! Parses job submissions and encodes the answers to users (PROTOCOL, Users -> controller nodes).
 
 use crate::{names, Malformed};
 use basaltrail_core::answer::Answer;
@@ -6,17 +6,17 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Tasks of a job at the most.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// Longest text in a submission, in bytes.
-const MAX_TEXT: usize = 200;
-/// Machine types of a job at the most.
+/// Maximum length of a text in a submission, in bytes.
+const MAX_TEXT_BYTES: usize = 200;
+/// Maximum number of machine types that a job may list.
 const MAX_MACHINE_TYPES: usize = 64;
-/// Amounts above this are refused, whatever they measure: no deployment has them.
+/// Upper bound of every amount in a submission, in any unit. No deployment has larger amounts.
 const MAX_AMOUNT: f64 = 1e12;
 
-/// A submission as it is on the wire. The name of the type, like that of [`Precedence`], is part
-/// of the message about a body that is no object.
+/// A submission on the wire. The names of this type and of [`Precedence`] are part of the error
+/// message for a value of the wrong type, so they must not change.
 #[derive(Deserialize)]
 struct Submission {
     #[serde(rename = "nameId")]
@@ -60,6 +60,7 @@
     deadline_s: Option<f64>,
 }
 
+/// The priority of a job on the wire.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 enum Precedence {
@@ -97,7 +98,7 @@
         if !(1..=MAX_TASKS).contains(&self.tasks) {
             return Err(Malformed::TaskCount);
         }
-        if !is_amount(self.cpus) || self.cpus == 0.0 {
+        if !is_valid_amount(self.cpus) || self.cpus == 0.0 {
             return Err(Malformed::NotPositive { field: "vcpus" });
         }
         let amounts = [
@@ -109,7 +110,7 @@
             ("pressS", self.save_s),
             ("dueS", self.deadline_s.unwrap_or(0.0)),
         ];
-        match amounts.into_iter().find(|(_, amount)| !is_amount(*amount)) {
+        match amounts.into_iter().find(|(_, amount)| !is_valid_amount(*amount)) {
             Some((field, _)) => Err(Malformed::Negative { field }),
             None => Ok(()),
         }
@@ -117,14 +118,14 @@
 
     fn check_texts(&self) -> Result<(), Malformed> {
         let texts = [&self.class, &self.team, &self.image];
-        if !texts.into_iter().all(|text| is_text(text)) {
+        if !texts.into_iter().all(|text| is_valid_text(text)) {
             return Err(Malformed::JobText);
         }
-        if !self.zone.as_deref().is_none_or(is_text) {
+        if !self.zone.as_deref().is_none_or(is_valid_text) {
             return Err(Malformed::Zone);
         }
         let types = self.machine_types.as_deref().unwrap_or_default();
-        if types.len() > MAX_MACHINE_TYPES || !types.iter().all(|name| is_text(name)) {
+        if types.len() > MAX_MACHINE_TYPES || !types.iter().all(|name| is_valid_text(name)) {
             return Err(Malformed::MachineTypes);
         }
         Ok(())
@@ -150,25 +151,26 @@
             estimate_s: self.estimate_s,
             checkpoint_s: self.checkpoint_s,
             save_s: self.save_s,
-            // A service never ends, so its deadline means nothing.
+            // A service has no deadline, because it runs until it is cancelled.
             deadline_s: self.deadline_s.filter(|_| kind == JobKind::Array),
         }
     }
 }
 
-fn is_amount(amount: f64) -> bool {
+fn is_valid_amount(amount: f64) -> bool {
     (0.0..=MAX_AMOUNT).contains(&amount)
 }
 
-fn is_text(text: &str) -> bool {
-    !text.is_empty() && text.len() <= MAX_TEXT
+fn is_valid_text(text: &str) -> bool {
+    !text.is_empty() && text.len() <= MAX_TEXT_BYTES
 }
 
 /// Parses a submission.
 ///
 /// # Errors
 ///
-/// If a field is missing, of another type, or out of its range; the first such field is named.
+/// Fails if a field is missing, has the wrong type or is out of range. The error describes the
+/// first such field.
 pub fn parse_submission(body: &[u8]) -> Result<(JobId, JobSpec), Malformed> {
     let submission: Submission = serde_json::from_slice(body)?;
     let job = submission.job()?;
@@ -185,17 +187,17 @@
     pub status: u16,
     /// JSON body.
     pub body: String,
-    /// `Retry-After`, in seconds, if the response has the header.
+    /// Value of the `Retry-After` header in seconds, if the response has that header.
     pub retry_after_s: Option<u32>,
 }
 
 impl UserResponse {
-    fn job(status: u16, body: &JobBody) -> Self {
+    fn with_job(status: u16, body: &JobBody) -> Self {
         let body = serde_json::to_string(body).unwrap_or_default();
         UserResponse { status, body, retry_after_s: None }
     }
 
-    fn error(status: u16, reason: impl fmt::Display) -> Self {
+    fn with_error(status: u16, reason: impl fmt::Display) -> Self {
         UserResponse { status, body: error_body(&reason.to_string()), retry_after_s: None }
     }
 }
@@ -204,7 +206,8 @@
 struct JobBody {
     #[serde(rename = "nameId")]
     name: String,
-    condition: &'static str,
+    #[serde(rename = "condition")]
+    status: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     done: Option<u32>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -216,8 +219,8 @@
     error: &'a str,
 }
 
-/// The wire name of a job's status.
-fn condition(status: JobStatus) -> &'static str {
+/// Returns the wire name of a job status.
+fn status_name(status: JobStatus) -> &'static str {
     match status {
         JobStatus::Queued => "queued",
         JobStatus::Running => "running",
@@ -226,38 +229,38 @@
     }
 }
 
-/// The response that carries an answer to a user.
+/// Returns the HTTP response for an answer to a user.
 pub fn user_response(answer: &Answer) -> UserResponse {
     match answer {
         Answer::Created { job } => {
-            let condition = condition(JobStatus::Queued);
+            let status = status_name(JobStatus::Queued);
             let name = names::job_name(*job);
-            UserResponse::job(201, &JobBody { name, condition, done: None, running: None })
+            UserResponse::with_job(201, &JobBody { name, status, done: None, running: None })
         }
         Answer::Job { job, status, done, running } => {
-            let is_live = matches!(status, JobStatus::Queued | JobStatus::Running);
+            let is_active = matches!(status, JobStatus::Queued | JobStatus::Running);
             let body = JobBody {
                 name: names::job_name(*job),
-                condition: condition(*status),
-                done: is_live.then_some(*done),
-                running: is_live.then_some(*running),
+                status: status_name(*status),
+                done: is_active.then_some(*done),
+                running: is_active.then_some(*running),
             };
-            UserResponse::job(200, &body)
+            UserResponse::with_job(200, &body)
         }
-        Answer::Invalid(reason) => UserResponse::error(400, reason),
-        Answer::Unschedulable(reason) => UserResponse::error(422, reason),
-        Answer::NotFound => UserResponse::error(404, "no such job"),
+        Answer::Invalid(reason) => UserResponse::with_error(400, reason),
+        Answer::Unschedulable(reason) => UserResponse::with_error(422, reason),
+        Answer::NotFound => UserResponse::with_error(404, "no such job"),
         Answer::Unavailable { retry_after_s, reason } => {
             let retry_after_s = Some(*retry_after_s);
-            UserResponse { retry_after_s, ..UserResponse::error(503, reason) }
+            UserResponse { retry_after_s, ..UserResponse::with_error(503, reason) }
         }
         Answer::Commands { .. } | Answer::NotLeader { .. } | Answer::Limits(_) => {
-            UserResponse::error(500, "not for users")
+            UserResponse::with_error(500, "not for users")
         }
     }
 }
 
-/// The body of a response that says why a request failed.
+/// Returns the body of a response to a failed request, with the reason of the failure.
 pub fn error_body(reason: &str) -> String {
     serde_json::to_string(&ErrorBody { error: reason }).unwrap_or_default()
 }
--- a/crates/basaltrail-protocol/tests/bad_input.rs
+++ b/crates/basaltrail-protocol/tests/bad_input.rs
@@ -1,11 +1,11 @@
-//! Submissions with a missing or invalid field: each field on its own.
+//! Tests that a submission is rejected if one of its fields is missing or invalid.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
 
 use basaltrail_protocol::submissions::parse_submission;
 use serde_json::{json, Map, Value};
 
-fn good() -> Map<String, Value> {
+fn valid_submission() -> Map<String, Value> {
     let job = json!({"nameId": "job-000412", "shelf": "train", "desk": "vision",
         "binding": "array", "precedence": "urgent", "leaves": 16, "vcpus": 8.0, "gpus": 1.0,
         "ramGb": 64.0, "edition": "img-07", "sizeGb": 6.2, "formats": ["g8"], "room": "a",
@@ -14,49 +14,51 @@
     job.as_object().unwrap().clone()
 }
 
-fn accepted(job: &Map<String, Value>) -> bool {
+fn is_accepted(job: &Map<String, Value>) -> bool {
     parse_submission(serde_json::to_string(job).unwrap().as_bytes()).is_ok()
 }
 
-/// These may be null or absent.
-const OPTIONAL: [&str; 3] = ["formats", "room", "dueS"];
+/// The fields that may be null or absent.
+const OPTIONAL_FIELDS: [&str; 3] = ["formats", "room", "dueS"];
 
 #[test]
-fn an_absent_or_null_field_is_invalid_unless_it_is_optional() {
-    assert!(accepted(&good()));
-    for field in good().keys() {
-        let is_optional = OPTIONAL.contains(&field.as_str());
-        let mut job = good();
+fn absent_or_null_field_is_invalid_unless_it_is_optional() {
+    assert!(is_accepted(&valid_submission()));
+    for field in valid_submission().keys() {
+        let is_optional = OPTIONAL_FIELDS.contains(&field.as_str());
+        let mut job = valid_submission();
         job.insert(field.clone(), Value::Null);
-        assert_eq!(accepted(&job), is_optional, "{field} null");
+        assert_eq!(is_accepted(&job), is_optional, "{field} null");
         job.remove(field);
-        assert_eq!(accepted(&job), is_optional, "{field} absent");
+        assert_eq!(is_accepted(&job), is_optional, "{field} absent");
     }
 }
 
 #[test]
-fn a_field_of_another_type_is_invalid() {
-    for (field, value) in good() {
-        let others = [json!("1"), json!(1), json!(true), json!([1]), json!({"a": 1}), json!(1.5)];
-        for other in others {
-            // A number may be written without a fraction where it is an amount.
-            let same = match &value {
-                Value::Number(n) => other.is_number() && (n.is_f64() || other.is_u64()),
-                Value::String(_) => other.is_string(),
-                Value::Bool(_) => other.is_boolean(),
+fn field_of_the_wrong_type_is_invalid() {
+    for (field, value) in valid_submission() {
+        let values = [json!("1"), json!(1), json!(true), json!([1]), json!({"a": 1}), json!(1.5)];
+        for new_value in values {
+            // An amount may be an integer; a count must not have a fraction.
+            let has_valid_type = match &value {
+                Value::Number(number) => {
+                    new_value.is_number() && (number.is_f64() || new_value.is_u64())
+                }
+                Value::String(_) => new_value.is_string(),
+                Value::Bool(_) => new_value.is_boolean(),
                 _ => false,
             };
-            let mut job = good();
-            job.insert(field.clone(), other.clone());
-            let free = ["shelf", "desk", "edition", "room"].contains(&field.as_str());
-            let allowed = same && (free || !value.is_string());
-            assert_eq!(accepted(&job), allowed, "{field}: {other}");
+            let mut job = valid_submission();
+            job.insert(field.clone(), new_value.clone());
+            let is_free_text = ["shelf", "desk", "edition", "room"].contains(&field.as_str());
+            let is_valid = has_valid_type && (is_free_text || !value.is_string());
+            assert_eq!(is_accepted(&job), is_valid, "{field}: {new_value}");
         }
     }
 }
 
 #[test]
-fn amounts_and_counts_have_bounds() {
+fn values_out_of_range_are_invalid() {
     let cases = [
         ("leaves", json!(0), false),
         ("leaves", json!(100_000), true),
@@ -82,17 +84,17 @@
         ("precedence", json!("Best_effort"), false),
         ("binding", json!("Array"), false),
     ];
-    for (field, value, allowed) in cases {
-        let mut job = good();
+    for (field, value, is_valid) in cases {
+        let mut job = valid_submission();
         job.insert(field.into(), value.clone());
-        assert_eq!(accepted(&job), allowed, "{field}: {value}");
+        assert_eq!(is_accepted(&job), is_valid, "{field}: {value}");
     }
 }
 
-/// A service differs from an array by its kind: it has no run time and no deadline.
+/// A service is a job of the kind `daemon`, without an estimated run time and without a deadline.
 #[test]
-fn a_service_is_parsed_and_its_deadline_ignored() {
-    let mut job = good();
+fn service_is_parsed_and_its_deadline_is_ignored() {
+    let mut job = valid_submission();
     job.insert("binding".into(), json!("daemon"));
     job.insert("reckonS".into(), json!(0));
     job.insert("dueS".into(), Value::Null);
@@ -101,7 +103,7 @@
     assert!(parse(&job).unwrap().1.is_service());
     job.insert("dueS".into(), json!(900.0));
     assert_eq!(parse(&job).unwrap().1.deadline_s, None);
-    assert!(!parse(&good()).unwrap().1.is_service());
+    assert!(!parse(&valid_submission()).unwrap().1.is_service());
     for (field, value) in [
         ("leaves", json!(0)),
         ("leaves", json!(100_001)),
@@ -113,10 +115,10 @@
         ("binding", json!("Daemon")),
         ("binding", json!("gang")),
     ] {
-        let mut bad = job.clone();
-        bad.insert(field.into(), value.clone());
-        assert!(parse(&bad).is_err(), "{field}: {value}");
-        bad.remove(field);
-        assert_eq!(parse(&bad).is_err(), field != "dueS", "{field} absent");
+        let mut invalid = job.clone();
+        invalid.insert(field.into(), value.clone());
+        assert!(parse(&invalid).is_err(), "{field}: {value}");
+        invalid.remove(field);
+        assert_eq!(parse(&invalid).is_err(), field != "dueS", "{field} absent");
     }
 }
--- a/crates/basaltrail-protocol/tests/schema.rs
+++ b/crates/basaltrail-protocol/tests/schema.rs
@@ -1,4 +1,4 @@
-//! The published schema of `inspect limits --json`, and answers validated by it.
+//! Tests the published schema of `inspect limits --json` and validates answers against it.
 
 use basaltrail_core::inspection::{ClassReport, LimitsReport, TeamReport};
 use basaltrail_core::Revision;
@@ -6,19 +6,20 @@
 
 const PUBLISHED: &str = include_str!("../../../docs/schemas/limits.json");
 
-/// The schema is generated from the types; a new version is published by writing what this test prints.
+/// The schema is generated from the types. To publish a new version, copy the JSON from the failure
+/// message of this test into the schema file.
 #[test]
-fn the_published_schema_is_that_of_the_types() {
+fn published_schema_matches_the_types() {
     let generated = serde_json::to_value(schemars::schema_for!(Limits)).unwrap();
     let published: serde_json::Value = serde_json::from_str(PUBLISHED).unwrap_or_default();
     assert_eq!(published, generated, "{}", serde_json::to_string_pretty(&generated).unwrap());
 }
 
 #[test]
-fn answers_match_the_schema_and_altered_ones_do_not() {
+fn valid_answers_match_the_schema_and_invalid_answers_do_not() {
     let schema: serde_json::Value = serde_json::from_str(PUBLISHED).unwrap();
     let validator = jsonschema::validator_for(&schema).unwrap();
-    let room = Some((3, 60.0));
+    let quota = Some((3, 60.0));
     let class = |class: &str, allotted| ClassReport {
         class: class.into(),
         jobs: 2,
@@ -31,7 +32,7 @@
         limit,
         used,
         refused: 7,
-        classes: vec![class("c", room), class("", None)],
+        classes: vec![class("c", quota), class("", None)],
     };
     let report = LimitsReport {
         controller: "stack-0".into(),
@@ -42,13 +43,13 @@
     };
     let answer = serde_json::to_value(Limits::from(&report)).unwrap();
     assert!(validator.is_valid(&answer), "{answer}");
-    for (pointer, bad) in [
+    for (pointer, invalid_value) in [
         ("/teams", "none".into()),
         ("/teams/0/limit", "48".into()),
         ("/node", serde_json::Value::Null),
     ] {
         let mut invalid = answer.clone();
-        *invalid.pointer_mut(pointer).unwrap() = bad;
+        *invalid.pointer_mut(pointer).unwrap() = invalid_value;
         assert!(!validator.is_valid(&invalid), "{pointer}");
     }
 }
