--- a/crates/basaltrail-core/tests/trace_player/mod.rs
+++ b/crates/basaltrail-core/tests/trace_player/mod.rs
@@ -1,4 +1,5 @@
-//! Plays a kept trace: one controller, and a store that answers at once unless told otherwise.
+//! Plays a trace against one controller and a simulated store, which replies at once unless the trace
+//! sets a fault.
 
 mod script;
 mod store;
@@ -9,16 +10,16 @@
 use std::sync::Arc;
 use store::{OpenWatch, TraceStore};
 
-/// Tasks of every job.
+/// Number of tasks of every job.
 const TASKS: u32 = 2;
-/// Milliseconds between two ticks.
+/// Time between two ticks, in milliseconds.
 const TICK_MS: u64 = 50;
 
 fn settings() -> Settings {
-    let team = |name: &str, max: f64| Team {
+    let team = |name: &str, cpus_max: f64| Team {
         name: name.into(),
         cpus: 8.0,
-        cpus_max: max,
+        cpus_max,
         gpus: 0.0,
         gpus_max: 0.0,
     };
@@ -85,45 +86,54 @@
     }
 }
 
-/// A controller under test, and everything that it talks to.
-pub struct Trace {
+/// The controller under test, and the simulated services that it uses.
+pub struct TracePlayer {
     controller: Controller,
     now: u64,
     store: TraceStore,
     last_request: u64,
-    /// Answers that no line of the trace has asked for yet.
-    answers: VecDeque<String>,
-    /// The attempt that each `job/task` was started with last.
+    /// Answers that the trace has not checked yet.
+    unchecked_answers: VecDeque<String>,
+    /// The attempt of the last start of each `job/task`.
     attempts: BTreeMap<String, Attempt>,
 }
 
-impl Trace {
+impl TracePlayer {
     fn new() -> Self {
-        Trace {
+        TracePlayer {
             controller: Controller::new(Arc::new(settings()), 1),
             now: 0,
             store: TraceStore::default(),
             last_request: 0,
-            answers: VecDeque::new(),
+            unchecked_answers: VecDeque::new(),
             attempts: BTreeMap::new(),
         }
     }
 
-    /// Plays a trace; panics where an answer is not the one that stands there.
+    /// Plays a trace. Panics if an answer differs from the one in the trace.
     pub fn play(name: &str, text: &str) {
-        let mut trace = Trace::new();
+        let mut player = TracePlayer::new();
         for (index, line) in text.lines().enumerate() {
             let line = line.split('#').next().unwrap().trim();
-            let at = format!("{name}, line {}", index + 1);
-            if let Some(wanted) = line.strip_prefix("->") {
-                let answer = trace.answers.pop_front().unwrap_or_else(|| "nothing".to_string());
-                assert_eq!(answer, wanted.trim(), "{at}");
+            let location = format!("{name}, line {}", index + 1);
+            if let Some(expected) = line.strip_prefix("->") {
+                let answer =
+                    player.unchecked_answers.pop_front().unwrap_or_else(|| "nothing".to_string());
+                assert_eq!(answer, expected.trim(), "{location}");
             } else if !line.is_empty() {
-                assert!(trace.answers.is_empty(), "{at}: {:?} was not expected", trace.answers);
-                trace.line(line);
+                assert!(
+                    player.unchecked_answers.is_empty(),
+                    "{location}: unexpected answers {:?}",
+                    player.unchecked_answers
+                );
+                player.play_line(line);
             }
         }
-        assert!(trace.answers.is_empty(), "{name}: {:?} was not expected", trace.answers);
+        assert!(
+            player.unchecked_answers.is_empty(),
+            "{name}: unexpected answers {:?}",
+            player.unchecked_answers
+        );
     }
 
     fn next_request(&mut self) -> RequestId {
@@ -131,36 +141,42 @@
         RequestId(self.last_request)
     }
 
-    /// Feeds an input, and the replies to all that comes of it.
+    /// Feeds an input to the controller, and the replies to all requests that follow from it.
     fn feed(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for effect in self.controller.step(self.now, self.now as i64, input) {
-                inputs.extend(self.carry_out(effect));
+                inputs.extend(self.execute(effect));
             }
         }
     }
 
-    /// The reply, if one comes at once.
-    fn carry_out(&mut self, effect: Effect) -> Option<Input> {
+    /// Executes an effect and returns the reply, if there is one at once.
+    fn execute(&mut self, effect: Effect) -> Option<Input> {
         match effect {
             Effect::Store {
                 op,
                 call: StoreRequest::Watch { prefix, after, wait_ms },
                 timeout_ms,
             } => {
-                let due = self.now + wait_ms;
-                let given_up = self.now + timeout_ms;
-                self.store.watches.push(OpenWatch { op, prefix, after, due, given_up });
+                let wait_ends_at = self.now + wait_ms;
+                let times_out_at = self.now + timeout_ms;
+                self.store.watches.push(OpenWatch {
+                    op,
+                    prefix,
+                    after,
+                    wait_ends_at,
+                    times_out_at,
+                });
                 None
             }
             Effect::Store { op, call, .. } => {
-                Some(Input::Store { op, reply: self.store.request(call) })
+                Some(Input::Store { op, reply: self.store.handle_request(call) })
             }
             Effect::Cloud { op, call, .. } => Some(Input::Cloud { op, reply: cloud_reply(&call) }),
             Effect::Answer { answer, .. } => {
-                let line = self.describe(&answer);
-                self.answers.push_back(line);
+                let text = self.describe_answer(&answer);
+                self.unchecked_answers.push_back(text);
                 None
             }
             Effect::Log(LogEvent::Heartbeat(
@@ -170,8 +186,8 @@
         }
     }
 
-    /// An answer as a trace writes it.
-    fn describe(&mut self, answer: &Answer) -> String {
+    /// Returns an answer as it is written in traces.
+    fn describe_answer(&mut self, answer: &Answer) -> String {
         match answer {
             Answer::Created { .. } => "201".into(),
             Answer::Job { status, .. } => format!("200 {status:?}").to_lowercase(),
@@ -190,21 +206,21 @@
     }
 
     fn describe_command(&mut self, command: &TaskCommand) -> String {
-        let name = |task: &TaskId| format!("{}/{}", task.job.0, task.index);
+        let task_name = |task: &TaskId| format!("{}/{}", task.job.0, task.index);
         match command {
             TaskCommand::Start { task, attempt } => {
-                self.attempts.insert(name(task), *attempt);
-                format!("start {}", name(task))
+                self.attempts.insert(task_name(task), *attempt);
+                format!("start {}", task_name(task))
             }
-            TaskCommand::Stop { task, .. } => format!("stop {}", name(task)),
-            TaskCommand::Forget { task, .. } => format!("forget {}", name(task)),
+            TaskCommand::Stop { task, .. } => format!("stop {}", task_name(task)),
+            TaskCommand::Forget { task, .. } => format!("forget {}", task_name(task)),
         }
     }
 
-    /// Lets time pass.
-    fn run_for(&mut self, ms: u64) {
-        let until = self.now + ms;
-        while self.now < until {
+    /// Advances the time by `duration_ms`.
+    fn run_for(&mut self, duration_ms: u64) {
+        let end = self.now + duration_ms;
+        while self.now < end {
             self.now += TICK_MS;
             self.feed(Input::Tick);
             for watch in std::mem::take(&mut self.store.watches) {
@@ -217,7 +233,7 @@
     }
 }
 
-/// The cloud has no machine to give.
+/// Returns the reply of a cloud without capacity.
 fn cloud_reply(call: &CloudRequest) -> CloudReply {
     match call {
         CloudRequest::Types => CloudReply::Types(vec![machine_type()]),
--- a/crates/basaltrail-core/tests/trace_player/script.rs
+++ b/crates/basaltrail-core/tests/trace_player/script.rs
@@ -1,15 +1,15 @@
-//! The lines of a trace; `tests/traces/README` explains them.
+//! Interprets the lines of a trace, which `tests/traces/README` describes.
 
 use super::store::Availability;
-use super::{spec, Trace};
+use super::{spec, TracePlayer};
 use basaltrail_core::*;
 
 /// The lease under which another controller holds the leader key.
-const LEASE_OF_ANOTHER: LeaseId = LeaseId(999);
+const OTHER_CONTROLLER_LEASE: LeaseId = LeaseId(999);
 
-impl Trace {
-    /// Plays one line.
-    pub(super) fn line(&mut self, line: &str) {
+impl TracePlayer {
+    /// Executes one line.
+    pub(super) fn play_line(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         let req = self.next_request();
         match words[0] {
@@ -17,33 +17,32 @@
             "store" => self.store.availability = availability(words[1]),
             "reject" => self.store.rejected_key = Some(words[1].into()),
             "rejected" => {
-                let most = words[1].parse().unwrap();
-                let rejected = self.store.rejected;
-                assert!((1..=most).contains(&rejected), "{rejected} rejected");
+                let max = words[1].parse().unwrap();
+                let rejected = self.store.rejected_transactions;
+                assert!((1..=max).contains(&rejected), "{rejected} rejected");
             }
-            "watch-events" => self.store.events_held = words[1] == "held",
-            "registry" => self.store.registry_held = words[1] == "held",
-            "watch" => self.hang_watches_of_jobs(),
-            // What got no answer is carried out now.
+            "watch-events" => self.store.job_events_held = words[1] == "held",
+            "registry" => self.store.registry_unreadable = words[1] == "held",
+            "watch" => self.hang_job_watches(),
             "late" => {
-                for call in std::mem::take(&mut self.store.unanswered) {
-                    self.store.carry_out(&call);
+                for call in std::mem::take(&mut self.store.unanswered_requests) {
+                    self.store.execute(&call);
                 }
             }
-            "other" => self.other(&words[1..]),
+            "other" => self.act_as_other_controller(&words[1..]),
             "submit" => self.submit(req, &words[1..]),
             "poll" => self.feed(Input::Poll { req, job: job(words[1]) }),
             "cancel" => self.feed(Input::Cancel { req, job: job(words[1]) }),
             "heartbeat" => self.heartbeat(&words[1..]),
-            other => panic!("no {other}"),
+            unknown => panic!("unknown command {unknown}"),
         }
     }
 
-    fn hang_watches_of_jobs(&mut self) {
+    fn hang_job_watches(&mut self) {
         let store = &mut self.store;
-        let of_jobs = store.watches.iter().filter(|watch| watch.prefix == records::JOBS_PREFIX);
-        store.hung.extend(of_jobs.map(|watch| watch.op));
-        assert!(!store.hung.is_empty(), "no watch is open");
+        let job_watches = store.watches.iter().filter(|watch| watch.prefix == records::JOBS_PREFIX);
+        store.hung_watches.extend(job_watches.map(|watch| watch.op));
+        assert!(!store.hung_watches.is_empty(), "no watch of the jobs is open");
     }
 
     fn submit(&mut self, req: RequestId, words: &[&str]) {
@@ -54,13 +53,13 @@
         self.feed(Input::Submit { req, job: job(words[0]), spec: Box::new(spec) });
     }
 
-    /// Another controller does something, straight in the store.
-    fn other(&mut self, words: &[&str]) {
+    /// Writes the changes of another controller to the store.
+    fn act_as_other_controller(&mut self, words: &[&str]) {
         let store = &mut self.store;
         store.begin_revision();
         match words[0] {
-            "leads" => self.led_by("n1"),
-            "led-by-us" => self.led_by("n0"),
+            "leads" => self.set_leader("n1"),
+            "led-by-us" => self.set_leader("n0"),
             "goes" => store.delete(records::LEADER_KEY),
             "registry" => {
                 let machines: Vec<String> = words[1..].iter().map(machine_record).collect();
@@ -71,7 +70,7 @@
                 let record = records::JobRecord::new(0, JobSpec { spot, ..spec(words[2]) });
                 store.put(&records::active_job_key(job(words[1])), &records::encode(&record), None);
             }
-            // Both its tasks are done, by the record.
+            // The completion record of the job lists both tasks.
             "completes" => {
                 store.put(
                     &records::completions_key(job(words[1]), 0),
@@ -83,17 +82,17 @@
                 store.delete(&records::active_job_key(job(words[1])));
                 store.put(&records::outcome_key(job(words[1])), "\"c\"", None);
             }
-            other => panic!("no {other}"),
+            unknown => panic!("unknown action {unknown}"),
         }
     }
 
-    fn led_by(&mut self, controller: &str) {
+    fn set_leader(&mut self, controller: &str) {
         let record = format!(r#"{{"node":"{controller}","incarnation":1,"token":9}}"#);
-        self.store.put(records::LEADER_KEY, &record, Some(LEASE_OF_ANOTHER));
+        self.store.put(records::LEADER_KEY, &record, Some(OTHER_CONTROLLER_LEASE));
         self.store.put(records::TERM_KEY, "9", None);
     }
 
-    /// `heartbeat m1 s1 f5 t1 job/task=state ...`
+    /// Sends the heartbeat of a line `heartbeat m1 s1 f5 t1 job/task=state ...`.
     fn heartbeat(&mut self, words: &[&str]) {
         let number = |word: &str| word[1..].parse::<u64>().unwrap();
         let tasks = words[4..].iter().map(|word| self.task_status(word)).collect();
@@ -123,9 +122,9 @@
             "done" => TaskState::Exited(ExitReason::Done),
             "error" => TaskState::Exited(ExitReason::Error),
             "stopped" => TaskState::Exited(ExitReason::Stopped),
-            other => panic!("no state {other}"),
+            unknown => panic!("unknown task state {unknown}"),
         };
-        // A task that this controller has not started was started by an earlier leader.
+        // An earlier leader started the tasks that this controller has not started, with attempt 1.
         let attempt = self.attempts.get(name).copied().unwrap_or(Attempt(1));
         TaskStatus { task, attempt, state }
     }
@@ -140,14 +139,14 @@
         "up" => Availability::Up,
         "refusing" => Availability::Refusing,
         "silent" => Availability::Silent,
-        other => panic!("no {other}"),
+        unknown => panic!("unknown availability {unknown}"),
     }
 }
 
-/// `M`, `free:M`, `spot:M`: a machine as the registry has it.
+/// Returns the registry record of a machine, which a trace writes as `M`, `free:M` or `spot:M`.
 fn machine_record(word: &&str) -> String {
-    let (marks, machine) = word.rsplit_once(':').unwrap_or(("", word));
-    let spot = marks.contains("spot");
-    let free = if marks.contains("free") { r#","f":true"# } else { "" };
-    format!(r#"{{"id":"{machine}","ty":"x","z":"a","s":{spot}{free}}}"#)
+    let (flags, machine) = word.rsplit_once(':').unwrap_or(("", word));
+    let spot = flags.contains("spot");
+    let free_field = if flags.contains("free") { r#","f":true"# } else { "" };
+    format!(r#"{{"id":"{machine}","ty":"x","z":"a","s":{spot}{free_field}}}"#)
 }
--- a/crates/basaltrail-core/tests/trace_player/store.rs
+++ b/crates/basaltrail-core/tests/trace_player/store.rs
@@ -1,37 +1,38 @@
-//! The store of a trace, and its troubles.
+//! Simulates the store that a trace uses, with the faults that the trace sets.
 
 use basaltrail_core::*;
 use std::collections::BTreeMap;
 
-/// Whether the store answers.
+/// The way in which the store handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Availability {
+    /// Executes requests and replies.
     #[default]
     Up,
-    /// It answers 503 and carries nothing out.
+    /// Replies with status 503 and executes nothing.
     Refusing,
-    /// It does not answer.
+    /// Does not reply.
     Silent,
 }
 
-/// A watch that is not answered yet.
+/// A watch without a reply so far.
 pub struct OpenWatch {
     pub op: CallId,
     pub prefix: String,
     pub after: Revision,
-    /// When it is answered though nothing has changed.
-    pub due: u64,
-    /// When the controller gives it up.
-    pub given_up: u64,
+    /// Time at which the store replies even if there are no events.
+    pub wait_ends_at: u64,
+    /// Time at which the request times out in the controller.
+    pub times_out_at: u64,
 }
 
-struct Stored {
+struct StoredValue {
     value: String,
     mod_revision: Revision,
     lease_id: Option<LeaseId>,
 }
 
-/// One change: the key, and its value if it was put.
+/// A change of a key. `value` is `None` if the key was deleted.
 struct Change {
     key: String,
     revision: Revision,
@@ -41,74 +42,77 @@
 #[derive(Default)]
 pub struct TraceStore {
     pub availability: Availability,
-    /// Requests without an answer, which `late` carries out.
-    pub unanswered: Vec<StoreRequest>,
+    /// Requests without a reply, which the command `late` executes.
+    pub unanswered_requests: Vec<StoreRequest>,
     pub watches: Vec<OpenWatch>,
-    /// No watch of the jobs is answered.
-    pub events_held: bool,
-    /// The machine registry cannot be read.
-    pub registry_held: bool,
-    /// Watches that are never answered.
-    pub hung: Vec<CallId>,
-    /// A key whose writes are rejected for good, and how many were.
+    /// True if watches of the jobs get no reply.
+    pub job_events_held: bool,
+    /// True if the machine registry cannot be read.
+    pub registry_unreadable: bool,
+    /// Watches that never get a reply.
+    pub hung_watches: Vec<CallId>,
+    /// A key whose writes are rejected with status 400.
     pub rejected_key: Option<String>,
-    pub rejected: u32,
-    keys: BTreeMap<String, Stored>,
+    /// Number of rejected transactions.
+    pub rejected_transactions: u32,
+    keys: BTreeMap<String, StoredValue>,
     revision: u64,
-    last_lease: u64,
-    log: Vec<Change>,
+    last_lease_id: u64,
+    changes: Vec<Change>,
 }
 
 impl TraceStore {
-    /// The next changes are another controller's: they have a revision of their own.
+    /// Begins a new revision for the changes that another controller makes next.
     pub fn begin_revision(&mut self) {
         self.revision += 1;
     }
 
     pub fn put(&mut self, key: &str, value: &str, lease_id: Option<LeaseId>) {
         let mod_revision = Revision(self.revision);
-        let stored = Stored { value: value.into(), mod_revision, lease_id };
+        let stored = StoredValue { value: value.into(), mod_revision, lease_id };
         self.keys.insert(key.into(), stored);
         let value = Some(value.into());
-        self.log.push(Change { key: key.into(), revision: mod_revision, value });
+        self.changes.push(Change { key: key.into(), revision: mod_revision, value });
     }
 
     pub fn delete(&mut self, key: &str) {
         self.keys.remove(key);
         let revision = Revision(self.revision);
-        self.log.push(Change { key: key.into(), revision, value: None });
+        self.changes.push(Change { key: key.into(), revision, value: None });
     }
 
-    /// The reply to a request, as the availability of the moment has it.
-    pub fn request(&mut self, call: StoreRequest) -> StoreReply {
+    /// Handles a request according to the current availability, and returns the reply.
+    pub fn handle_request(&mut self, call: StoreRequest) -> StoreReply {
         match self.availability {
-            Availability::Up => self.carry_out(&call),
+            Availability::Up => self.execute(&call),
             Availability::Refusing => StoreReply::Refused,
             Availability::Silent => {
-                self.unanswered.push(call);
+                self.unanswered_requests.push(call);
                 StoreReply::Unknown
             }
         }
     }
 
-    /// The reply to an open watch, if there is one by now.
+    /// Returns the reply to an open watch, or `None` if the watch stays open.
     pub fn reply_to(&self, watch: &OpenWatch, now: u64) -> Option<StoreReply> {
-        let held = self.events_held && watch.prefix == records::JOBS_PREFIX;
-        if self.availability != Availability::Up || held || self.hung.contains(&watch.op) {
-            return (now >= watch.given_up).then_some(StoreReply::Unknown);
+        let is_held = self.job_events_held && watch.prefix == records::JOBS_PREFIX;
+        if self.availability != Availability::Up || is_held || self.hung_watches.contains(&watch.op)
+        {
+            return (now >= watch.times_out_at).then_some(StoreReply::Unknown);
         }
-        let news = |change: &&Change| {
+        let is_new = |change: &&Change| {
             change.revision > watch.after && change.key.starts_with(&watch.prefix)
         };
-        let events: Vec<WatchEvent> = self.log.iter().filter(news).map(Change::event).collect();
-        if events.is_empty() && now < watch.due {
+        let events: Vec<WatchEvent> =
+            self.changes.iter().filter(is_new).map(Change::event).collect();
+        if events.is_empty() && now < watch.wait_ends_at {
             return None;
         }
         Some(StoreReply::Events { revision: Revision(self.revision), events })
     }
 
-    /// Carries a request out, whatever the availability.
-    pub fn carry_out(&mut self, call: &StoreRequest) -> StoreReply {
+    /// Executes a request regardless of the availability.
+    pub fn execute(&mut self, call: &StoreRequest) -> StoreReply {
         match call {
             StoreRequest::Get(key) => match self.keys.get(key) {
                 Some(stored) => StoreReply::KeyValue(stored.key_value(key)),
@@ -119,8 +123,8 @@
                 self.transact(preconditions, puts, deletes)
             }
             StoreRequest::GrantLease { .. } => {
-                self.last_lease += 1;
-                StoreReply::LeaseGranted { lease_id: LeaseId(self.last_lease) }
+                self.last_lease_id += 1;
+                StoreReply::LeaseGranted { lease_id: LeaseId(self.last_lease_id) }
             }
             StoreRequest::KeepAlive { lease_id } => match self.holds_leader_key(*lease_id) {
                 true => StoreReply::Ok,
@@ -133,7 +137,7 @@
                 }
                 StoreReply::Ok
             }
-            StoreRequest::Watch { .. } => unreachable!("watches are kept open"),
+            StoreRequest::Watch { .. } => unreachable!("watches stay open"),
         }
     }
 
@@ -143,7 +147,7 @@
     }
 
     fn list(&self, prefix: &str) -> StoreReply {
-        if self.registry_held && prefix == records::MACHINE_REGISTRY_PREFIX {
+        if self.registry_unreadable && prefix == records::MACHINE_REGISTRY_PREFIX {
             return StoreReply::Refused;
         }
         let listed = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
@@ -161,14 +165,15 @@
         deletes: &[String],
     ) -> StoreReply {
         if puts.iter().any(|put| self.rejected_key.as_ref() == Some(&put.key)) {
-            self.rejected += 1;
+            self.rejected_transactions += 1;
             return StoreReply::Rejected;
         }
-        let current = |key: &String| self.keys.get(key).map_or(Revision(0), |k| k.mod_revision);
+        let mod_revision =
+            |key: &String| self.keys.get(key).map_or(Revision(0), |stored| stored.mod_revision);
         let failed: Vec<String> = preconditions
             .iter()
-            .filter(|wanted| current(&wanted.key) != wanted.mod_revision)
-            .map(|wanted| wanted.key.clone())
+            .filter(|expected| mod_revision(&expected.key) != expected.mod_revision)
+            .map(|expected| expected.key.clone())
             .collect();
         if !failed.is_empty() {
             return StoreReply::Conflict { failed };
@@ -184,7 +189,7 @@
     }
 }
 
-impl Stored {
+impl StoredValue {
     fn key_value(&self, key: &str) -> KeyValue {
         KeyValue {
             key: key.into(),
@@ -202,7 +207,7 @@
                 key: self.key.clone(),
                 value: value.clone(),
                 mod_revision: self.revision,
-                // Watches do not tell under which lease a key stands.
+                // Watch events do not contain the lease of a key.
                 lease_id: None,
             }),
             None => WatchEvent::Delete { key: self.key.clone(), mod_revision: self.revision },
--- a/crates/basaltrail-core/tests/traces.rs
+++ b/crates/basaltrail-core/tests/traces.rs
@@ -1,17 +1,17 @@
-//! Kept traces: text files that tell what goes into one controller and what must
-//! come out. `tests/traces/README` says how they are written.
+//! Plays the traces in `tests/traces`: text files with the inputs of one controller and the answers
+//! that it must give. `tests/traces/README` describes their format.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
 
 mod trace_player;
 
-use trace_player::Trace;
+use trace_player::TracePlayer;
 
 macro_rules! traces {
     ($($name:ident)*) => {$(
         #[test]
         fn $name() {
-            Trace::play(stringify!($name), include_str!(concat!("traces/", stringify!($name), ".txt")));
+            TracePlayer::play(stringify!($name), include_str!(concat!("traces/", stringify!($name), ".txt")));
         }
     )*};
 }
