--- a/crates/basaltrail-protocol/src/cloud.rs
+++ b/crates/basaltrail-protocol/src/cloud.rs
@@ -197,8 +197,8 @@
     }
 }
 
-/// Returns whether the amounts of a machine type are finite and at least 0. Other types are dropped,
-/// because no scheduling or scale-out decision could use them.
+/// Returns whether the CPUs, memory, price and boot time of a machine type are finite and at least 0.
+/// Other types are dropped, because no scheduling or scale-out decision could use them.
 fn is_usable(machine_type: &MachineType) -> bool {
     let amounts =
         [machine_type.cpus, machine_type.memory_gb, machine_type.price, machine_type.boot_s];
