--- a/crates/basaltrail-core/tests/simulation/simulated/limits.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/limits.rs
@@ -1,7 +1,7 @@
 //! Teams' limits and guarantees: what a leader counts holds whoever leads, whatever the settings
 //! of the controllers say meanwhile.
 
-use super::world::array_job;
+use super::simulation::array_job;
 use super::*;
 
 /// A job of many tasks that run for a minute or two.
--- a/crates/basaltrail-core/tests/simulation/simulated/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/mod.rs
@@ -2,20 +2,20 @@
 //! with crashes, cuts, late messages, outages and hangs. Each rule is checked here,
 //! by the world and not by the core. Seeds are fixed: the verdict is always the same.
 
-mod allotments;
 mod checks;
 mod cloud;
+mod concurrent_faults;
 mod controllers;
-mod days;
+mod faults;
 mod limits;
-mod meetings;
-mod rolls;
+mod quotas;
+mod seeded_runs;
+mod simulation;
 mod store;
 mod store_requests;
-mod troubles;
+mod upgrades;
 mod users;
 mod workers;
-mod world;
 
 use crate::versions::{Process, Version};
 use basaltrail_core::*;
--- a/crates/basaltrail-core/tests/simulation/simulated/allotments.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
@@ -1,7 +1,7 @@
 //! Days on which allotments bind: what is accepted stays within each team's bound, whatever
 //! fails, and what was accepted is kept.
 
-use super::world::array_job;
+use super::simulation::array_job;
 use super::*;
 use basaltrail_core::admission::{QuotaPlanner, TeamLoad};
 
--- a/crates/basaltrail-core/tests/simulation/simulated/days.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/seeded_runs.rs
@@ -1,6 +1,6 @@
 //! Days of seeded faults, and of overload.
 
-use super::world::array_job;
+use super::simulation::array_job;
 use super::*;
 
 #[test]
