--- a/crates/basaltrail-core/tests/simulation/simulated/cloud.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/cloud.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 /// Machines of one zone and kind that the cloud has at the most.
-const CAPACITY: usize = 3;
+const MAX_MACHINES_PER_KIND: usize = 3;
 /// Milliseconds after its end for which a machine is still listed as running.
 const LISTED_AS_FAILED_AFTER_MS: u64 = 30_000;
 /// Milliseconds that the cloud takes to answer, beside the network's delay.
 const LATENCY_MS: u64 = 20;
 
-impl World {
+impl Simulation {
     /// Carries a request out and answers it.
-    pub(super) fn cloud_request(
+    pub(super) fn handle_cloud_request(
         &mut self,
         controller: usize,
         epoch: u64,
@@ -19,60 +19,60 @@
         call: CloudRequest,
     ) {
         let reply = match call {
-            CloudRequest::Types => CloudReply::Types(vec![the_machine_type()]),
+            CloudRequest::Types => CloudReply::Types(vec![machine_type()]),
             CloudRequest::Provision { requisition, zone, spot, count, .. } => {
                 self.provision(requisition, &zone, spot, count)
             }
             CloudRequest::Terminate(ids) => self.terminate(&ids),
             CloudRequest::List { .. } => self.list_machines(),
         };
-        let at = self.now + LATENCY_MS + self.delay();
+        let at = self.now + LATENCY_MS + self.network_delay();
         self.send(at, controller, epoch, Message::Input(Input::Cloud { op, reply }));
     }
 
     /// A requisition is carried out once; a repeat gets the same machines.
     fn provision(&mut self, requisition: String, zone: &str, spot: bool, count: u32) -> CloudReply {
-        if let Some(machines) = self.requisitions.get(&requisition) {
+        if let Some(machines) = self.provisioned.get(&requisition) {
             return CloudReply::Provisioned(machines.clone());
         }
         let zone = ZONES.iter().position(|name| *name == zone).expect("the zone is known");
-        let of_kind = |w: &&Worker| w.alive && w.zone == zone && w.spot == spot;
+        let of_kind = |worker: &&Worker| worker.alive && worker.zone == zone && worker.spot == spot;
         let present = self.workers.iter().filter(of_kind).count();
-        let count = (count as usize).min(CAPACITY.saturating_sub(present));
+        let count = (count as usize).min(MAX_MACHINES_PER_KIND.saturating_sub(present));
         if count == 0 {
             return CloudReply::NoCapacity;
         }
         let mut machines = Vec::new();
         for _ in 0..count {
-            machines.push(machine(self.workers.len()));
+            machines.push(machine_id(self.workers.len()));
             let worker = self.new_worker(zone, spot);
             self.workers.push(worker);
         }
-        self.requisitions.insert(requisition, machines.clone());
+        self.provisioned.insert(requisition, machines.clone());
         CloudReply::Provisioned(machines)
     }
 
     fn new_worker(&mut self, zone: usize, spot: bool) -> Worker {
-        let up_at = self.now + self.provisioning_time(zone);
+        let boots_at = self.now + self.provisioning_time_ms(zone);
         Worker {
             zone,
             spot,
-            up_at,
+            boots_at,
             alive: true,
             agent_epoch: AgentEpoch(1),
             sequence: 0,
             token: FencingToken(0),
-            renewed: up_at,
+            lease_renewed_at: boots_at,
             tasks: BTreeMap::new(),
-            to: self.rng.random_range(0..CONTROLLERS),
+            controller: self.rng.random_range(0..CONTROLLERS),
             awaiting_reply: None,
-            next_heartbeat: up_at,
+            next_heartbeat: boots_at,
             hung_until: 0,
             uplink_lost_until: 0,
             downlink_lost_until: 0,
             provisioned_at: self.now,
-            died: None,
-            gone: None,
+            failed_at: None,
+            terminated_at: None,
             faulty: self.rng.random_bool(0.04),
             reclaimed_at: None,
             reclaim_announced: false,
@@ -80,14 +80,14 @@
     }
 
     /// Milliseconds until a new machine of a zone is up.
-    fn provisioning_time(&mut self, zone: usize) -> u64 {
-        let slow = zone == self.slow_provisioning.0 && self.now < self.slow_provisioning.1;
-        let never = self.rng.random_bool(if slow { 0.4 } else { 0.02 });
-        if never {
-            DAY_MS
+    fn provisioning_time_ms(&mut self, zone: usize) -> u64 {
+        let is_slow = zone == self.slow_provisioning.0 && self.now < self.slow_provisioning.1;
+        let never_boots = self.rng.random_bool(if is_slow { 0.4 } else { 0.02 });
+        if never_boots {
+            RUN_MS
         } else if self.fast_provisioning {
             self.rng.random_range(300..2_000)
-        } else if slow {
+        } else if is_slow {
             self.rng.random_range(20_000..50_000)
         } else if self.rng.random_bool(0.2) {
             1_000
@@ -98,8 +98,8 @@
 
     fn terminate(&mut self, ids: &[MachineId]) -> CloudReply {
         for (index, worker) in self.workers.iter_mut().enumerate() {
-            if ids.contains(&machine(index)) {
-                worker.end(self.now);
+            if ids.contains(&machine_id(index)) {
+                worker.terminate(self.now);
             }
         }
         CloudReply::Terminated
@@ -108,25 +108,28 @@
     /// The list tells of any time within two lags, so it may be older than the last one.
     fn list_machines(&mut self) -> CloudReply {
         let as_of = self.now.saturating_sub(self.rng.random_range(0..=2 * LIST_LAG_MS));
-        let there =
-            |w: &Worker| w.provisioned_at <= as_of && w.gone.is_none_or(|gone| gone > as_of);
-        let seen = self.workers.iter().enumerate().filter(|(_, w)| there(w));
-        let machines = seen.map(|(index, worker)| listed(index, worker, as_of)).collect();
+        let is_listed = |worker: &Worker| {
+            worker.provisioned_at <= as_of
+                && worker.terminated_at.is_none_or(|terminated_at| terminated_at > as_of)
+        };
+        let listed = self.workers.iter().enumerate().filter(|(_, worker)| is_listed(worker));
+        let machines = listed.map(|(index, worker)| listed_machine(index, worker, as_of)).collect();
         CloudReply::Listed { machines, more: false }
     }
 }
 
-fn listed(index: usize, worker: &Worker, as_of: u64) -> ListedMachine {
-    let failed = worker.died.is_some_and(|died| as_of > died + LISTED_AS_FAILED_AFTER_MS);
-    let state = if failed {
+fn listed_machine(index: usize, worker: &Worker, as_of: u64) -> ListedMachine {
+    let listed_as_failed =
+        worker.failed_at.is_some_and(|failed_at| as_of > failed_at + LISTED_AS_FAILED_AFTER_MS);
+    let state = if listed_as_failed {
         ListedState::Failed
-    } else if as_of > worker.up_at {
+    } else if as_of > worker.boots_at {
         ListedState::Running
     } else {
         ListedState::Booting
     };
     ListedMachine {
-        machine: machine(index),
+        machine: machine_id(index),
         endpoint: format!("e{index}"),
         machine_type: "x".into(),
         zone: ZONES[worker.zone].into(),
@@ -136,7 +139,7 @@
     }
 }
 
-fn the_machine_type() -> MachineType {
+fn machine_type() -> MachineType {
     MachineType {
         name: "x".into(),
         cpus: MACHINE_CPUS,
--- a/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/users.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/users.rs
@@ -4,35 +4,35 @@
 
 #[test]
 fn users_read_back_at_all_controllers() {
-    days(&["looked", "cancelled at once", CANCELLED_WHILE_RUNNING], |world| {
-        world.read_back_until = 130_000;
+    check_scenario(&["looked", "cancelled at once", CANCELLED_WHILE_RUNNING], |sim| {
+        sim.read_back_until = 130_000;
         for _ in 0..4 {
-            world.run_for(25_000);
-            world.cancel_now(4, 0);
-            world.run_for(50);
-            world.fail_over(100);
+            sim.run_for(25_000);
+            sim.cancel_running_jobs(4, 0);
+            sim.run_for(50);
+            sim.fail_over(100);
         }
     });
 }
 
 #[test]
 fn cancellations_questions_and_submissions_meet_the_last_task() {
-    days(&["cancelled at its end", "looked"], |world| {
-        world.read_back_until = 150_000;
-        world.invalid_requests_until = 150_000;
-        world.cancel_at_end = CancelAtEnd { until: 150_000, share: 0.7 };
-        world.run_for(100_000);
+    check_scenario(&["cancelled at its end", "looked"], |sim| {
+        sim.read_back_until = 150_000;
+        sim.invalid_requests_until = 150_000;
+        sim.cancel_on_completion = CancelOnCompletion { until: 150_000, share: 0.7 };
+        sim.run_for(100_000);
     });
 }
 
 #[test]
 fn invalid_requests_at_controllers_that_have_just_started() {
-    days(&["422"], |world| {
-        world.invalid_requests_until = 150_000;
-        world.poll_storm_until = 150_000;
+    check_scenario(&["422"], |sim| {
+        sim.invalid_requests_until = 150_000;
+        sim.poll_storm_until = 150_000;
         for _ in 0..6 {
-            world.run_for(12_000);
-            (0..CONTROLLERS).for_each(|i| world.end(i, 20 + 50 * i as u64));
+            sim.run_for(12_000);
+            (0..CONTROLLERS).for_each(|i| sim.stop_controller(i, 20 + 50 * i as u64));
         }
     });
 }
@@ -40,30 +40,31 @@
 #[test]
 fn one_task_jobs_come_four_a_second() {
     for seed in 0..2 {
-        let mut world = busy(seed);
-        let spec = world.users[0].spec.clone();
-        world.users = (0..480)
+        let mut sim = loaded_simulation(seed);
+        let spec = sim.users[0].spec.clone();
+        sim.users = (0..480)
             .map(|i| {
-                let mut s = JobSpec { tasks: 1, cpus: 1.0, spot: true, ..spec.clone() };
-                (s.zone, s.one_zone, s.spread) = (None, false, false);
-                s.team = format!("t{}", i % 3);
+                let mut spec = JobSpec { tasks: 1, cpus: 1.0, spot: true, ..spec.clone() };
+                (spec.zone, spec.one_zone, spec.spread) = (None, false, false);
+                spec.team = format!("t{}", i % 3);
                 let at = 5_000 + i * 250;
-                let cancel = (i % 4 == 0).then(|| at + 200 + (i * 977) % 9_000);
-                User::new(2_000 + i, s, at, cancel)
+                let cancel_at = (i % 4 == 0).then(|| at + 200 + (i * 977) % 9_000);
+                User::new(2_000 + i, spec, at, cancel_at)
             })
             .collect();
-        world.reschedule_users();
-        world.run_for(40_000);
-        world.fail_over(20);
-        world.run_for(30_000);
-        world.fail_over(3_000);
-        world.run_until(world.faults_over_at + 150_000);
-        world.check_end();
-        world.violations.truncate(5);
-        assert!(world.violations.is_empty(), "seed {seed}: {:#?}", world.violations);
-        let observed =
-            |t: fn(&Observed) -> bool| world.users.iter().filter(|u| t(&u.observed)).count();
-        assert!(observed(|t| matches!(t, Observed::Done)) > 300);
-        assert!(observed(|t| matches!(t, Observed::Cancelled(_))) > 60);
+        sim.reschedule_users();
+        sim.run_for(40_000);
+        sim.fail_over(20);
+        sim.run_for(30_000);
+        sim.fail_over(3_000);
+        sim.run_until(sim.faults_over_at + 150_000);
+        sim.check_all_jobs_ended();
+        sim.violations.truncate(5);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:#?}", sim.violations);
+        let count = |matches: fn(&Observed) -> bool| {
+            sim.users.iter().filter(|user| matches(&user.observed)).count()
+        };
+        assert!(count(|observed| matches!(observed, Observed::Done)) > 300);
+        assert!(count(|observed| matches!(observed, Observed::Cancelled(_))) > 60);
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
@@ -3,14 +3,14 @@
 use super::*;
 use basaltrail_core::events::HeartbeatEvent;
 
-use super::store_requests::within;
+use super::store_requests::fits_limits;
 
 /// Milliseconds from a request to the cloud's answer, beside the network's delay.
 const CLOUD_LATENCY_MS: u64 = 20;
 /// How much later a cloud request is carried out now and then.
 const CLOUD_LATE_MS: u64 = 30_000;
 /// The call of a copy: nobody waits for its reply.
-pub(super) const COPY: CallId = CallId(u64::MAX);
+pub(super) const DUPLICATE_CALL: CallId = CallId(u64::MAX);
 
 /// The step of a process: where, in which of its lives, and when what it sends goes out.
 #[derive(Clone, Copy)]
@@ -20,25 +20,25 @@
     sent_at: u64,
 }
 
-impl World {
+impl Simulation {
     /// One step of a controller's process, and all that it sends.
     pub(super) fn step(&mut self, i: usize, input: Input) {
         let c = &mut self.controllers[i];
-        let now = ((self.now - c.born) as f64 * c.drift) as u64;
+        let now = ((self.now - c.process_started_at) as f64 * c.clock_rate) as u64;
         let Some(process) = c.process.as_mut() else { return };
         let effects = process.step(now, self.now as i64, input);
         let epoch = c.epoch;
-        if c.freezes_until > self.now {
-            c.frozen_until = std::mem::take(&mut c.freezes_until);
+        if c.pending_freeze_until > self.now {
+            c.frozen_until = std::mem::take(&mut c.pending_freeze_until);
         }
         // What is built in the step in which it freezes goes out when it goes on.
         let step = Step { controller: i, epoch, sent_at: self.now.max(c.frozen_until) };
         for effect in effects {
-            self.carry_out(step, effect);
+            self.apply_effect(step, effect);
         }
     }
 
-    fn carry_out(&mut self, step: Step, effect: Effect) {
+    fn apply_effect(&mut self, step: Step, effect: Effect) {
         match effect {
             Effect::Answer { req, answer } => self.send_answer(step, req, answer),
             Effect::Store { op, call, timeout_ms } => {
@@ -47,13 +47,15 @@
             Effect::Cloud { op, call, timeout_ms } => {
                 self.send_cloud_request(step, op, call, timeout_ms);
             }
-            Effect::Peers { progress } => self.tell_peers(step.controller, step.sent_at, &progress),
+            Effect::Peers { progress } => {
+                self.send_to_peers(step.controller, step.sent_at, &progress)
+            }
             Effect::Log(LogEvent::Heartbeat(HeartbeatEvent::RenewalViolation {
                 machine,
                 task,
             })) => {
                 let controller = step.controller;
-                self.violation(format!(
+                self.record_violation(format!(
                     "controller {controller}: an answer without the knowledge it takes: \
                      {machine} {task:?}"
                 ));
@@ -64,19 +66,19 @@
 
     fn send_answer(&mut self, step: Step, req: RequestId, answer: Answer) {
         let Some(requester) = self.requesters.remove(&req) else { return };
-        let at = step.sent_at + self.delay();
+        let at = step.sent_at + self.network_delay();
         let isolated = step.sent_at < self.controllers[step.controller].isolated_until;
         match requester {
             Requester::Worker(worker, sequence) => {
                 if self.controllers[step.controller].version.renews_on_stale_jobs() {
                     self.stale_renewal_at = Some(step.sent_at);
                 }
-                let at = self.between(step.controller, worker, at);
+                let at = self.arrival_at_worker(step.controller, worker, at);
                 let agent_epoch = self.workers[worker].agent_epoch;
                 let commands = Message::Commands(worker, agent_epoch, sequence, answer);
                 self.send(at, usize::MAX, 0, commands);
             }
-            Requester::User(_, request) if at > request.until => {}
+            Requester::User(_, request) if at > request.deadline => {}
             _ if isolated => {}
             _ => self.send(at, usize::MAX, 0, Message::Answer(requester, answer)),
         }
@@ -86,20 +88,22 @@
         let Step { controller, epoch, sent_at } = step;
         let unknown = Input::Store { op, reply: StoreReply::Unknown };
         self.send(self.now + timeout_ms, controller, epoch, Message::Input(unknown));
-        let mut at = sent_at + self.delay();
-        if !within(&call, self.controllers[controller].configuration.limits) {
-            self.violation(format!("controller {controller} wrote beyond its limits: {call:?}"));
+        let mut at = sent_at + self.network_delay();
+        if !fits_limits(&call, self.controllers[controller].configuration.limits) {
+            self.record_violation(format!(
+                "controller {controller} wrote beyond its limits: {call:?}"
+            ));
         }
         // A transaction is carried out twice; nobody hears of the second.
-        if matches!(call, StoreRequest::Transaction { .. }) && self.copied() {
+        if matches!(call, StoreRequest::Transaction { .. }) && self.is_duplicated() {
             let at = self.now + self.rng.random_range(5..30_000);
-            self.send(at, controller, epoch, Message::Store(COPY, call.clone()));
+            self.send(at, controller, epoch, Message::Store(DUPLICATE_CALL, call.clone()));
         }
-        if let Some((until, held)) = self.controllers[controller].store_cut {
-            if !held {
+        if let Some((until, delayed)) = self.controllers[controller].store_partition {
+            if !delayed {
                 return;
             }
-            at = at.max(until + self.delay()); // carried out late
+            at = at.max(until + self.network_delay()); // carried out late
         }
         self.send(at, controller, epoch, Message::Store(op, call));
     }
@@ -111,21 +115,25 @@
         // Now and then a request is carried out much later.
         let is_late = self.now < FAULTS_END_MS && self.rng.random_bool(0.05);
         let late = if is_late { CLOUD_LATE_MS } else { 0 };
-        if self.copied() {
+        if self.is_duplicated() {
             let at = self.now + self.rng.random_range(5..30_000);
-            self.send(at, controller, epoch, Message::Cloud(COPY, call.clone()));
+            self.send(at, controller, epoch, Message::Cloud(DUPLICATE_CALL, call.clone()));
         }
         let isolated_until = self.controllers[controller].isolated_until;
-        let at = sent_at.max(isolated_until) + CLOUD_LATENCY_MS + self.delay() + late;
+        let at = sent_at.max(isolated_until) + CLOUD_LATENCY_MS + self.network_delay() + late;
         self.send(at, controller, epoch, Message::Cloud(op, call));
     }
 
     /// What a leader tells its peers reaches those that no cut keeps from it.
-    fn tell_peers(&mut self, from: usize, at: u64, progress: &[Progress]) {
-        let apart = |c: &SimulatedController| c.isolated_until > at || c.store_cut.is_some();
+    fn send_to_peers(&mut self, from: usize, at: u64, progress: &[Progress]) {
+        let is_cut_off =
+            |c: &SimulatedController| c.isolated_until > at || c.store_partition.is_some();
         for to in (0..CONTROLLERS).filter(|to| *to != from) {
-            let zones = self.zone_cut.is_some() && to % 2 != from % 2;
-            if zones || apart(&self.controllers[from]) || apart(&self.controllers[to]) {
+            let in_other_zone = self.zone_partition.is_some() && to % 2 != from % 2;
+            if in_other_zone
+                || is_cut_off(&self.controllers[from])
+                || is_cut_off(&self.controllers[to])
+            {
                 continue;
             }
             let epoch = self.controllers[to].epoch;
@@ -135,10 +143,10 @@
     }
 
     /// When a message between a controller and a worker arrives.
-    pub(super) fn between(&mut self, controller: usize, worker: usize, at: u64) -> u64 {
-        let zones = self.zone_cut.filter(|_| controller % 2 != self.workers[worker].zone);
-        match zones.or(self.controllers[controller].workers_cut) {
-            Some((until, true)) => until + self.delay(),
+    pub(super) fn arrival_at_worker(&mut self, controller: usize, worker: usize, at: u64) -> u64 {
+        let partition = self.zone_partition.filter(|_| controller % 2 != self.workers[worker].zone);
+        match partition.or(self.controllers[controller].worker_partition) {
+            Some((until, true)) => until + self.network_delay(),
             Some((_, false)) => u64::MAX,
             None => at,
         }
--- a/crates/basaltrail-core/tests/simulation/simulated/limits.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/limits.rs
@@ -15,16 +15,21 @@
     }
 }
 
-fn world(seed: u64, users: Vec<User>) -> World {
-    let mut w = World::with(SmallRng::seed_from_u64(seed), users);
-    w.long_tasks = true;
-    w
+fn simulation_with_long_tasks(seed: u64, users: Vec<User>) -> Simulation {
+    let mut sim = Simulation::with_users(SmallRng::seed_from_u64(seed), users);
+    sim.long_tasks = true;
+    sim
 }
 
-fn used_by(w: &World, team: &str) -> f64 {
-    let of_team = |job: JobId| w.users.iter().find(|u| u.job == job && u.spec.team == team);
-    let running = w.workers.iter().flat_map(|m| &m.tasks).filter(|(_, r)| World::on_machine(r));
-    running.filter_map(|((task, _), _)| of_team(task.job)).map(|u| u.spec.cpus).sum()
+fn used_by(sim: &Simulation, team: &str) -> f64 {
+    let of_team =
+        |job: JobId| sim.users.iter().find(|user| user.job == job && user.spec.team == team);
+    let running = sim
+        .workers
+        .iter()
+        .flat_map(|worker| &worker.tasks)
+        .filter(|(_, task)| Simulation::is_running(task));
+    running.filter_map(|((task, _), _)| of_team(task.job)).map(|user| user.spec.cpus).sum()
 }
 
 /// A limit falls below what its team uses, at one controller after the other. Nothing is stopped
@@ -33,29 +38,29 @@
 fn a_limit_lowered_below_use_stops_nothing_and_starts_nothing() {
     for seed in 0..6 {
         let users = vec![User::new(1000, long_job(1, 60), 2_000, None)];
-        let mut w = world(seed, users);
-        w.run_until(60_000);
-        let before = used_by(&w, "t1");
+        let mut sim = simulation_with_long_tasks(seed, users);
+        sim.run_until(60_000);
+        let before = used_by(&sim, "t1");
         assert!(before > 30.0, "seed {seed}: {before} CPUs in use");
         let lowered = 12.0;
         for controller in 0..CONTROLLERS {
-            w.controllers[controller].next_configuration.cpus_max[1] = lowered;
-            w.end(controller, 400);
-            w.run_until(w.now + 6_000);
+            sim.controllers[controller].next_configuration.cpus_max[1] = lowered;
+            sim.stop_controller(controller, 400);
+            sim.run_until(sim.now + 6_000);
         }
-        w.tasks_stopped = 0;
-        let all_lowered = w.now + 12_000;
-        w.run_until(all_lowered);
-        let tasks_started = w.tasks_started;
-        while used_by(&w, "t1") > lowered {
-            w.run_until(w.now + 20);
-            assert!(w.now < 300_000, "seed {seed}: it never fell");
+        sim.tasks_stopped = 0;
+        let all_lowered = sim.now + 12_000;
+        sim.run_until(all_lowered);
+        let tasks_started = sim.tasks_started;
+        while used_by(&sim, "t1") > lowered {
+            sim.run_until(sim.now + 20);
+            assert!(sim.now < 300_000, "seed {seed}: it never fell");
         }
-        assert_eq!(w.tasks_started, tasks_started, "seed {seed}: started above the limit");
-        assert_eq!(w.tasks_stopped, 0, "seed {seed}: stopped for the limit");
-        w.run_until(w.now + 150_000);
-        assert!(w.tasks_started > tasks_started, "seed {seed}: nothing starts below the limit");
-        assert!(w.violations.is_empty(), "seed {seed}: {:#?}", w.violations);
+        assert_eq!(sim.tasks_started, tasks_started, "seed {seed}: started above the limit");
+        assert_eq!(sim.tasks_stopped, 0, "seed {seed}: stopped for the limit");
+        sim.run_until(sim.now + 150_000);
+        assert!(sim.tasks_started > tasks_started, "seed {seed}: nothing starts below the limit");
+        assert!(sim.violations.is_empty(), "seed {seed}: {:#?}", sim.violations);
     }
 }
 
@@ -64,24 +69,24 @@
 #[test]
 fn limits_that_differ_between_controllers_hold_as_the_lead_changes() {
     for seed in 0..8 {
-        let mut w = World::new(seed);
-        w.services_only_where_known();
-        w.run_until(20_000);
+        let mut sim = Simulation::new(seed);
+        sim.replace_unsupported_services();
+        sim.run_until(20_000);
         for (round, limits) in [[12.0, 30.0], [24.0, 16.0], [8.0, 40.0]].into_iter().enumerate() {
             for controller in 0..CONTROLLERS {
-                let next = &mut w.controllers[controller].next_configuration;
+                let next = &mut sim.controllers[controller].next_configuration;
                 (next.cpus_max[0], next.cpus_max[1]) = (limits[0], limits[1]);
-                w.end(controller, [20, 400, 3_000][(controller + round) % 3]);
-                w.fault();
-                w.run_until(w.now + 9_000);
-                let leader = w.leader();
-                leader.into_iter().for_each(|leader| w.end(leader, 100));
-                w.run_until(w.now + 4_000);
+                sim.stop_controller(controller, [20, 400, 3_000][(controller + round) % 3]);
+                sim.inject_fault();
+                sim.run_until(sim.now + 9_000);
+                let leader = sim.leader();
+                leader.into_iter().for_each(|leader| sim.stop_controller(leader, 100));
+                sim.run_until(sim.now + 4_000);
             }
         }
-        w.violations.truncate(5);
-        assert!(w.violations.is_empty(), "seed {seed}: {:#?}", w.violations);
-        assert!(w.tasks_started > 20, "seed {seed}: {} started", w.tasks_started);
+        sim.violations.truncate(5);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:#?}", sim.violations);
+        assert!(sim.tasks_started > 20, "seed {seed}: {} started", sim.tasks_started);
     }
 }
 
@@ -89,7 +94,7 @@
 /// teams hold all machines with long work that cannot save: the wait that the operators allow,
 /// and one for the stop, the report of it, the start and the image.
 const GUARANTEE_LEASES: f64 = 2.0;
-const BEGUN_LEASES: u64 = 3;
+const MAX_START_LEASES: u64 = 3;
 /// When the job is submitted: no task of the others ends within the bound.
 const SUBMITTED_AT_MS: u64 = 35_000;
 
@@ -99,19 +104,19 @@
     for seed in 0..6 {
         let guests = (0..4).map(|i| User::new(1000 + i, unsaved(2, 40), 2_000, None));
         let guaranteed = User::new(2000, unsaved(0, 6), SUBMITTED_AT_MS, None);
-        let mut w = world(seed, guests.chain([guaranteed]).collect());
+        let mut sim = simulation_with_long_tasks(seed, guests.chain([guaranteed]).collect());
         for controller in 0..CONTROLLERS {
-            w.controllers[controller].next_configuration.policy.guarantee_leases =
+            sim.controllers[controller].next_configuration.policy.guarantee_leases =
                 Some(GUARANTEE_LEASES);
-            w.start_controller(controller);
+            sim.start_controller(controller);
         }
-        w.run_until(SUBMITTED_AT_MS);
-        let taken = used_by(&w, "t2");
-        assert!(taken >= 80.0, "seed {seed}: the others hold {taken} CPUs");
-        w.run_until(SUBMITTED_AT_MS + BEGUN_LEASES * LEASE_MS);
-        let first_started = used_by(&w, "t0");
-        assert_eq!(first_started, 12.0, "seed {seed}: CPUs of the team within its guarantee");
-        assert!(used_by(&w, "t2") <= 96.0 - 12.0);
-        assert!(w.violations.is_empty(), "seed {seed}: {:#?}", w.violations);
+        sim.run_until(SUBMITTED_AT_MS);
+        let used_by_others = used_by(&sim, "t2");
+        assert!(used_by_others >= 80.0, "seed {seed}: the others hold {used_by_others} CPUs");
+        sim.run_until(SUBMITTED_AT_MS + MAX_START_LEASES * LEASE_MS);
+        let used = used_by(&sim, "t0");
+        assert_eq!(used, 12.0, "seed {seed}: CPUs of the team within its guarantee");
+        assert!(used_by(&sim, "t2") <= 96.0 - 12.0);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:#?}", sim.violations);
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/mod.rs
@@ -42,7 +42,7 @@
 /// patience, and what a worker takes of an answer that was held up.
 const CANCELLATION_KNOWN_WITHIN_MS: u64 = 13_000;
 const FAULTS_END_MS: u64 = 160_000;
-const DAY_MS: u64 = 420_000;
+const RUN_MS: u64 = 420_000;
 
 /// What a value and a transaction may hold: as the version in production has it, and as the
 /// state service will have it from some moment on.
@@ -111,11 +111,11 @@
 struct Store {
     keys: BTreeMap<String, StoredValue>,
     revision: Revision,
-    log: Vec<(Revision, WatchEvent)>,
+    events: Vec<(Revision, WatchEvent)>,
     leases: BTreeMap<LeaseId, (u64, u64)>, // life, end
-    next_lease_id: u64,
+    last_lease_id: u64,
     down_until: u64,
-    watches: Vec<OpenWatch>,
+    open_watches: Vec<OpenWatch>,
     limits: (usize, usize),
 }
 
@@ -131,14 +131,14 @@
 struct Worker {
     zone: usize,
     spot: bool,
-    up_at: u64,
+    boots_at: u64,
     alive: bool,
     agent_epoch: AgentEpoch,
     sequence: u64,
     token: FencingToken,
-    renewed: u64,
+    lease_renewed_at: u64,
     tasks: BTreeMap<(TaskId, Attempt), SimulatedTask>,
-    to: usize,
+    controller: usize,
     awaiting_reply: Option<(u64, u64)>,
     next_heartbeat: u64,
     hung_until: u64,
@@ -148,9 +148,9 @@
     downlink_lost_until: u64,
     provisioned_at: u64,
     /// When it stopped by itself: it stays listed.
-    died: Option<u64>,
+    failed_at: Option<u64>,
     /// When it was returned or taken: it is listed no more.
-    gone: Option<u64>,
+    terminated_at: Option<u64>,
     /// Every task fails there.
     faulty: bool,
     /// When the cloud takes it back, and whether it says so before.
@@ -169,19 +169,19 @@
 struct User {
     job: JobId,
     spec: JobSpec,
-    at: u64,
+    submit_at: u64,
     cancel_at: Option<u64>,
     /// Submitted with a mistake: its tasks fail everywhere.
-    faulty_job: bool,
+    faulty: bool,
     observed: Observed,
     cancel_requested: bool,
-    done: BTreeSet<u32>,
+    tasks_done: BTreeSet<u32>,
     requests_sent: u64,
     /// Until when it waits for the answer to its request; what comes later nobody hears.
     request_deadline: u64,
     /// When a question about the job was last answered, and its first task began.
-    last_answered: u64,
-    first_started: Option<u64>,
+    last_answered_at: u64,
+    first_task_started_at: Option<u64>,
     /// Since when nothing of it is on a machine though one has room for it.
     unscheduled_since: Option<u64>,
 }
@@ -204,42 +204,42 @@
     Worker(MachineIndex, u64),
     User(usize, PendingRequest),
     /// Somebody who asks for a job that nobody submitted.
-    OfUnknownJob,
+    UnknownJob,
     /// Somebody whose job can never run.
-    OfInvalidJob,
+    InvalidJob,
 }
 
 #[derive(Clone, Copy)]
 struct PendingRequest {
     /// How long its user waits; what comes later nobody hears.
-    until: u64,
+    deadline: u64,
     /// What the user had been told when it asked.
-    before: Observed,
+    observed_before: Observed,
     /// The user asks nothing else meanwhile.
-    alone: bool,
+    exclusive: bool,
 }
 
 /// A share of the transactions gets no answer.
 #[derive(Clone, Copy, Default)]
-struct LateWrites {
+struct UnansweredWrites {
     until: u64,
     share: f64,
     /// Only the answer is lost; the others are carried out late.
-    answer_lost: bool,
+    only_reply_lost: bool,
 }
 
 /// Of a share of the heartbeats a copy comes late.
 #[derive(Clone, Copy, Default)]
-struct LateHeartbeats {
+struct DuplicateHeartbeats {
     until: u64,
     share: f64,
     /// The copies are kept for the next leader.
-    for_next_leader: bool,
+    held_for_next_leader: bool,
 }
 
 /// A share of the jobs is cancelled as the last task ends.
 #[derive(Clone, Copy, Default)]
-struct CancelAtEnd {
+struct CancelOnCompletion {
     until: u64,
     share: f64,
 }
@@ -263,29 +263,29 @@
     version: Version,
     next_version: Version,
     epoch: u64,
-    born: u64,
-    drift: f64,
+    process_started_at: u64,
+    clock_rate: f64,
     /// Cut off from the state service, and whether what is sent is held or lost.
-    store_cut: Option<(u64, bool)>,
-    refused_until: u64,
+    store_partition: Option<(u64, bool)>,
+    store_refuses_until: u64,
     /// Watches of the jobs are lost: neither they nor their answers arrive.
     watches_lost_until: u64,
     /// It stands still from its next step to then, with what it has built and not sent;
     /// its clocks run on.
-    freezes_until: u64,
+    pending_freeze_until: u64,
     frozen_until: u64,
     /// Cut off from the cloud and the users too.
     isolated_until: u64,
     /// Cut off from the workers, and whether what is sent is held or lost.
-    workers_cut: Option<(u64, bool)>,
+    worker_partition: Option<(u64, bool)>,
     /// What its process goes by, and what it will when it starts again.
     configuration: Configuration,
     next_configuration: Configuration,
     /// What its earlier processes went by, and until when.
-    earlier: Vec<(u64, Configuration)>,
+    earlier_configurations: Vec<(u64, Configuration)>,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     messages_sent: u64,
     rng: SmallRng,
@@ -293,24 +293,24 @@
     controllers: Vec<SimulatedController>,
     store: Store,
     workers: Vec<Worker>,
-    requisitions: BTreeMap<String, Vec<MachineId>>,
+    provisioned: BTreeMap<String, Vec<MachineId>>,
     users: Vec<User>,
     requesters: BTreeMap<RequestId, Requester>,
-    next_request: u64,
-    zone_cut: Option<(u64, bool)>,
+    last_request_id: u64,
+    zone_partition: Option<(u64, bool)>,
     /// Machines rented in a zone come late or never until then.
     slow_provisioning: (usize, u64),
     /// Users ask many times as often until then.
     poll_storm_until: u64,
     /// When whoever leads then comes to stand: the successor of one that did.
-    next_freeze: u64,
+    next_leader_freeze: u64,
     /// Transactions get no answer, and are carried out later, or at once.
-    late_writes: LateWrites,
+    unanswered_writes: UnansweredWrites,
     /// Copies of reports come late, or when the next leader begins.
-    late_heartbeats: LateHeartbeats,
+    duplicate_heartbeats: DuplicateHeartbeats,
     held_heartbeats: Vec<Heartbeat>,
     /// Jobs are cancelled as their last task ends.
-    cancel_at_end: CancelAtEnd,
+    cancel_on_completion: CancelOnCompletion,
     /// Users ask at all controllers, within milliseconds, what they have just been told.
     read_back_until: u64,
     invalid_requests_until: u64,
@@ -326,12 +326,12 @@
     /// Tasks run for a minute and more.
     long_tasks: bool,
     /// When each change of leader was seen: the controller that leads since, and its process.
-    leaders: Vec<(u64, usize, u64)>,
+    leader_changes: Vec<(u64, usize, u64)>,
     /// How often a moment came that a day is to bring about.
-    moments: BTreeMap<&'static str, u64>,
+    situations: BTreeMap<&'static str, u64>,
     next_fault: u64,
-    faults_at_once: u32,
-    known: bool,
+    concurrent_faults: u32,
+    answers_checked: bool,
     violations: Vec<String>,
     tasks_started: u64,
     /// Orders to stop a task whose job goes on.
@@ -340,6 +340,6 @@
     faults_over_at: u64,
 }
 
-fn machine(i: usize) -> MachineId {
+fn machine_id(i: usize) -> MachineId {
     MachineId(format!("m-{i:06}").into())
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
@@ -15,7 +15,7 @@
 
 /// Jobs of a team that may be accepted and not ended: the part of the bound that does not follow
 /// the rate at which it is served.
-fn most_jobs(team: usize) -> usize {
+fn max_active_jobs(team: usize) -> usize {
     let configuration = Configuration { policy: policy(), ..Configuration::default() };
     let settings = settings(0, 1, &configuration);
     let bounds = settings.admission_bounds().unwrap();
@@ -31,8 +31,8 @@
     QuotaPlanner::bound(&bounds, &load, 0.0, 2 * CONTROLLERS).jobs as usize
 }
 
-impl World {
-    fn turn_quotas_on(&mut self) {
+impl Simulation {
+    fn enable_quotas(&mut self) {
         for controller in 0..CONTROLLERS {
             self.controllers[controller].next_configuration.policy = policy();
             self.start_controller(controller);
@@ -42,9 +42,9 @@
     /// Jobs in the state service, by team.
     fn active_jobs(&self) -> [usize; CPUS_MAX.len()] {
         let mut count = [0; CPUS_MAX.len()];
-        for (key, kept) in &self.store.keys {
+        for (key, stored) in &self.store.keys {
             if key.starts_with(records::ACTIVE_JOBS_PREFIX) {
-                let record: records::JobRecord = records::decode(&kept.value).unwrap();
+                let record: records::JobRecord = records::decode(&stored.value).unwrap();
                 count[record.spec.team[1..].parse::<usize>().unwrap()] += 1;
             }
         }
@@ -53,45 +53,46 @@
 
     /// Plays on, looking at the bounds many times a second; gives the most that was active of
     /// each team.
-    fn play_within_bounds(&mut self, until: u64) -> [usize; CPUS_MAX.len()] {
-        let mut most = [0; CPUS_MAX.len()];
+    fn run_and_check_bounds(&mut self, until: u64) -> [usize; CPUS_MAX.len()] {
+        let mut max_active = [0; CPUS_MAX.len()];
         while self.now < until {
             self.run_until(self.now + 100);
             for (team, active) in self.active_jobs().into_iter().enumerate() {
-                most[team] = most[team].max(active);
-                if active > most_jobs(team) {
-                    self.violation(format!("backlog: {active} jobs of team {team}"));
+                max_active[team] = max_active[team].max(active);
+                if active > max_active_jobs(team) {
+                    self.record_violation(format!("backlog: {active} jobs of team {team}"));
                 }
             }
         }
-        most
+        max_active
     }
 }
 
-fn job(team: usize, tasks: u32) -> JobSpec {
+fn short_job(team: usize, tasks: u32) -> JobSpec {
     JobSpec { estimate_s: 1.0, ..array_job(team, tasks) }
 }
 
 /// A flood of one team within seconds, and a few jobs of another.
-fn flood(from: u64) -> Vec<User> {
-    let many = (0..300).map(|i| User::new(1000 + i, job(1, 1), from + i * 10, None));
-    let few = (0..8).map(|i| User::new(5000 + i, job(0, 2), from + i * 700, None));
+fn burst(from: u64) -> Vec<User> {
+    let many = (0..300).map(|i| User::new(1000 + i, short_job(1, 1), from + i * 10, None));
+    let few = (0..8).map(|i| User::new(5000 + i, short_job(0, 2), from + i * 700, None));
     many.chain(few).collect()
 }
 
-fn flooded(seed: u64) -> World {
-    let mut w = World::with(SmallRng::seed_from_u64(seed), flood(30_000));
-    w.turn_quotas_on();
-    w
+fn simulation_of_burst(seed: u64) -> Simulation {
+    let mut sim = Simulation::with_users(SmallRng::seed_from_u64(seed), burst(30_000));
+    sim.enable_quotas();
+    sim
 }
 
-impl World {
-    fn accepted(&self, jobs: std::ops::Range<u64>) -> usize {
-        let observed = |u: &&User| jobs.contains(&u.job.0) && u.observed != Observed::Unknown;
-        self.users.iter().filter(observed).count()
+impl Simulation {
+    fn accepted_jobs(&self, jobs: std::ops::Range<u64>) -> usize {
+        let accepted =
+            |user: &&User| jobs.contains(&user.job.0) && user.observed != Observed::Unknown;
+        self.users.iter().filter(accepted).count()
     }
 
-    fn check(&mut self, seed: u64) {
+    fn assert_no_violations(&mut self, seed: u64) {
         self.violations.truncate(5);
         assert!(self.violations.is_empty(), "seed {seed}: {:#?}", self.violations);
     }
@@ -100,38 +101,44 @@
 #[test]
 fn a_flood_is_bounded_and_leaves_the_other_team_its_room() {
     for seed in 0..4 {
-        let mut w = flooded(seed);
-        w.play_within_bounds(40_000);
-        assert!(w.accepted(1000..1300) < 200, "seed {seed}: everything was accepted");
-        assert_eq!(w.accepted(5000..5008), 8, "seed {seed}: the other team waited");
-        let most = w.play_within_bounds(400_000);
-        assert!(most[1] * 4 >= most_jobs(1), "seed {seed}: {most:?} of {}", most_jobs(1));
-        w.check_end();
-        w.check(seed);
+        let mut sim = simulation_of_burst(seed);
+        sim.run_and_check_bounds(40_000);
+        assert!(sim.accepted_jobs(1000..1300) < 200, "seed {seed}: everything was accepted");
+        assert_eq!(sim.accepted_jobs(5000..5008), 8, "seed {seed}: the other team waited");
+        let max_active = sim.run_and_check_bounds(400_000);
+        assert!(
+            max_active[1] * 4 >= max_active_jobs(1),
+            "seed {seed}: {max_active:?} of {}",
+            max_active_jobs(1)
+        );
+        sim.check_all_jobs_ended();
+        sim.assert_no_violations(seed);
     }
 }
 
 /// Without allotments the flood is accepted whole, as far as memory goes.
 #[test]
 fn without_allotments_the_flood_is_accepted() {
-    let mut w = World::with(SmallRng::seed_from_u64(1), flood(30_000));
-    w.run_until(40_000);
-    assert!(w.active_jobs()[1] > most_jobs(1));
+    let mut sim = Simulation::with_users(SmallRng::seed_from_u64(1), burst(30_000));
+    sim.run_until(40_000);
+    assert!(sim.active_jobs()[1] > max_active_jobs(1));
 }
 
 #[test]
 fn the_bound_holds_while_the_lead_changes_ten_times() {
     for seed in 0..4 {
-        let mut w = flooded(seed);
-        w.play_within_bounds(31_000);
+        let mut sim = simulation_of_burst(seed);
+        sim.run_and_check_bounds(31_000);
         for n in 0..10 {
-            let leader = w.leader();
-            leader.into_iter().for_each(|leader| w.end(leader, [20, 400, 3_000][n % 3]));
-            w.play_within_bounds(w.now + 9_000);
+            let leader = sim.leader();
+            leader
+                .into_iter()
+                .for_each(|leader| sim.stop_controller(leader, [20, 400, 3_000][n % 3]));
+            sim.run_and_check_bounds(sim.now + 9_000);
         }
-        w.play_within_bounds(w.now + 300_000);
-        w.check_end();
-        w.check(seed);
+        sim.run_and_check_bounds(sim.now + 300_000);
+        sim.check_all_jobs_ended();
+        sim.assert_no_violations(seed);
     }
 }
 
@@ -140,20 +147,26 @@
 #[test]
 fn the_bound_holds_with_frozen_controllers_and_late_writes() {
     for seed in 0..6 {
-        let mut w = flooded(seed);
-        w.play_within_bounds(30_200);
-        w.late_writes =
-            LateWrites { until: w.now + 60_000, share: 0.3, answer_lost: seed % 2 == 0 };
+        let mut sim = simulation_of_burst(seed);
+        sim.run_and_check_bounds(30_200);
+        sim.unanswered_writes = UnansweredWrites {
+            until: sim.now + 60_000,
+            share: 0.3,
+            only_reply_lost: seed % 2 == 0,
+        };
         for n in 0..6 {
             let controller = (n + seed as usize) % CONTROLLERS;
-            w.controllers[controller].freezes_until = w.now + 14_000;
-            w.play_within_bounds(w.now + 6_000);
+            sim.controllers[controller].pending_freeze_until = sim.now + 14_000;
+            sim.run_and_check_bounds(sim.now + 6_000);
         }
-        w.extend_faults(30_000);
-        w.play_within_bounds(w.now + 300_000);
-        w.check_end();
-        w.check(seed);
-        assert!(w.moments.contains_key("late write lost") || w.moments.contains_key("answer lost"));
+        sim.extend_faults(30_000);
+        sim.run_and_check_bounds(sim.now + 300_000);
+        sim.check_all_jobs_ended();
+        sim.assert_no_violations(seed);
+        assert!(
+            sim.situations.contains_key("late write lost")
+                || sim.situations.contains_key("answer lost")
+        );
     }
 }
 
@@ -162,40 +175,40 @@
 #[test]
 fn the_bound_holds_as_controllers_restart_at_once() {
     for seed in 0..4 {
-        let mut w = flooded(seed);
-        w.play_within_bounds(30_300);
+        let mut sim = simulation_of_burst(seed);
+        sim.run_and_check_bounds(30_300);
         for n in 0..12 {
-            w.end(n % CONTROLLERS, 20);
-            w.play_within_bounds(w.now + 1_500);
+            sim.stop_controller(n % CONTROLLERS, 20);
+            sim.run_and_check_bounds(sim.now + 1_500);
         }
-        w.play_within_bounds(w.now + 330_000);
-        w.check_end();
-        w.check(seed);
+        sim.run_and_check_bounds(sim.now + 330_000);
+        sim.check_all_jobs_ended();
+        sim.assert_no_violations(seed);
     }
 }
 
 #[test]
 fn the_bound_holds_with_the_state_service_out_in_a_burst() {
     for seed in 0..3 {
-        let mut w = flooded(seed);
-        w.play_within_bounds(30_400);
-        w.outage(6_000);
-        w.play_within_bounds(w.now + 330_000);
-        w.check_end();
-        w.check(seed);
+        let mut sim = simulation_of_burst(seed);
+        sim.run_and_check_bounds(30_400);
+        sim.start_store_outage(6_000);
+        sim.run_and_check_bounds(sim.now + 330_000);
+        sim.check_all_jobs_ended();
+        sim.assert_no_violations(seed);
     }
 }
 
 #[test]
 fn the_rules_hold_over_seeded_days_with_allotments() {
     for seed in 100..116 {
-        let mut w = World::new(seed);
-        w.services_only_where_known();
-        w.turn_quotas_on();
-        w.run(1 + (seed % 2) as u32, DAY_MS);
+        let mut sim = Simulation::new(seed);
+        sim.replace_unsupported_services();
+        sim.enable_quotas();
+        sim.run_with_faults(1 + (seed % 2) as u32, RUN_MS);
         // A day may end before the last task of an unlucky job; the rules hold all the same.
-        w.check(seed);
-        assert!(w.tasks_started > 50, "seed {seed}: nothing_ran ({})", w.tasks_started);
+        sim.assert_no_violations(seed);
+        assert!(sim.tasks_started > 50, "seed {seed}: nothing_ran ({})", sim.tasks_started);
     }
 }
 
@@ -204,47 +217,47 @@
 #[test]
 fn controllers_with_and_without_allotments_serve_side_by_side() {
     for seed in 0..4 {
-        let mut w = World::with(SmallRng::seed_from_u64(seed), flood(30_000));
-        w.controllers[0].next_configuration.policy = policy();
-        w.start_controller(0);
-        w.run_until(30_500);
+        let mut sim = Simulation::with_users(SmallRng::seed_from_u64(seed), burst(30_000));
+        sim.controllers[0].next_configuration.policy = policy();
+        sim.start_controller(0);
+        sim.run_until(30_500);
         for n in 0..8 {
-            let leader = w.leader();
-            leader.into_iter().for_each(|leader| w.end(leader, [20, 3_000][n % 2]));
-            w.run_until(w.now + 9_000);
+            let leader = sim.leader();
+            leader.into_iter().for_each(|leader| sim.stop_controller(leader, [20, 3_000][n % 2]));
+            sim.run_until(sim.now + 9_000);
         }
-        w.run_until(w.now + 300_000);
-        w.check_end();
-        w.check(seed);
+        sim.run_until(sim.now + 300_000);
+        sim.check_all_jobs_ended();
+        sim.assert_no_violations(seed);
     }
 }
 
 /// Jobs of high priority come without end and fill their team's limit; those of another class
 /// of the team rank behind all of them.
-fn priorities(class_least: f64) -> [usize; 2] {
-    let job = |class: &str, priority| JobSpec { class: class.into(), priority, ..job(1, 4) };
+fn tasks_done_by_priority(class_least: f64) -> [usize; 2] {
+    let job = |class: &str, priority| JobSpec { class: class.into(), priority, ..short_job(1, 4) };
     let high =
         (0..400).map(|i| User::new(1000 + i, job("urgent", Priority::High), 5_000 + i * 700, None));
     let low = (0..12).map(|i| User::new(5000 + i, job("idle", Priority::Low), 5_000, None));
-    let mut w = World::with(SmallRng::seed_from_u64(1), high.chain(low).collect());
+    let mut sim = Simulation::with_users(SmallRng::seed_from_u64(1), high.chain(low).collect());
     for controller in 0..CONTROLLERS {
         let admission = AdmissionPolicy { backlog_s: 600.0, class_least };
-        w.controllers[controller].next_configuration.policy.admission = Some(admission);
-        w.start_controller(controller);
+        sim.controllers[controller].next_configuration.policy.admission = Some(admission);
+        sim.start_controller(controller);
     }
-    w.run_until(240_000);
-    assert!(w.violations.is_empty(), "{:#?}", w.violations);
+    sim.run_until(240_000);
+    assert!(sim.violations.is_empty(), "{:#?}", sim.violations);
     let done = |jobs: std::ops::Range<u64>| {
-        let of_class = w.users.iter().filter(|u| jobs.contains(&u.job.0));
-        of_class.map(|u| u.done.len()).sum::<usize>()
+        let of_class = sim.users.iter().filter(|user| jobs.contains(&user.job.0));
+        of_class.map(|user| user.tasks_done.len()).sum::<usize>()
     };
     [done(1000..1400), done(5000..5012)]
 }
 
 #[test]
 fn a_class_of_low_priority_gets_its_least_share() {
-    let [high, low] = priorities(0.1);
+    let [high, low] = tasks_done_by_priority(0.1);
     assert!(low * 12 >= high, "{low} tasks beside {high}");
-    let [high, low] = priorities(0.0);
+    let [high, low] = tasks_done_by_priority(0.0);
     assert!(low * 20 < high, "{low} tasks beside {high} without a least share");
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/seeded_runs.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/seeded_runs.rs
@@ -7,32 +7,32 @@
 fn the_rules_hold_over_seeded_days_of_faults() {
     let mut tasks_started = 0;
     for seed in 0..48 {
-        let mut w = World::new(seed);
-        w.services_only_where_known();
+        let mut sim = Simulation::new(seed);
+        sim.replace_unsupported_services();
         // One trouble at a time, then two: pairs are what a design forgets.
-        w.run(1 + (seed % 3).min(1) as u32, DAY_MS);
-        w.check_end();
-        w.violations.truncate(5);
-        assert!(w.violations.is_empty(), "seed {seed}: {:#?}", w.violations);
-        assert!(w.tasks_started > 50, "seed {seed}: nothing_ran ({})", w.tasks_started);
-        tasks_started += w.tasks_started;
+        sim.run_with_faults(1 + (seed % 3).min(1) as u32, RUN_MS);
+        sim.check_all_jobs_ended();
+        sim.violations.truncate(5);
+        assert!(sim.violations.is_empty(), "seed {seed}: {:#?}", sim.violations);
+        assert!(sim.tasks_started > 50, "seed {seed}: nothing_ran ({})", sim.tasks_started);
+        tasks_started += sim.tasks_started;
     }
     println!("tasks started: {tasks_started}");
 }
 
 /// What a seeded day comes to: a sum over all that was written to the store, the tasks started and
 /// stopped, the messages sent, and the state of the random numbers, which every message draws on.
-fn outcome_of_day(seed: u64) -> u64 {
-    let mut world = World::new(seed);
-    world.run(1 + (seed % 3).min(1) as u32, DAY_MS);
+fn outcome_of_run(seed: u64) -> u64 {
+    let mut sim = Simulation::new(seed);
+    sim.run_with_faults(1 + (seed % 3).min(1) as u32, RUN_MS);
     let counts = [
-        world.tasks_started,
-        world.tasks_stopped,
-        world.messages_sent,
-        world.store.revision.0,
-        world.rng.random(),
+        sim.tasks_started,
+        sim.tasks_stopped,
+        sim.messages_sent,
+        sim.store.revision.0,
+        sim.rng.random(),
     ];
-    let values = world.store.keys.iter().flat_map(|(key, kept)| [key.as_str(), &kept.value]);
+    let values = sim.store.keys.iter().flat_map(|(key, stored)| [key.as_str(), &stored.value]);
     let bytes =
         counts.iter().flat_map(|count| count.to_le_bytes()).chain(values.flat_map(str::bytes));
     // FNV-1a, 64 bits: the same on every version and machine.
@@ -43,11 +43,11 @@
 #[test]
 fn the_same_seed_gives_the_same_day() {
     for seed in [0, 7, 16] {
-        assert_eq!(outcome_of_day(seed), outcome_of_day(seed), "seed {seed}");
+        assert_eq!(outcome_of_run(seed), outcome_of_run(seed), "seed {seed}");
     }
     // To be compared by hand before and after a change that is to keep every decision.
     let outcomes: Vec<String> =
-        (0..6).map(|seed| format!("{:016x}", outcome_of_day(seed))).collect();
+        (0..6).map(|seed| format!("{:016x}", outcome_of_run(seed))).collect();
     println!("outcomes of seeded days: {}", outcomes.join(" "));
 }
 
@@ -56,21 +56,27 @@
 }
 
 /// Plays an overload of a team by the `many` and asks that the `few` begin in time.
-fn begin_in_overload(few: impl Iterator<Item = User>, many: impl Iterator<Item = User>) {
+fn assert_few_start_during_overload(
+    few: impl Iterator<Item = User>,
+    many: impl Iterator<Item = User>,
+) {
     let users: Vec<User> = few.chain(many).collect();
-    let few = users.iter().filter(|u| u.job.0 >= 9000).count();
-    let mut w = World::with(SmallRng::seed_from_u64(1), users);
-    w.run(0, 300_000);
-    assert!(w.violations.is_empty(), "{:#?}", w.violations);
-    let awaiting_reply =
-        w.users.iter().filter(|u| u.at < 240_000 && u.observed == Observed::Accepted).count();
-    assert!(awaiting_reply > 20, "no overload: {awaiting_reply} jobs wait");
-    for u in &w.users[..few] {
-        let first_started = u.first_started.map(|b| b - u.at);
+    let few = users.iter().filter(|user| user.job.0 >= 9000).count();
+    let mut sim = Simulation::with_users(SmallRng::seed_from_u64(1), users);
+    sim.run_with_faults(0, 300_000);
+    assert!(sim.violations.is_empty(), "{:#?}", sim.violations);
+    let waiting_jobs = sim
+        .users
+        .iter()
+        .filter(|user| user.submit_at < 240_000 && user.observed == Observed::Accepted)
+        .count();
+    assert!(waiting_jobs > 20, "no overload: {waiting_jobs} jobs wait");
+    for user in &sim.users[..few] {
+        let wait_ms = user.first_task_started_at.map(|started_at| started_at - user.submit_at);
         assert!(
-            first_started.is_some_and(|b| b <= 240_000),
-            "{} began after {first_started:?} ms",
-            u.job
+            wait_ms.is_some_and(|started_at| started_at <= 240_000),
+            "{} began after {wait_ms:?} ms",
+            user.job
         );
     }
 }
@@ -81,7 +87,7 @@
     let spec = |tasks| overload_spec(tasks, 2.0, Priority::Normal);
     let large = (0..2).map(|i| User::new(9000 + i, spec(60), 30_000 + i * 5_000, None));
     let small = (0..260).map(|i| User::new(1000 + i, spec(4), 5_000 + i * 1_200, None));
-    begin_in_overload(large, small);
+    assert_few_start_during_overload(large, small);
 }
 
 /// So must wide tasks, while narrow ones of lesser jobs take a team's limit bit by bit.
@@ -91,7 +97,7 @@
     let narrow = overload_spec(12, 1.0, Priority::Low);
     let wide = (0..2).map(|i| User::new(9000 + i, wide.clone(), 30_000 + i * 5_000, None));
     let narrow = (0..200).map(|i| User::new(1000 + i, narrow.clone(), 5_000 + i * 1_400, None));
-    begin_in_overload(wide, narrow);
+    assert_few_start_during_overload(wide, narrow);
 }
 
 /// What a team's limit leaves is too little for one more task of a wide job that runs: kept
@@ -106,11 +112,12 @@
         User::new(1001, wide, 6_000, None),
         User::new(1002, narrow, 30_000, None),
     ];
-    let mut w = World::with(SmallRng::seed_from_u64(1), users);
-    (w.long_tasks, w.faults_over_at) = (true, 0);
-    w.run(0, 200_000);
-    assert!(w.violations.is_empty(), "{:#?}", w.violations);
+    let mut sim = Simulation::with_users(SmallRng::seed_from_u64(1), users);
+    (sim.long_tasks, sim.faults_over_at) = (true, 0);
+    sim.run_with_faults(0, 200_000);
+    assert!(sim.violations.is_empty(), "{:#?}", sim.violations);
     assert!(
-        w.users[1].first_started.is_some() && w.users[2].first_started.is_some_and(|b| b < 60_000)
+        sim.users[1].first_task_started_at.is_some()
+            && sim.users[2].first_task_started_at.is_some_and(|started_at| started_at < 60_000)
     );
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
@@ -3,20 +3,20 @@
 use super::*;
 
 impl User {
-    pub(super) fn new(job: u64, spec: JobSpec, at: u64, cancel_at: Option<u64>) -> Self {
+    pub(super) fn new(job: u64, spec: JobSpec, submit_at: u64, cancel_at: Option<u64>) -> Self {
         User {
             job: JobId(job),
             spec,
-            at,
+            submit_at,
             cancel_at,
-            faulty_job: false,
+            faulty: false,
             observed: Observed::Unknown,
             cancel_requested: false,
-            done: BTreeSet::new(),
+            tasks_done: BTreeSet::new(),
             requests_sent: 0,
             request_deadline: 0,
-            last_answered: 0,
-            first_started: None,
+            last_answered_at: 0,
+            first_task_started_at: None,
             unscheduled_since: None,
         }
     }
@@ -74,8 +74,8 @@
         user.make_service(i);
         user.cancel_at = Some(at + rng.random_range(60_000..180_000));
     }
-    user.faulty_job = rng.random_bool(0.08);
-    if user.faulty_job && !user.spec.is_service() {
+    user.faulty = rng.random_bool(0.08);
+    if user.faulty && !user.spec.is_service() {
         user.cancel_at = Some(at + rng.random_range(20_000..120_000));
     }
     user
@@ -103,38 +103,38 @@
             version: Version::default(),
             next_version: Version::default(),
             epoch: 0,
-            born: 0,
-            drift: 1.0 + clock_drift,
-            store_cut: None,
-            refused_until: 0,
+            process_started_at: 0,
+            clock_rate: 1.0 + clock_drift,
+            store_partition: None,
+            store_refuses_until: 0,
             watches_lost_until: 0,
-            freezes_until: 0,
+            pending_freeze_until: 0,
             frozen_until: 0,
             isolated_until: 0,
-            workers_cut: None,
+            worker_partition: None,
             configuration: Configuration::default(),
             next_configuration: Configuration::default(),
-            earlier: Vec::new(),
+            earlier_configurations: Vec::new(),
         }
     }
 }
 
-impl World {
+impl Simulation {
     /// Jobs of all sorts, for days of faults.
     pub(super) fn new(seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let users = (0..JOBS).map(|i| random_user(&mut rng, i)).collect();
         let mixed = Version::MIXED[seed as usize % Version::MIXED.len()];
-        World::of_versions(rng, users, mixed)
+        Simulation::of_versions(rng, users, mixed)
     }
 
-    pub(super) fn with(rng: SmallRng, users: Vec<User>) -> Self {
-        World::of_versions(rng, users, &[Version::Current])
+    pub(super) fn with_users(rng: SmallRng, users: Vec<User>) -> Self {
+        Simulation::of_versions(rng, users, &[Version::Current])
     }
 
     /// A world in which each process that starts runs one of these versions.
     fn of_versions(rng: SmallRng, users: Vec<User>, versions: &[Version]) -> Self {
-        let mut w = World {
+        let mut sim = Simulation {
             now: 0,
             messages_sent: 0,
             rng,
@@ -142,18 +142,18 @@
             controllers: CLOCK_DRIFTS.into_iter().map(SimulatedController::new).collect(),
             store: Store { limits: LIMITS, ..Store::default() },
             workers: Vec::new(),
-            requisitions: BTreeMap::new(),
+            provisioned: BTreeMap::new(),
             users,
             requesters: BTreeMap::new(),
-            next_request: 0,
-            zone_cut: None,
+            last_request_id: 0,
+            zone_partition: None,
             slow_provisioning: (0, 0),
             poll_storm_until: 0,
-            next_freeze: u64::MAX,
-            late_writes: LateWrites::default(),
-            late_heartbeats: LateHeartbeats::default(),
+            next_leader_freeze: u64::MAX,
+            unanswered_writes: UnansweredWrites::default(),
+            duplicate_heartbeats: DuplicateHeartbeats::default(),
             held_heartbeats: Vec::new(),
-            cancel_at_end: CancelAtEnd::default(),
+            cancel_on_completion: CancelOnCompletion::default(),
             read_back_until: 0,
             invalid_requests_until: 0,
             versions: versions.to_vec(),
@@ -162,28 +162,28 @@
             fast_provisioning: false,
             store_delay_ms: 0,
             long_tasks: false,
-            leaders: Vec::new(),
-            moments: BTreeMap::new(),
+            leader_changes: Vec::new(),
+            situations: BTreeMap::new(),
             next_fault: u64::MAX,
-            faults_at_once: 0,
-            known: false,
+            concurrent_faults: 0,
+            answers_checked: false,
             violations: Vec::new(),
             tasks_started: 0,
             tasks_stopped: 0,
             faults_over_at: FAULTS_END_MS,
         };
         for i in 0..CONTROLLERS {
-            w.start_controller(i);
+            sim.start_controller(i);
         }
-        for i in 0..w.users.len() {
-            w.send(w.users[i].at, usize::MAX, 0, Message::User(i));
+        for i in 0..sim.users.len() {
+            sim.send(sim.users[i].submit_at, usize::MAX, 0, Message::User(i));
         }
-        w
+        sim
     }
 
     /// While a version may run that does not know services, arrays are asked for in their place.
-    pub(super) fn services_only_where_known(&mut self) {
-        if self.versions.iter().all(|version| version.knows_services()) {
+    pub(super) fn replace_unsupported_services(&mut self) {
+        if self.versions.iter().all(|version| version.supports_services()) {
             return;
         }
         for user in self.users.iter_mut().filter(|user| user.spec.is_service()) {
@@ -192,7 +192,7 @@
     }
 
     /// All processes run this version until they are upgraded.
-    pub(super) fn run_only(&mut self, version: Version) {
+    pub(super) fn run_version(&mut self, version: Version) {
         self.versions = vec![version];
         for i in 0..CONTROLLERS {
             if self.controllers[i].version != version {
@@ -202,12 +202,12 @@
         }
     }
 
-    pub(super) fn send(&mut self, at: u64, controller: usize, epoch: u64, msg: Message) {
+    pub(super) fn send(&mut self, at: u64, controller: usize, epoch: u64, message: Message) {
         self.messages_sent += 1;
-        self.queue.insert((at, self.messages_sent), (controller, epoch, msg));
+        self.queue.insert((at, self.messages_sent), (controller, epoch, message));
     }
 
-    pub(super) fn delay(&mut self) -> u64 {
+    pub(super) fn network_delay(&mut self) -> u64 {
         if self.rng.random_bool(0.02) {
             self.rng.random_range(50..400)
         } else {
@@ -216,7 +216,7 @@
     }
 
     /// Whether a message comes once more, later: while there are troubles.
-    pub(super) fn copied(&mut self) -> bool {
+    pub(super) fn is_duplicated(&mut self) -> bool {
         self.now < FAULTS_END_MS && self.rng.random_bool(0.03)
     }
 
@@ -228,9 +228,9 @@
         }
         let c = &mut self.controllers[i];
         c.epoch += 1;
-        c.born = self.now;
+        c.process_started_at = self.now;
         let before = std::mem::replace(&mut c.configuration, c.next_configuration.clone());
-        c.earlier.push((self.now, before));
+        c.earlier_configurations.push((self.now, before));
         c.version = c.next_version;
         let settings = settings(i, incarnation, &c.configuration);
         c.process = Some(Process::start(c.version, settings, incarnation));
@@ -238,12 +238,12 @@
         self.send(self.now, i, epoch, Message::Tick);
     }
 
-    pub(super) fn violation(&mut self, what: String) {
-        self.violations.push(format!("{} ms: {what}", self.now));
+    pub(super) fn record_violation(&mut self, violation: String) {
+        self.violations.push(format!("{} ms: {violation}", self.now));
     }
 
-    pub(super) fn run(&mut self, faults_at_once: u32, until: u64) {
-        self.faults_at_once = faults_at_once;
+    pub(super) fn run_with_faults(&mut self, concurrent_faults: u32, until: u64) {
+        self.concurrent_faults = concurrent_faults;
         self.next_fault = 15_000;
         self.run_until(until);
     }
@@ -251,70 +251,80 @@
     /// A task of a job whose user was told at `observed` that it is cancelled is there, or starts.
     /// The version in production may act on old word of jobs when it is back in its right after
     /// an outage; what it did then is not held against the present one.
-    pub(super) fn violation_after_cancellation(&mut self, observed: u64, what: String) {
-        if self.stale_renewal_at.is_some_and(|at| at >= observed) {
-            self.violations_of_earlier_versions.push(format!("{} ms: {what}", self.now));
+    pub(super) fn record_violation_after_cancellation(
+        &mut self,
+        observed_at: u64,
+        violation: String,
+    ) {
+        if self.stale_renewal_at.is_some_and(|at| at >= observed_at) {
+            self.violations_of_earlier_versions.push(format!("{} ms: {violation}", self.now));
         } else {
-            self.violation(what);
+            self.record_violation(violation);
         }
     }
 
     /// Whether a moment came.
-    pub(super) fn record_moment(&mut self, moment: &'static str) {
-        *self.moments.entry(moment).or_default() += 1;
+    pub(super) fn record_situation(&mut self, situation: &'static str) {
+        *self.situations.entry(situation).or_default() += 1;
     }
 
     pub(super) fn run_until(&mut self, until: u64) {
         while self.now < until {
-            let world = self.now + 20;
-            while let Some(e) = self.queue.first_entry().filter(|e| e.key().0 < world) {
-                let at = e.key().0;
-                let (controller, epoch, msg) = e.remove();
+            let next = self.now + 20;
+            while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 < next) {
+                let at = entry.key().0;
+                let (controller, epoch, message) = entry.remove();
                 self.now = self.now.max(at);
-                self.deliver(controller, epoch, msg);
+                self.deliver(controller, epoch, message);
             }
-            self.now = world;
-            self.heal();
+            self.now = next;
+            self.heal_partitions();
             if self.now >= self.store.down_until {
-                self.store.expire(self.now);
+                self.store.expire_leases(self.now);
             }
-            self.watch();
-            self.workers();
-            self.check_cancelled();
-            self.record_leader();
+            self.answer_watches();
+            self.step_workers();
+            self.check_cancelled_jobs_stopped();
+            self.record_leader_change();
             if self.now.is_multiple_of(1_000) {
                 self.check_unscheduled();
             }
-            if self.now >= self.next_freeze {
-                self.next_freeze = u64::MAX;
+            if self.now >= self.next_leader_freeze {
+                self.next_leader_freeze = u64::MAX;
                 let until = self.now + self.rng.random_range(2_000..15_000);
                 if let Some(i) = self.leader() {
-                    self.controllers[i].freezes_until = until;
+                    self.controllers[i].pending_freeze_until = until;
                     self.faults_over_at = self.faults_over_at.max(until);
                 }
             }
             if self.now >= self.next_fault && self.now < FAULTS_END_MS {
-                for _ in 0..self.faults_at_once {
-                    self.fault();
+                for _ in 0..self.concurrent_faults {
+                    self.inject_fault();
                 }
                 self.next_fault = self.now + self.rng.random_range(3_000..20_000);
             }
-            if !self.known
+            if !self.answers_checked
                 && self.now >= FAULTS_END_MS
                 && self.now >= self.faults_over_at + ANSWERED_WITHIN_MS
             {
-                self.known = true;
-                self.check_forgotten();
+                self.answers_checked = true;
+                self.check_all_jobs_answered();
             }
         }
     }
 
-    pub(super) fn deliver(&mut self, controller: usize, epoch: u64, msg: Message) {
-        let to_node = matches!(msg, Message::Tick | Message::Input(_) | Message::Heartbeat(..));
-        if to_node && self.now < self.controllers[controller].frozen_until {
-            return self.send(self.controllers[controller].frozen_until, controller, epoch, msg);
+    pub(super) fn deliver(&mut self, controller: usize, epoch: u64, message: Message) {
+        let for_process =
+            matches!(message, Message::Tick | Message::Input(_) | Message::Heartbeat(..));
+        if for_process && self.now < self.controllers[controller].frozen_until {
+            return self.send(
+                self.controllers[controller].frozen_until,
+                controller,
+                epoch,
+                message,
+            );
         }
-        match msg {
+        match message {
             Message::Tick => {
                 if self.controllers[controller].epoch != epoch {
                     return;
@@ -331,19 +341,19 @@
                 }
             }
             // What a process sent is carried out even when it has ended since.
-            Message::Store(op, call) => self.store_request(controller, epoch, op, call),
-            Message::Cloud(op, call) => self.cloud_request(controller, epoch, op, call),
-            Message::Heartbeat(m, req, heartbeat) => {
+            Message::Store(op, call) => self.handle_store_request(controller, epoch, op, call),
+            Message::Cloud(op, call) => self.handle_cloud_request(controller, epoch, op, call),
+            Message::Heartbeat(machine, req, heartbeat) => {
                 if self.controllers[controller].process.is_some() {
-                    self.requesters.insert(req, Requester::Worker(m, heartbeat.sequence));
+                    self.requesters.insert(req, Requester::Worker(machine, heartbeat.sequence));
                     self.step(controller, Input::Heartbeat { req, heartbeat: Box::new(heartbeat) });
                 }
             }
-            Message::Commands(m, agent_epoch, sequence, answer) => {
-                self.commands(m, agent_epoch, sequence, answer)
+            Message::Commands(machine, agent_epoch, sequence, answer) => {
+                self.handle_commands(machine, agent_epoch, sequence, answer)
             }
-            Message::User(i) => self.user(i),
-            Message::Answer(asker, answer) => self.answer(asker, answer),
+            Message::User(i) => self.step_user(i),
+            Message::Answer(requester, answer) => self.handle_answer(requester, answer),
         }
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/store.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store.rs
@@ -3,31 +3,35 @@
 use super::*;
 
 /// Keys on one page of a list at the most.
-const PAGE_MOST: u32 = 20;
+const MAX_PAGE_KEYS: u32 = 20;
 
 impl Store {
     pub(super) fn remove(&mut self, key: &str, revision: Revision) {
         if self.keys.remove(key).is_some() {
-            self.log
+            self.events
                 .push((revision, WatchEvent::Delete { key: key.into(), mod_revision: revision }));
         }
     }
 
-    pub(super) fn expire(&mut self, t: u64) {
-        let over: Vec<LeaseId> =
-            self.leases.iter().filter(|(_, (_, e))| *e <= t).map(|(l, _)| *l).collect();
-        for lease_id in over {
-            self.end(lease_id);
+    pub(super) fn expire_leases(&mut self, now: u64) {
+        let expired: Vec<LeaseId> = self
+            .leases
+            .iter()
+            .filter(|(_, (_, expires_at))| *expires_at <= now)
+            .map(|(lease_id, _)| *lease_id)
+            .collect();
+        for lease_id in expired {
+            self.revoke_lease(lease_id);
         }
     }
 
-    pub(super) fn end(&mut self, lease_id: LeaseId) {
+    pub(super) fn revoke_lease(&mut self, lease_id: LeaseId) {
         self.leases.remove(&lease_id);
         let keys: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, k)| k.lease_id == Some(lease_id))
-            .map(|(k, _)| k.clone())
+            .filter(|(_, stored)| stored.lease_id == Some(lease_id))
+            .map(|(key, _)| key.clone())
             .collect();
         for key in keys {
             self.revision.0 += 1;
@@ -35,31 +39,34 @@
         }
     }
 
-    pub(super) fn item(&self, key: &str) -> Option<KeyValue> {
-        let k = self.keys.get(key)?;
+    pub(super) fn key_value(&self, key: &str) -> Option<KeyValue> {
+        let stored = self.keys.get(key)?;
         Some(KeyValue {
             key: key.into(),
-            value: k.value.clone(),
-            mod_revision: k.mod_revision,
-            lease_id: k.lease_id,
+            value: stored.value.clone(),
+            mod_revision: stored.mod_revision,
+            lease_id: stored.lease_id,
         })
     }
 
-    pub(super) fn news(&self, prefix: &str, after: Revision) -> Vec<WatchEvent> {
-        let key = |e: &WatchEvent| match e {
-            WatchEvent::Put(i) => i.key.clone(),
+    pub(super) fn events_after(&self, prefix: &str, after: Revision) -> Vec<WatchEvent> {
+        let key_of = |event: &WatchEvent| match event {
+            WatchEvent::Put(item) => item.key.clone(),
             WatchEvent::Delete { key, .. } => key.clone(),
         };
-        let new = self.log.iter().filter(|(r, e)| *r > after && key(e).starts_with(prefix));
-        new.map(|(_, e)| e.clone()).collect()
+        let events = self
+            .events
+            .iter()
+            .filter(|(revision, event)| *revision > after && key_of(event).starts_with(prefix));
+        events.map(|(_, event)| event.clone()).collect()
     }
 
     /// Carries a request out; watches are answered elsewhere.
-    pub(super) fn carry_out(&mut self, now: u64, request: &StoreRequest) -> StoreReply {
-        self.expire(now);
+    pub(super) fn apply(&mut self, now: u64, request: &StoreRequest) -> StoreReply {
+        self.expire_leases(now);
         match request {
             StoreRequest::Get(key) => {
-                self.item(key).map_or(StoreReply::NotFound, StoreReply::KeyValue)
+                self.key_value(key).map_or(StoreReply::NotFound, StoreReply::KeyValue)
             }
             StoreRequest::List { prefix, after, limit } => {
                 self.list(prefix, after.as_deref(), *limit)
@@ -68,21 +75,21 @@
                 self.transact(preconditions, puts, deletes)
             }
             StoreRequest::GrantLease { ttl_ms } => {
-                self.next_lease_id += 1;
-                let lease_id = LeaseId(self.next_lease_id);
+                self.last_lease_id += 1;
+                let lease_id = LeaseId(self.last_lease_id);
                 self.leases.insert(lease_id, (*ttl_ms, now + ttl_ms));
                 StoreReply::LeaseGranted { lease_id }
             }
             StoreRequest::KeepAlive { lease_id } => match self.leases.get_mut(lease_id) {
-                Some((life, end)) => {
-                    *end = now + *life;
+                Some((ttl_ms, expires_at)) => {
+                    *expires_at = now + *ttl_ms;
                     StoreReply::Ok
                 }
                 None => StoreReply::NotFound,
             },
             StoreRequest::RevokeLease { lease_id } => {
                 let known = self.leases.contains_key(lease_id);
-                self.end(*lease_id);
+                self.revoke_lease(*lease_id);
                 if known {
                     StoreReply::Ok
                 } else {
@@ -95,10 +102,11 @@
 
     fn list(&self, prefix: &str, after: Option<&str>, limit: u32) -> StoreReply {
         let after = after.unwrap_or("");
-        let mut keys = self.keys.keys().filter(|k| k.starts_with(prefix) && k.as_str() > after);
-        let page: Vec<&String> = keys.by_ref().take(limit.min(PAGE_MOST) as usize).collect();
+        let mut keys =
+            self.keys.keys().filter(|key| key.starts_with(prefix) && key.as_str() > after);
+        let page: Vec<&String> = keys.by_ref().take(limit.min(MAX_PAGE_KEYS) as usize).collect();
         let more = keys.next().is_some();
-        let items = page.iter().filter_map(|key| self.item(key)).collect();
+        let items = page.iter().filter_map(|key| self.key_value(key)).collect();
         StoreReply::Page { items, more, revision: self.revision }
     }
 
@@ -108,20 +116,21 @@
         puts: &[PutRequest],
         deletes: &[String],
     ) -> StoreReply {
-        let (value_bytes, changes) = self.limits;
-        let large = puts.iter().any(|put| put.value.len() > value_bytes);
-        if large || puts.len() + deletes.len() > changes || preconditions.len() > changes * 4 {
+        let (value_bytes, max_ops) = self.limits;
+        let too_large = puts.iter().any(|put| put.value.len() > value_bytes);
+        if too_large || puts.len() + deletes.len() > max_ops || preconditions.len() > max_ops * 4 {
             return StoreReply::Rejected;
         }
-        let has_ended = |lease_id: LeaseId| !self.leases.contains_key(&lease_id);
-        if puts.iter().any(|put| put.lease_id.is_some_and(has_ended)) {
+        let is_unknown = |lease_id: LeaseId| !self.leases.contains_key(&lease_id);
+        if puts.iter().any(|put| put.lease_id.is_some_and(is_unknown)) {
             return StoreReply::Refused;
         }
-        let current = |key: &String| self.keys.get(key).map_or(Revision::NONE, |k| k.mod_revision);
+        let current_revision =
+            |key: &String| self.keys.get(key).map_or(Revision::NONE, |stored| stored.mod_revision);
         let failed: Vec<String> = preconditions
             .iter()
-            .filter(|wanted| current(&wanted.key) != wanted.mod_revision)
-            .map(|wanted| wanted.key.clone())
+            .filter(|precondition| current_revision(&precondition.key) != precondition.mod_revision)
+            .map(|precondition| precondition.key.clone())
             .collect();
         if !failed.is_empty() {
             return StoreReply::Conflict { failed };
@@ -152,6 +161,6 @@
             // Watches do not tell under which lease a key stands.
             lease_id: None,
         });
-        self.log.push((self.revision, event));
+        self.events.push((self.revision, event));
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/upgrades.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/upgrades.rs
@@ -3,109 +3,115 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// Ends controllers, so many at a time, that come back with the new version.
-    fn roll(&mut self, at_once: usize, every: u64, between: impl Fn(&mut World, usize)) {
-        for first in (0..CONTROLLERS).step_by(at_once) {
-            for i in first..(first + at_once).min(CONTROLLERS) {
+    fn upgrade_controllers(
+        &mut self,
+        batch_size: usize,
+        interval_ms: u64,
+        after_stop: impl Fn(&mut Simulation, usize),
+    ) {
+        for first in (0..CONTROLLERS).step_by(batch_size) {
+            for i in first..(first + batch_size).min(CONTROLLERS) {
                 self.controllers[i].next_configuration.limits = NEXT_LIMITS;
                 self.controllers[i].next_version = Version::default();
-                self.end(i, 400 + 100 * i as u64);
+                self.stop_controller(i, 400 + 100 * i as u64);
             }
-            between(self, first);
-            self.run_until(self.now + every);
+            after_stop(self, first);
+            self.run_until(self.now + interval_ms);
         }
     }
 }
 
-fn days(seeds: std::ops::Range<u64>, day: impl Fn(&mut World)) {
+fn check_upgrades(seeds: std::ops::Range<u64>, scenario: impl Fn(&mut Simulation)) {
     let mut largest = 0;
     let earlier = Version::PRODUCTION.iter();
     for (seed, version) in earlier.flat_map(|v| seeds.clone().map(move |seed| (seed, *v))) {
-        let mut w = World::new(seed);
-        w.run_only(version);
-        for u in &mut w.users {
-            u.faulty_job = false;
+        let mut sim = Simulation::new(seed);
+        sim.run_version(version);
+        for user in &mut sim.users {
+            user.faulty = false;
             // Nothing new is asked for before all have the new version.
-            if u.spec.is_service() {
-                (u.at, u.cancel_at) = (FAULTS_END_MS, Some(FAULTS_END_MS + 90_000));
+            if user.spec.is_service() {
+                (user.submit_at, user.cancel_at) = (FAULTS_END_MS, Some(FAULTS_END_MS + 90_000));
             }
         }
-        w.reschedule_users();
-        w.run_until(40_000);
-        largest = largest.max(w.largest_registry_part());
-        day(&mut w);
-        w.run_until(w.faults_over_at.max(w.now) + 200_000);
-        w.check_end();
-        w.violations.truncate(5);
-        assert!(w.violations.is_empty(), "seed {seed}, {version:?}: {:#?}", w.violations);
+        sim.reschedule_users();
+        sim.run_until(40_000);
+        largest = largest.max(sim.largest_registry_part());
+        scenario(&mut sim);
+        sim.run_until(sim.faults_over_at.max(sim.now) + 200_000);
+        sim.check_all_jobs_ended();
+        sim.violations.truncate(5);
+        assert!(sim.violations.is_empty(), "seed {seed}, {version:?}: {:#?}", sim.violations);
         assert!(
-            w.largest_registry_part() <= NEXT_LIMITS.0,
+            sim.largest_registry_part() <= NEXT_LIMITS.0,
             "seed {seed}: {}",
-            w.largest_registry_part()
+            sim.largest_registry_part()
         );
     }
     assert!(largest > NEXT_LIMITS.0, "the old version left nothing to be cut: {largest}");
 }
 
-impl World {
+impl Simulation {
     fn largest_registry_part(&self) -> usize {
-        let parts = self.store.keys.iter().filter(|(k, _)| k.starts_with("r/"));
-        parts.map(|(_, k)| k.value.len()).max().unwrap_or(0)
+        let parts = self.store.keys.iter().filter(|(key, _)| key.starts_with("r/"));
+        parts.map(|(_, stored)| stored.value.len()).max().unwrap_or(0)
     }
 }
 
 #[test]
 fn upgrade_one_at_a_time_and_the_limits_fall() {
-    days(0..6, |w| {
-        w.roll(1, 8_000, |_, _| {});
-        w.wait_and_lower(5_000);
+    check_upgrades(0..6, |sim| {
+        sim.upgrade_controllers(1, 8_000, |_, _| {});
+        sim.lower_store_limits_after(5_000);
     });
 }
 
 #[test]
 fn upgrade_of_several_at_a_time_with_crashes_back_to_the_old() {
-    days(0..6, |w| {
-        w.roll(2, 6_000, |w, first| {
-            w.run_until(w.now + 2_000);
-            w.cancel_now(2, 1_000);
+    check_upgrades(0..6, |sim| {
+        sim.upgrade_controllers(2, 6_000, |sim, first| {
+            sim.run_until(sim.now + 2_000);
+            sim.cancel_running_jobs(2, 1_000);
             // One whose turn has not come ends, and comes back old.
             if first == 0 {
-                w.end(CONTROLLERS - 1, 20);
+                sim.stop_controller(CONTROLLERS - 1, 20);
             }
         });
-        w.wait_and_lower(100);
+        sim.lower_store_limits_after(100);
     });
 }
 
 #[test]
 fn limits_fall_in_an_outage_after_an_upgrade_among_troubles() {
-    days(0..6, |w| {
-        w.late_writes = LateWrites { until: w.now + 30_000, share: 0.3, answer_lost: false };
-        w.late_heartbeats =
-            LateHeartbeats { until: w.now + 30_000, share: 0.5, for_next_leader: true };
-        w.roll(1, 4_000, |w, first| {
-            let until = w.now + LEASE_MS;
+    check_upgrades(0..6, |sim| {
+        sim.unanswered_writes =
+            UnansweredWrites { until: sim.now + 30_000, share: 0.3, only_reply_lost: false };
+        sim.duplicate_heartbeats =
+            DuplicateHeartbeats { until: sim.now + 30_000, share: 0.5, held_for_next_leader: true };
+        sim.upgrade_controllers(1, 4_000, |sim, first| {
+            let until = sim.now + LEASE_MS;
             match first {
-                0 => w.for_share_of_workers(0.3, |m| m.downlink_lost_until = until),
-                1 => w.zone_cut = Some((until, true)),
-                _ => w.cancel_now(4, 2_000),
+                0 => sim.for_share_of_workers(0.3, |worker| worker.downlink_lost_until = until),
+                1 => sim.zone_partition = Some((until, true)),
+                _ => sim.cancel_running_jobs(4, 2_000),
             }
-            w.extend_faults(LEASE_MS);
+            sim.extend_faults(LEASE_MS);
         });
-        w.outage(9_000);
-        w.wait_and_lower(2_000);
-        for back in [20, 3_000] {
-            w.run_until(w.now + 12_000);
-            let l = w.leader();
-            l.into_iter().for_each(|l| w.end(l, back));
+        sim.start_store_outage(9_000);
+        sim.lower_store_limits_after(2_000);
+        for restart_after_ms in [20, 3_000] {
+            sim.run_until(sim.now + 12_000);
+            let leader = sim.leader();
+            leader.into_iter().for_each(|leader| sim.stop_controller(leader, restart_after_ms));
         }
-        w.extend_faults(30_000);
+        sim.extend_faults(30_000);
     });
 }
 
-impl World {
-    fn wait_and_lower(&mut self, ms: u64) {
+impl Simulation {
+    fn lower_store_limits_after(&mut self, ms: u64) {
         self.run_until(self.now + ms);
         self.store.limits = NEXT_LIMITS;
     }
--- a/crates/basaltrail-core/tests/simulation/simulated/users.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/users.rs
@@ -2,86 +2,98 @@
 
 use super::*;
 
-impl World {
-    pub(super) fn user(&mut self, i: usize) {
-        let t = self.now;
+impl Simulation {
+    pub(super) fn step_user(&mut self, i: usize) {
+        let now = self.now;
         let controller = self.rng.random_range(0..CONTROLLERS);
-        let u = &mut self.users[i];
-        if t < u.request_deadline {
-            let until = u.request_deadline;
+        let user = &mut self.users[i];
+        if now < user.request_deadline {
+            let until = user.request_deadline;
             return self.send(until, usize::MAX, 0, Message::User(i));
         }
-        u.requests_sent += 1;
-        let pause = if t < self.poll_storm_until { 600 } else { 5_000 };
-        let again = t + if u.observed == Observed::Unknown { 1_000 } else { pause };
-        let over = matches!(u.observed, Observed::Done | Observed::Cancelled(_));
-        let cancels = u.cancel_at.is_some_and(|c| t >= c) && !over;
-        let what = if u.observed == Observed::Unknown || u.requests_sent.is_multiple_of(7) {
+        user.requests_sent += 1;
+        let poll_interval_ms = if now < self.poll_storm_until { 600 } else { 5_000 };
+        let next_at =
+            now + if user.observed == Observed::Unknown { 1_000 } else { poll_interval_ms };
+        let ended = matches!(user.observed, Observed::Done | Observed::Cancelled(_));
+        let wants_cancel = user.cancel_at.is_some_and(|cancel_at| now >= cancel_at) && !ended;
+        let kind = if user.observed == Observed::Unknown || user.requests_sent.is_multiple_of(7) {
             RequestKind::Submit
-        } else if cancels {
+        } else if wants_cancel {
             RequestKind::Cancel
         } else {
             RequestKind::Poll
         };
-        u.request_deadline = t + what.patience();
-        self.send(again, usize::MAX, 0, Message::User(i));
-        self.ask(i, controller, what, 0, true);
+        user.request_deadline = now + kind.timeout_ms();
+        self.send(next_at, usize::MAX, 0, Message::User(i));
+        self.send_request(i, controller, kind, 0, true);
         // Somebody asks for a job that nobody submitted.
         if self.rng.random_bool(0.05) {
-            let req = self.request(Requester::OfUnknownJob);
-            self.send(t + 1, controller, 0, Message::Input(Input::Poll { req, job: JobId(77) }));
+            let req = self.register_request(Requester::UnknownJob);
+            self.send(now + 1, controller, 0, Message::Input(Input::Poll { req, job: JobId(77) }));
         }
-        if t < self.invalid_requests_until {
+        if now < self.invalid_requests_until {
             self.send_invalid_requests(i, controller);
         }
     }
 
-    fn request(&mut self, asker: Requester) -> RequestId {
-        self.next_request += 1;
-        self.requesters.insert(RequestId(self.next_request), asker);
-        RequestId(self.next_request)
+    fn register_request(&mut self, requester: Requester) -> RequestId {
+        self.last_request_id += 1;
+        self.requesters.insert(RequestId(self.last_request_id), requester);
+        RequestId(self.last_request_id)
     }
 
     /// A user asks a controller, `delay_ms` from now.
-    fn ask(&mut self, i: usize, controller: usize, what: RequestKind, delay_ms: u64, alone: bool) {
-        let t = self.now;
+    fn send_request(
+        &mut self,
+        i: usize,
+        controller: usize,
+        kind: RequestKind,
+        delay_ms: u64,
+        exclusive: bool,
+    ) {
+        let now = self.now;
         if self.controllers[controller].process.is_none()
-            || t < self.controllers[controller].isolated_until
+            || now < self.controllers[controller].isolated_until
         {
             return;
         }
-        let (before, until) = (self.users[i].observed, t + delay_ms + what.patience());
-        let req = self.request(Requester::User(i, PendingRequest { until, before, alone }));
-        let u = &mut self.users[i];
-        u.cancel_requested |= what == RequestKind::Cancel;
-        let input = what.input(req, u);
-        if self.copied() && what != RequestKind::Poll {
-            let at = t + self.rng.random_range(50..30_000);
-            let copy = what.input(RequestId(0), &self.users[i]);
-            self.send(at, controller, 0, Message::Input(copy));
+        let (observed_before, deadline) =
+            (self.users[i].observed, now + delay_ms + kind.timeout_ms());
+        let req = self.register_request(Requester::User(
+            i,
+            PendingRequest { deadline, observed_before, exclusive },
+        ));
+        let user = &mut self.users[i];
+        user.cancel_requested |= kind == RequestKind::Cancel;
+        let input = kind.input(req, user);
+        if self.is_duplicated() && kind != RequestKind::Poll {
+            let at = now + self.rng.random_range(50..30_000);
+            let duplicate = kind.input(RequestId(0), &self.users[i]);
+            self.send(at, controller, 0, Message::Input(duplicate));
         }
-        let at = t + delay_ms + self.delay();
+        let at = now + delay_ms + self.network_delay();
         self.send(at, controller, 0, Message::Input(input));
     }
 
     /// Its user calls a job off, now.
-    pub(super) fn cancel(&mut self, i: usize) {
+    pub(super) fn cancel_job(&mut self, i: usize) {
         self.users[i].cancel_at.get_or_insert(self.now);
         let controller = self.rng.random_range(0..CONTROLLERS);
-        self.ask(i, controller, RequestKind::Cancel, 0, false);
+        self.send_request(i, controller, RequestKind::Cancel, 0, false);
     }
 
     /// Right after a user was told something: at all controllers, again and again.
     fn read_back(&mut self, i: usize) {
         for controller in 0..CONTROLLERS {
-            for what in [RequestKind::Poll, RequestKind::Submit, RequestKind::Poll] {
+            for kind in [RequestKind::Poll, RequestKind::Submit, RequestKind::Poll] {
                 let delay_ms = self.rng.random_range(0..12);
-                self.ask(i, controller, what, delay_ms, false);
+                self.send_request(i, controller, kind, delay_ms, false);
             }
         }
         if self.users[i].observed == Observed::Accepted && self.rng.random_bool(0.1) {
-            self.record_moment("cancelled at once");
-            self.cancel(i);
+            self.record_situation("cancelled at once");
+            self.cancel_job(i);
         }
     }
 
@@ -89,9 +101,11 @@
     fn send_invalid_requests(&mut self, i: usize, controller: usize) {
         match self.users[i].observed {
             Observed::Unknown => {}
-            Observed::Accepted => self.ask(i, controller, RequestKind::Submit, 0, false),
-            Observed::Done => self.ask(i, controller, RequestKind::Cancel, 0, false),
-            Observed::Cancelled(_) => self.ask(i, controller, RequestKind::Submit, 0, false),
+            Observed::Accepted => self.send_request(i, controller, RequestKind::Submit, 0, false),
+            Observed::Done => self.send_request(i, controller, RequestKind::Cancel, 0, false),
+            Observed::Cancelled(_) => {
+                self.send_request(i, controller, RequestKind::Submit, 0, false)
+            }
         }
         let mut spec = self.users[i].spec.clone();
         match self.rng.random_range(0..5) {
@@ -101,43 +115,43 @@
             3 => spec.team = "nobody".into(),
             _ => (spec.team, spec.cpus) = ("t0".into(), CPUS_MAX[0] + 1.0),
         }
-        let req = self.request(Requester::OfInvalidJob);
+        let req = self.register_request(Requester::InvalidJob);
         let job = JobId(500_000 + req.0);
         let input = Input::Submit { req, job, spec: Box::new(spec) };
         self.send(self.now + 1, controller, 0, Message::Input(input));
     }
 
     /// An answer arrives.
-    pub(super) fn answer(&mut self, requester: Requester, answer: Answer) {
+    pub(super) fn handle_answer(&mut self, requester: Requester, answer: Answer) {
         let known = matches!(answer, Answer::Job { .. } | Answer::Created { .. });
         let (i, request) = match requester {
             Requester::User(i, request) => (i, request),
-            Requester::OfUnknownJob if known => return self.violation("invented".into()),
-            Requester::OfInvalidJob if known => {
-                return self.violation("accepted what can never run".into());
+            Requester::UnknownJob if known => return self.record_violation("invented".into()),
+            Requester::InvalidJob if known => {
+                return self.record_violation("accepted what can never run".into());
             }
-            Requester::OfInvalidJob if matches!(answer, Answer::Unschedulable(_)) => {
-                return self.record_moment("422");
+            Requester::InvalidJob if matches!(answer, Answer::Unschedulable(_)) => {
+                return self.record_situation("422");
             }
             _ => return,
         };
         let now = self.now;
         let user = &mut self.users[i];
-        if request.alone {
+        if request.exclusive {
             user.request_deadline = now;
         }
         if known {
-            user.last_answered = now;
+            user.last_answered_at = now;
         }
         let before = user.observed;
-        let judged = user.judge(request, &answer, now);
+        let checked = user.check_answer(request, &answer, now);
         let observed = user.observed;
-        if let Err(broken) = judged {
+        if let Err(rule) = checked {
             let job = user.job;
-            self.violation(format!("{broken}: {job}"));
+            self.record_violation(format!("{rule}: {job}"));
         }
-        if !request.alone && known && request.before != Observed::Unknown {
-            self.record_moment("looked");
+        if !request.exclusive && known && request.observed_before != Observed::Unknown {
+            self.record_situation("looked");
         }
         if observed == before {
             return;
@@ -153,39 +167,45 @@
     /// In which moment a cancellation was confirmed.
     fn record_cancellation(&mut self, i: usize) {
         let job = self.users[i].job;
-        let on = |w: &&Worker| w.tasks.iter().any(|(k, r)| k.0.job == job && Self::on_machine(r));
-        let t = self.now;
-        let mut runs = false;
-        let mut far = false;
-        for w in self.workers.iter().filter(on) {
-            runs = true;
-            far |= t < w.hung_until || t < w.downlink_lost_until || t < w.uplink_lost_until;
-            far |= self.zone_cut.is_some();
+        let runs_task = |worker: &&Worker| {
+            worker.tasks.iter().any(|(key, task)| key.0.job == job && Self::is_running(task))
+        };
+        let now = self.now;
+        let mut is_running = false;
+        let mut unreachable = false;
+        for worker in self.workers.iter().filter(runs_task) {
+            is_running = true;
+            unreachable |= now < worker.hung_until
+                || now < worker.downlink_lost_until
+                || now < worker.uplink_lost_until;
+            unreachable |= self.zone_partition.is_some();
         }
-        if runs {
-            self.record_moment("cancelled as it ran");
+        if is_running {
+            self.record_situation("cancelled as it ran");
         }
-        if far {
-            self.record_moment("cancelled out of reach");
+        if unreachable {
+            self.record_situation("cancelled out of reach");
         }
-        let apart = |c: &SimulatedController| t < c.refused_until || c.store_cut.is_some();
-        if runs
-            && self
-                .controllers
-                .iter()
-                .any(|c| apart(c) && c.process.as_ref().is_some_and(Process::leading))
+        let cannot_reach_store = |controller: &SimulatedController| {
+            now < controller.store_refuses_until || controller.store_partition.is_some()
+        };
+        if is_running
+            && self.controllers.iter().any(|controller| {
+                cannot_reach_store(controller)
+                    && controller.process.as_ref().is_some_and(Process::is_leading)
+            })
         {
-            self.record_moment("cancelled beside a leader that is refused");
+            self.record_situation("cancelled beside a leader that is refused");
         }
-        if runs && self.leader().is_none() {
-            self.record_moment("cancelled without a leader");
+        if is_running && self.leader().is_none() {
+            self.record_situation("cancelled without a leader");
         }
     }
 }
 
 impl User {
     /// Takes what an answer says; an error names the rule that the answer breaks.
-    fn judge(
+    fn check_answer(
         &mut self,
         request: PendingRequest,
         answer: &Answer,
@@ -196,19 +216,21 @@
                 if self.observed == Observed::Unknown {
                     self.observed = Observed::Accepted;
                 }
-                match request.before {
+                match request.observed_before {
                     Observed::Unknown => Ok(()),
                     _ => Err("went_back: a known job was accepted anew"),
                 }
             }
-            Answer::Job { status, .. } => self.judge_status(request, *status, now),
-            Answer::NotFound if request.before != Observed::Unknown => Err("forgotten: 404"),
+            Answer::Job { status, .. } => self.check_status(request, *status, now),
+            Answer::NotFound if request.observed_before != Observed::Unknown => {
+                Err("forgotten: 404")
+            }
             Answer::Invalid(_) | Answer::Unschedulable(_) => Err("forgotten: refused"),
             _ => Ok(()),
         }
     }
 
-    fn judge_status(
+    fn check_status(
         &mut self,
         request: PendingRequest,
         status: JobStatus,
@@ -218,7 +240,7 @@
             (JobStatus::Done, Observed::Cancelled(_)) => Err("went_back: cancelled, then done"),
             (JobStatus::Done, _) => {
                 self.observed = Observed::Done;
-                let all_done = self.done.len() >= self.spec.tasks as usize;
+                let all_done = self.tasks_done.len() >= self.spec.tasks as usize;
                 all_done.then_some(()).ok_or("not_done")
             }
             (JobStatus::Cancelled, Observed::Done) => Err("went_back: done, then cancelled"),
@@ -227,7 +249,7 @@
                 self.observed = Observed::Cancelled(now);
                 self.cancel_requested.then_some(()).ok_or("went_back: cancelled by nobody")
             }
-            _ if matches!(request.before, Observed::Done | Observed::Cancelled(_)) => {
+            _ if matches!(request.observed_before, Observed::Done | Observed::Cancelled(_)) => {
                 Err("went_back: ended, then alive")
             }
             (_, Observed::Unknown) => {
@@ -248,20 +270,20 @@
 
 impl RequestKind {
     /// How long a user waits for the answer.
-    fn patience(self) -> u64 {
+    fn timeout_ms(self) -> u64 {
         match self {
             RequestKind::Poll => 2_000,
             _ => 5_000,
         }
     }
 
-    fn input(self, req: RequestId, u: &User) -> Input {
+    fn input(self, req: RequestId, user: &User) -> Input {
         match self {
             RequestKind::Submit => {
-                Input::Submit { req, job: u.job, spec: Box::new(u.spec.clone()) }
+                Input::Submit { req, job: user.job, spec: Box::new(user.spec.clone()) }
             }
-            RequestKind::Poll => Input::Poll { req, job: u.job },
-            RequestKind::Cancel => Input::Cancel { req, job: u.job },
+            RequestKind::Poll => Input::Poll { req, job: user.job },
+            RequestKind::Cancel => Input::Cancel { req, job: user.job },
         }
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/workers.rs
@@ -5,34 +5,34 @@
 /// Milliseconds that a task takes to save its progress.
 const SAVING_MS: u64 = 2_000;
 /// Milliseconds after which an agent asks another controller.
-const RETRY_MS: u64 = 1_000;
+const SWITCH_CONTROLLER_MS: u64 = 1_000;
 /// Milliseconds after which an agent follows a hint to the leader.
 const FOLLOW_HINT_MS: u64 = 100;
 /// Milliseconds until an agent that has seen a new leader's token sends its next heartbeat.
 const NEW_TOKEN_MS: u64 = 500;
 /// Heartbeats that are held back for the next leader.
-const HELD_HEARTBEATS_MOST: usize = 4_000;
+const MAX_HELD_HEARTBEATS: usize = 4_000;
 
 impl Worker {
-    pub(super) fn end(&mut self, now: u64) {
+    pub(super) fn terminate(&mut self, now: u64) {
         self.alive = false;
         self.tasks.clear();
-        self.gone.get_or_insert(now);
+        self.terminated_at.get_or_insert(now);
     }
 
     /// The lease binds a hung machine too: what it ran is over.
     fn expire_lease(&mut self, now: u64) {
         self.tasks.clear();
         self.agent_epoch.0 += 1;
-        self.renewed = now;
+        self.lease_renewed_at = now;
         self.awaiting_reply = None;
         self.next_heartbeat = now;
     }
 
     /// Asks the next controller, a while from now.
-    fn turn_to_next_controller(&mut self, now: u64) {
-        self.to = (self.to + 1) % CONTROLLERS;
-        self.next_heartbeat = now + RETRY_MS;
+    fn switch_controller(&mut self, now: u64) {
+        self.controller = (self.controller + 1) % CONTROLLERS;
+        self.next_heartbeat = now + SWITCH_CONTROLLER_MS;
     }
 
     /// What it reports now.
@@ -42,7 +42,7 @@
             TaskStatus { task: *task, attempt: *attempt, state: simulated.state }
         };
         Heartbeat {
-            machine: machine(index),
+            machine: machine_id(index),
             endpoint: format!("e{index}"),
             machine_type: "x".into(),
             zone: ZONES[self.zone].into(),
@@ -59,7 +59,7 @@
     }
 
     /// A task that is started again here, or for which there is no room, exits at once.
-    fn state_of_start(&self, task: TaskId, used_cpus: f64, cpus: f64) -> TaskState {
+    fn initial_state(&self, task: TaskId, used_cpus: f64, cpus: f64) -> TaskState {
         let is_live = |simulated: &SimulatedTask| !matches!(simulated.state, TaskState::Exited(_));
         if self.tasks.iter().any(|(key, simulated)| key.0 == task && is_live(simulated)) {
             TaskState::Exited(ExitReason::Busy)
@@ -71,23 +71,23 @@
     }
 }
 
-impl World {
-    pub(super) fn on_machine(simulated: &SimulatedTask) -> bool {
+impl Simulation {
+    pub(super) fn is_running(simulated: &SimulatedTask) -> bool {
         matches!(simulated.state, TaskState::Running | TaskState::Saving)
     }
 
     /// What every machine does by now.
-    pub(super) fn workers(&mut self) {
+    pub(super) fn step_workers(&mut self) {
         for index in 0..self.workers.len() {
             let now = self.now;
             let worker = &mut self.workers[index];
             if worker.reclaimed_at.is_some_and(|at| now >= at) {
-                worker.end(now);
+                worker.terminate(now);
             }
-            if !worker.alive || now < worker.up_at {
+            if !worker.alive || now < worker.boots_at {
                 continue;
             }
-            if now > worker.renewed + LEASE_MS {
+            if now > worker.lease_renewed_at + LEASE_MS {
                 worker.expire_lease(now);
             }
             if now < worker.hung_until {
@@ -95,14 +95,14 @@
             }
             if worker.awaiting_reply.is_some_and(|(_, sent)| now > sent + REPLY_TIMEOUT_MS) {
                 worker.awaiting_reply = None;
-                worker.turn_to_next_controller(now);
+                worker.switch_controller(now);
             }
             let is_due =
                 |(_, simulated): &(&(TaskId, Attempt), &SimulatedTask)| simulated.until <= now;
             let due: Vec<(TaskId, Attempt)> =
                 worker.tasks.iter().filter(is_due).map(|(key, _)| *key).collect();
             for key in due {
-                self.advance(index, key);
+                self.advance_task(index, key);
             }
             let worker = &self.workers[index];
             if worker.awaiting_reply.is_none() && now >= worker.next_heartbeat {
@@ -118,23 +118,23 @@
         worker.awaiting_reply = Some((worker.sequence, now));
         worker.next_heartbeat = now + HEARTBEAT_INTERVAL_MS * 3 / 4 + (index as u64 * 37) % 500;
         let heartbeat = worker.heartbeat(index, now);
-        let to = worker.to;
+        let to = worker.controller;
         let uplink_lost = now < worker.uplink_lost_until;
-        self.next_request += 1;
-        let req = RequestId(self.next_request);
-        let at = now + self.delay();
-        let at = self.between(to, index, at);
-        if self.copied() {
+        self.last_request_id += 1;
+        let req = RequestId(self.last_request_id);
+        let at = now + self.network_delay();
+        let at = self.arrival_at_worker(to, index, at);
+        if self.is_duplicated() {
             // From milliseconds to well over a lease late, and answered to nobody.
-            let late = self.rng.random_range(50..3 * LEASE_MS);
-            self.send_copy_of_heartbeat(to, late, &heartbeat);
+            let delay_ms = self.rng.random_range(50..3 * LEASE_MS);
+            self.send_duplicate_heartbeat(to, delay_ms, &heartbeat);
         }
-        let late = self.late_heartbeats;
-        if now < late.until && self.rng.random_bool(late.share) {
-            if !late.for_next_leader {
-                let late = self.rng.random_range(2_000..3 * LEASE_MS);
-                self.send_copy_of_heartbeat(to, late, &heartbeat);
-            } else if self.held_heartbeats.len() < HELD_HEARTBEATS_MOST {
+        let duplicates = self.duplicate_heartbeats;
+        if now < duplicates.until && self.rng.random_bool(duplicates.share) {
+            if !duplicates.held_for_next_leader {
+                let delay_ms = self.rng.random_range(2_000..3 * LEASE_MS);
+                self.send_duplicate_heartbeat(to, delay_ms, &heartbeat);
+            } else if self.held_heartbeats.len() < MAX_HELD_HEARTBEATS {
                 self.held_heartbeats.push(heartbeat.clone());
             }
         }
@@ -143,29 +143,30 @@
         }
     }
 
-    fn send_copy_of_heartbeat(&mut self, to: usize, late: u64, heartbeat: &Heartbeat) {
+    fn send_duplicate_heartbeat(&mut self, to: usize, delay_ms: u64, heartbeat: &Heartbeat) {
         let heartbeat = Box::new(heartbeat.clone());
         let input = Input::Heartbeat { req: RequestId(0), heartbeat };
-        self.send(self.now + late, to, 0, Message::Input(input));
+        self.send(self.now + delay_ms, to, 0, Message::Input(input));
     }
 
     /// The present state of a task is over.
-    pub(super) fn advance(&mut self, index: usize, key: (TaskId, Attempt)) {
+    pub(super) fn advance_task(&mut self, index: usize, key: (TaskId, Attempt)) {
         let now = self.now;
         let Some(simulated) = self.workers[index].tasks.get_mut(&key) else { return };
         simulated.until = u64::MAX;
         let task = key.0;
-        let user = self.users.iter().position(|u| u.job == task.job).expect("a user's job");
+        let user_index =
+            self.users.iter().position(|user| user.job == task.job).expect("a user's job");
         match simulated.state {
             TaskState::Fetching => {
                 simulated.state = TaskState::Running;
                 simulated.until = simulated.run_ends_at.max(now + 1);
-                if self.users[user].done.contains(&task.index) {
+                if self.users[user_index].tasks_done.contains(&task.index) {
                     simulated.until = now;
                 }
-                self.check_start(index, user, key);
+                self.check_start(index, user_index, key);
             }
-            TaskState::Running => self.end_run(index, user, key),
+            TaskState::Running => self.end_run(index, user_index, key),
             TaskState::Saving => {
                 simulated.state = TaskState::Exited(ExitReason::Stopped);
                 self.workers[index].next_heartbeat = now;
@@ -175,20 +176,24 @@
     }
 
     /// A task has run for its time: it fails, or is done.
-    fn end_run(&mut self, index: usize, user: usize, key: (TaskId, Attempt)) {
+    fn end_run(&mut self, index: usize, user_index: usize, key: (TaskId, Attempt)) {
         let task = key.0;
-        let service = self.users[user].spec.is_service();
-        let faulty = self.users[user].faulty_job || self.workers[index].faulty;
-        let fails =
-            (faulty || self.rng.random_bool(0.02)) && !self.users[user].done.contains(&task.index);
+        let service = self.users[user_index].spec.is_service();
+        let faulty = self.users[user_index].faulty || self.workers[index].faulty;
+        let fails = (faulty || self.rng.random_bool(0.02))
+            && !self.users[user_index].tasks_done.contains(&task.index);
         let reason = if fails { ExitReason::Error } else { ExitReason::Done };
         if !fails && !service {
-            self.users[user].done.insert(task.index);
-            let last = self.users[user].done.len() == self.users[user].spec.tasks as usize;
-            let fault = self.cancel_at_end;
-            if last && self.now < fault.until && self.rng.random_bool(fault.share) {
-                self.record_moment("cancelled at its end");
-                self.cancel(user);
+            self.users[user_index].tasks_done.insert(task.index);
+            let all_done = self.users[user_index].tasks_done.len()
+                == self.users[user_index].spec.tasks as usize;
+            let cancellations = self.cancel_on_completion;
+            if all_done
+                && self.now < cancellations.until
+                && self.rng.random_bool(cancellations.share)
+            {
+                self.record_situation("cancelled at its end");
+                self.cancel_job(user_index);
             }
         }
         let simulated = self.workers[index].tasks.get_mut(&key).expect("it runs here");
@@ -197,7 +202,7 @@
     }
 
     /// An answer to a heartbeat arrives.
-    pub(super) fn commands(
+    pub(super) fn handle_commands(
         &mut self,
         index: usize,
         epoch: AgentEpoch,
@@ -208,25 +213,25 @@
         let worker = &mut self.workers[index];
         let Some((awaited, sent)) = worker.awaiting_reply.filter(|_| worker.alive) else { return };
         // Late responses and those of an earlier agent epoch are dropped.
-        let lost = now > sent + REPLY_TIMEOUT_MS
+        let is_lost = now > sent + REPLY_TIMEOUT_MS
             || now < worker.hung_until
             || now < worker.downlink_lost_until;
-        if awaited != sequence || epoch != worker.agent_epoch || lost {
+        if awaited != sequence || epoch != worker.agent_epoch || is_lost {
             return;
         }
         worker.awaiting_reply = None;
         let (token, commands) = match answer {
             Answer::Commands { token, commands } => (token, commands),
             Answer::NotLeader { leader } => {
-                let hint = leader.and_then(|name| name[1..].parse().ok());
-                let Some(hint) = hint.filter(|named| *named != worker.to) else {
-                    return worker.turn_to_next_controller(now);
+                let leader = leader.and_then(|name| name[1..].parse().ok());
+                let Some(leader) = leader.filter(|leader| *leader != worker.controller) else {
+                    return worker.switch_controller(now);
                 };
                 worker.next_heartbeat = now + FOLLOW_HINT_MS;
-                worker.to = hint;
+                worker.controller = leader;
                 return;
             }
-            _ => return worker.turn_to_next_controller(now),
+            _ => return worker.switch_controller(now),
         };
         if token < worker.token {
             return;
@@ -235,13 +240,13 @@
             worker.next_heartbeat = worker.next_heartbeat.min(now + NEW_TOKEN_MS);
         }
         worker.token = token;
-        worker.renewed = worker.renewed.max(sent);
+        worker.lease_renewed_at = worker.lease_renewed_at.max(sent);
         for command in commands {
-            self.carry_out_command(index, command);
+            self.apply_command(index, command);
         }
     }
 
-    fn carry_out_command(&mut self, index: usize, command: TaskCommand) {
+    fn apply_command(&mut self, index: usize, command: TaskCommand) {
         match command {
             TaskCommand::Start { task, attempt } => self.start_task(index, task, attempt),
             TaskCommand::Stop { task, attempt, grace_s } => {
@@ -262,30 +267,33 @@
         if self.workers[index].tasks.contains_key(&(task, attempt)) {
             return;
         }
-        let Some(user) = self.users.iter().position(|u| u.job == task.job) else {
-            return self.violation(format!("started a task of no job: {task:?}"));
+        let Some(user_index) = self.users.iter().position(|user| user.job == task.job) else {
+            return self.record_violation(format!("started a task of no job: {task:?}"));
         };
-        if let Observed::Cancelled(at) = self.users[user].observed {
-            self.moments.entry("start after a cancellation").and_modify(|n| *n += 1).or_default();
+        if let Observed::Cancelled(at) = self.users[user_index].observed {
+            self.situations
+                .entry("start after a cancellation")
+                .and_modify(|n| *n += 1)
+                .or_default();
             if now > at + CANCELLATION_KNOWN_WITHIN_MS {
-                let what = format!("started {task:?}, cancelled at {at}");
-                self.violation_after_cancellation(at, what);
+                let violation = format!("started {task:?}, cancelled at {at}");
+                self.record_violation_after_cancellation(at, violation);
             }
         }
-        let state = self.workers[index].state_of_start(
+        let state = self.workers[index].initial_state(
             task,
             self.used_cpus(index),
-            self.users[user].spec.cpus,
+            self.users[user_index].spec.cpus,
         );
         let until = now + self.rng.random_range(200..2_500);
-        let run = if self.long_tasks { 60_000..110_000 } else { 2_000..25_000 };
-        let run_ends_at = until + self.rng.random_range(run);
+        let run_ms = if self.long_tasks { 60_000..110_000 } else { 2_000..25_000 };
+        let run_ends_at = until + self.rng.random_range(run_ms);
         // Few replicas end by themselves.
-        let lasts = self.users[user].spec.is_service()
-            && !self.users[user].faulty_job
+        let never_ends = self.users[user_index].spec.is_service()
+            && !self.users[user_index].faulty
             && !self.workers[index].faulty
             && self.rng.random_bool(0.9);
-        let run_ends_at = if lasts { u64::MAX } else { run_ends_at };
+        let run_ends_at = if never_ends { u64::MAX } else { run_ends_at };
         let simulated = SimulatedTask { state, until, run_ends_at };
         self.workers[index].tasks.insert((task, attempt), simulated);
     }
@@ -296,15 +304,16 @@
             .tasks
             .iter()
             .filter(|(_, simulated)| !matches!(simulated.state, TaskState::Exited(_)))
-            .filter_map(|(key, _)| self.users.iter().find(|u| u.job == key.0.job))
-            .map(|u| u.spec.cpus)
+            .filter_map(|(key, _)| self.users.iter().find(|user| user.job == key.0.job))
+            .map(|user| user.spec.cpus)
             .sum()
     }
 
     fn stop_task(&mut self, index: usize, task: TaskId, attempt: Attempt, grace_s: f64) {
-        let user = self.users.iter().find(|u| u.job == task.job);
-        let goes_on = |u: &User| u.cancel_at.is_none() && u.observed == Observed::Accepted;
-        self.tasks_stopped += u64::from(user.is_some_and(goes_on));
+        let user = self.users.iter().find(|user| user.job == task.job);
+        let is_active =
+            |user: &User| user.cancel_at.is_none() && user.observed == Observed::Accepted;
+        self.tasks_stopped += u64::from(user.is_some_and(is_active));
         let simulated = self.workers[index].tasks.get_mut(&(task, attempt));
         let (Some(simulated), Some(user)) = (simulated, user) else { return };
         let saves = user.spec.checkpoint_s > 0.0 && grace_s >= user.spec.save_s;
--- a/crates/basaltrail-core/tests/simulation/versions.rs
+++ b/crates/basaltrail-core/tests/simulation/versions.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    pub fn knows_services(self) -> bool {
+    pub fn supports_services(self) -> bool {
         match self {
             Version::Current => true,
         }
@@ -44,7 +44,7 @@
         self.0.step(now, wall, input)
     }
 
-    pub fn leading(&self) -> bool {
+    pub fn is_leading(&self) -> bool {
         self.0.is_leading()
     }
 }
--- a/tests/mixed-versions/tests/versions/mod.rs
+++ b/tests/mixed-versions/tests/versions/mod.rs
@@ -29,7 +29,7 @@
         self == Version::E26460f
     }
 
-    pub fn knows_services(self) -> bool {
+    pub fn supports_services(self) -> bool {
         self != Version::E26460f
     }
 }
@@ -72,7 +72,7 @@
         }
     }
 
-    pub fn leading(&self) -> bool {
+    pub fn is_leading(&self) -> bool {
         match self {
             Process::E26460f(node) => node.leading(),
             Process::V9b39f4b(node) => node.leading(),
