--- a/crates/basaltrail-core/tests/simulation/main.rs
+++ b/crates/basaltrail-core/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! Days of a small deployment, simulated: see [`simulated`].
+//! Simulated runs of a small deployment: see [`simulated`].
 
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
 
--- a/crates/basaltrail-core/tests/simulation/simulated/checks.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/checks.rs
@@ -1,13 +1,13 @@
-//! The rules, checked by the world and not by the core.
+//! The rules, checked independently of the core.
 
 use super::*;
 
-/// What a leader ordered begins within so long: a worker takes an answer for [`REPLY_TIMEOUT_MS`], may
-/// hang for the rest of its lease, and then has the image.
+/// A commanded start takes effect within this time: a worker accepts the answer within
+/// [`REPLY_TIMEOUT_MS`], may hang until its lease expires, and then has to fetch the image.
 const STARTS_WITHIN_MS: u64 = LEASE_MS + 3_000;
 
 impl Simulation {
-    /// The rules that a task can break by starting.
+    /// Checks the rules that the start of a task can break.
     pub(super) fn check_start(
         &mut self,
         machine: usize,
@@ -36,7 +36,7 @@
         let spec = &user.spec;
         let too_many_in_zone = spec.spread && zones[worker.zone] > spec.tasks.div_ceil(2);
         let in_two_zones = spec.one_zone && zones[1 - worker.zone] > 0;
-        let in_wrong_zone = spec.zone.as_deref().is_some_and(|z| z != ZONES[worker.zone]);
+        let in_wrong_zone = spec.zone.as_deref().is_some_and(|zone| zone != ZONES[worker.zone]);
         if too_many_in_zone || in_two_zones || in_wrong_zone || (worker.spot && !spec.spot) {
             violations.push(format!("wrong_place: {task:?} on {machine}"));
         }
@@ -59,12 +59,13 @@
         }
     }
 
-    /// The highest limit of a team that some controller goes by, or went by so lately that what
-    /// it ordered may still begin.
+    /// Returns the highest limit of a team among the present configurations and those replaced so
+    /// recently that a task started under them may still begin.
     fn limit_in_force(&self, team: usize) -> f64 {
         let limits = self.controllers.iter().flat_map(|controller| {
-            let may_apply =
-                |(ended, _): &&(u64, Configuration)| self.now <= *ended + STARTS_WITHIN_MS;
+            let may_apply = |(replaced_at, _): &&(u64, Configuration)| {
+                self.now <= *replaced_at + STARTS_WITHIN_MS
+            };
             let earlier = controller
                 .earlier_configurations
                 .iter()
@@ -95,7 +96,7 @@
         }
     }
 
-    /// With every trouble over for so long, each job that is not over was spoken of.
+    /// Checks that users got an answer about each unfinished job after the faults ended.
     pub(super) fn check_all_jobs_answered(&mut self) {
         let faults_over = self.faults_over_at;
         let unanswered = |user: &&User| {
@@ -103,9 +104,9 @@
                 && user.submit_at < faults_over
                 && user.last_answered_at < faults_over
         };
-        let violations: Vec<JobId> =
+        let unanswered_jobs: Vec<JobId> =
             self.users.iter().filter(unanswered).map(|user| user.job).collect();
-        for job in violations {
+        for job in unanswered_jobs {
             self.record_violation(format!(
                 "forgotten: no answer about {job} since {faults_over} ms"
             ));
@@ -117,7 +118,7 @@
             if let (None, Observed::Done | Observed::Accepted) =
                 (user.first_task_started_at, user.observed)
             {
-                self.violations.push(format!("job {} never began", user.job));
+                self.violations.push(format!("job {} never started", user.job));
             }
             if user.observed == Observed::Unknown || user.observed == Observed::Accepted {
                 self.violations.push(format!(
@@ -131,14 +132,14 @@
     }
 }
 
-/// What a machine that works has left.
+/// Free capacity of a working machine.
 struct FreeMachine {
     zone: usize,
     spot: bool,
     cpus: f64,
 }
 
-/// What runs where, as the world knows it.
+/// Placement of all tasks.
 struct Occupancy {
     used_by_team: [f64; CPUS_MAX.len()],
     tasks_of_job: BTreeMap<JobId, u32>,
@@ -177,8 +178,8 @@
         Occupancy { used_by_team, tasks_of_job, free }
     }
 
-    /// Once the faults are over, no job is left waiting while a machine that fits has room and
-    /// its team is under its limit.
+    /// Checks that, after the faults, no job waits for long while a machine has room for it and
+    /// its team is below its limit.
     pub(super) fn check_unscheduled(&mut self) {
         let now = self.now;
         let occupancy = self.occupancy();
@@ -193,13 +194,14 @@
             }
         }
         for job in unscheduled {
-            self.record_violation(format!("left waiting: {job}"));
+            self.record_violation(format!("not scheduled: {job}"));
         }
     }
 }
 
 impl User {
-    /// Whether a task waits though a machine has room for it and its team may have it.
+    /// Returns whether a task of the job waits although it fits on a machine and within the limit
+    /// of its team.
     fn could_run(&self, now: u64, occupancy: &Occupancy) -> bool {
         let spec = &self.spec;
         let live_tasks = occupancy.tasks_of_job.get(&self.job);
@@ -207,7 +209,7 @@
             && self.cancel_at.is_none_or(|cancel_at| now < cancel_at)
             && !self.faulty
             && self.tasks_done.len() < spec.tasks as usize;
-        // Of a service each replica counts.
+        // A service waits if any of its replicas is not placed.
         let waits = live_tasks.is_none_or(|tasks| spec.is_service() && *tasks < spec.tasks);
         let fits_any_zone = !(spec.one_zone || spec.spread) || live_tasks.is_none();
         let team = team_of(spec);
--- a/crates/basaltrail-core/tests/simulation/simulated/cloud.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/cloud.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-/// Machines of one zone and kind that the cloud has at the most.
+/// Capacity of the cloud for machines of one zone, on-demand or spot.
 const MAX_MACHINES_PER_KIND: usize = 3;
-/// Milliseconds after its end for which a machine is still listed as running.
+/// Time for which a failed machine is still listed as running.
 const LISTED_AS_FAILED_AFTER_MS: u64 = 30_000;
-/// Milliseconds that the cloud takes to answer, beside the network's delay.
+/// Latency of a reply, without the network delay.
 const LATENCY_MS: u64 = 20;
 
 impl Simulation {
-    /// Carries a request out and answers it.
+    /// Applies a request and sends the reply.
     pub(super) fn handle_cloud_request(
         &mut self,
         controller: usize,
@@ -30,7 +30,7 @@
         self.send(at, controller, epoch, Message::Input(Input::Cloud { op, reply }));
     }
 
-    /// A requisition is carried out once; a repeat gets the same machines.
+    /// Provisions machines once for each requisition; a repeated request gets the same machines.
     fn provision(&mut self, requisition: String, zone: &str, spot: bool, count: u32) -> CloudReply {
         if let Some(machines) = self.provisioned.get(&requisition) {
             return CloudReply::Provisioned(machines.clone());
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Milliseconds until a new machine of a zone is up.
+    /// Returns the time until a new machine of a zone has booted.
     fn provisioning_time_ms(&mut self, zone: usize) -> u64 {
         let is_slow = zone == self.slow_provisioning.0 && self.now < self.slow_provisioning.1;
         let never_boots = self.rng.random_bool(if is_slow { 0.4 } else { 0.02 });
@@ -105,7 +105,8 @@
         CloudReply::Terminated
     }
 
-    /// The list tells of any time within two lags, so it may be older than the last one.
+    /// Returns a list as of a random time within twice the list lag, so it may be older than the
+    /// previous list.
     fn list_machines(&mut self) -> CloudReply {
         let as_of = self.now.saturating_sub(self.rng.random_range(0..=2 * LIST_LAG_MS));
         let is_listed = |worker: &Worker| {
--- a/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/leaders.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/leaders.rs
@@ -1,9 +1,9 @@
-//! Meetings in which leaders change.
+//! Scenarios with changes of leader.
 
 use super::*;
 
 #[test]
-fn short_jobs_end_far_apart_across_leaders() {
+fn short_jobs_survive_leader_changes_and_machine_failures() {
     check_scenario(&[], |sim| {
         for user in &mut sim.users {
             user.spec.tasks = user.spec.tasks.clamp(2, 3);
@@ -11,7 +11,7 @@
         sim.run_for(30_000);
         for i in 0..8 {
             sim.fail_over([20, 100, 3_000][i % 3]);
-            // What ran and is done is on machines that die before the record is written.
+            // Tasks are done on machines that fail before the completion record is written.
             sim.run_for(2_000);
             let machine = sim.rng.random_range(0..sim.workers.len());
             sim.fail_machine(machine);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn leaders_change_ten_times_in_two_minutes() {
+fn rules_hold_over_ten_leader_changes() {
     check_scenario(&[CANCELLED_WHILE_RUNNING], |sim| {
         sim.long_tasks = true;
         sim.run_for(40_000);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn failover_and_back_then_all_end_and_one_returns() {
+fn two_failovers_then_a_restart_of_all_controllers() {
     check_scenario(&[CANCELLED_WHILE_RUNNING], |sim| {
         sim.run_for(50_000);
         sim.fail_over(50);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
+fn outage_of_all_controllers_outlasts_the_worker_leases() {
     check_scenario(&[], |sim| {
         sim.long_tasks = true;
         sim.run_for(60_000);
@@ -71,20 +71,20 @@
 }
 
 #[test]
-fn jobs_cancelled_during_failover() {
+fn jobs_are_cancelled_during_failover() {
     check_scenario(&[CANCELLED_WHILE_RUNNING], |sim| {
         sim.long_tasks = true;
         sim.run_for(60_000);
         for restart_after_ms in [20, 400, 3_000] {
             let old = sim.await_leader();
-            // The successor's watches are lost as users cancel.
+            // The successor's watches are lost while users cancel.
             let until = sim.now + 8_000;
             sim.controllers.iter_mut().for_each(|c| c.watches_lost_until = until);
             sim.store.open_watches.retain(|watch| watch.prefix != records::JOBS_PREFIX);
             sim.cancel_running_jobs(3, 0);
             sim.run_for(50);
             sim.stop_controller(old, restart_after_ms);
-            // In every stretch of the change: nobody leads, elected, loading, first starts.
+            // Cancels in every phase of the failover: no leader, elected, loading, first starts.
             for _ in 0..12 {
                 sim.run_for(400);
                 sim.cancel_running_jobs(1, 0);
@@ -93,12 +93,14 @@
     });
 }
 
-/// No leader lives for long after a burst of cancellations: each successor is a process that
-/// has just begun and never held the jobs. What it answers must not keep their tasks. Earlier
-/// versions do keep them, so none runs beside the present one here.
+/// Guards against renewals by a leader that has not loaded the jobs yet. After a burst of
+/// cancellations each leader leads for a short time only, and its successor is a new process that
+/// has never loaded the jobs; its answers must not keep their tasks. Earlier versions do keep
+/// them, so only the current version runs here.
 #[test]
-fn leaders_end_every_few_seconds_after_cancellations() {
-    // A worker gets an answer or two of each; or one of some, before it shows the token.
+fn cancelled_tasks_stop_under_short_lived_leaders() {
+    // A worker gets one or two answers of each leader; with the shortest lifetimes, one answer of
+    // some, before it reports the new token.
     for (restart_after_ms, lifetime_ms) in [(20, 300..1_300), (3_000, 300..1_300), (20, 50..450)] {
         check_scenario(&[CANCELLED_WHILE_RUNNING], |sim| {
             sim.run_version(Version::Current);
--- a/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/mod.rs
@@ -1,5 +1,5 @@
-//! Two troubles at once. Each day is written so that its meeting comes about for certain, and
-//! says so: a day in which it did not would prove nothing.
+//! Scenarios in which two faults coincide. Each scenario is written so that the combination
+//! certainly occurs, and the test fails if it does not.
 
 mod leaders;
 mod store;
@@ -8,11 +8,12 @@
 
 use super::*;
 
-/// Jobs enough to fill the machines: arrays of every placement wish, of all teams.
+/// Returns a simulation with enough jobs to fill the machines, of all teams and with all placement
+/// constraints.
 fn loaded_simulation(seed: u64) -> Simulation {
     let mut sim = Simulation::new(seed);
     for (i, user) in sim.users.iter_mut().enumerate() {
-        // Cancellations come from the days; most jobs are there early.
+        // The scenarios cancel jobs; most jobs are submitted early.
         user.faulty = false;
         user.cancel_at = user.spec.is_service().then_some(210_000);
         user.submit_at = 2_000 + i as u64 * 1_500;
@@ -23,12 +24,12 @@
     sim
 }
 
-/// Plays a day for several seeds; every moment named has to come about on each.
+/// Runs a scenario for several seeds and checks the rules, and that each of `situations` occurred.
 fn check_scenario(situations: &[&'static str], scenario: impl Fn(&mut Simulation)) {
     for seed in 0..4 {
         let mut sim = loaded_simulation(seed);
         scenario(&mut sim);
-        // What is started from here on is short, so that all of it can end.
+        // Tasks that start from now on are short, so that all of them can end.
         sim.long_tasks = false;
         sim.run_until(sim.faults_over_at.max(sim.now) + 230_000);
         sim.check_all_jobs_ended();
@@ -37,7 +38,7 @@
         for situation in situations {
             assert!(
                 sim.situations.contains_key(situation),
-                "seed {seed}: not met: {situation}; {:?}",
+                "seed {seed}: situation did not occur: {situation}; {:?}",
                 sim.situations
             );
         }
@@ -56,7 +57,7 @@
         self.run_until(self.now + ms);
     }
 
-    /// Plays until somebody leads.
+    /// Runs until a controller leads, and returns it.
     pub(super) fn await_leader(&mut self) -> usize {
         for _ in 0..3_000 {
             if let Some(leader) = self.leader() {
@@ -64,7 +65,7 @@
             }
             self.run_for(20);
         }
-        panic!("nobody leads at {}", self.now);
+        panic!("no leader at {}", self.now);
     }
 
     pub(super) fn refuse_store_requests(&mut self, controller: usize, duration_ms: u64) {
@@ -86,7 +87,7 @@
         self.leader_changes.iter().filter(|(changed_at, ..)| *changed_at > since).count()
     }
 
-    /// Ends whoever leads, until another one does.
+    /// Stops the leader and runs until a controller leads again.
     pub(super) fn fail_over(&mut self, restart_after_ms: u64) -> usize {
         let old = self.await_leader();
         self.stop_controller(old, restart_after_ms);
@@ -94,7 +95,7 @@
         self.await_leader()
     }
 
-    /// Whether a task runs of a job whose user has been told that it is cancelled.
+    /// Returns whether a task runs of a job whose user got the status cancelled.
     pub(super) fn runs_cancelled_job(&self) -> bool {
         self.users.iter().any(|user| {
             let runs = |worker: &Worker| {
@@ -108,6 +109,6 @@
     }
 }
 
-const CANCELLED_WHILE_LEADER_REFUSED: &str = "cancelled beside a leader that is refused";
-const CANCELLED_WHILE_RUNNING: &str = "cancelled as it ran";
-const CANCELLED_WHILE_UNREACHABLE: &str = "cancelled out of reach";
+const CANCELLED_WHILE_LEADER_REFUSED: &str = "cancelled while the store refused the leader";
+const CANCELLED_WHILE_RUNNING: &str = "cancelled while running";
+const CANCELLED_WHILE_UNREACHABLE: &str = "cancelled while a machine was unreachable";
--- a/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/store.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/store.rs
@@ -1,9 +1,10 @@
-//! Meetings in which the store refuses, is slow or down, or carries out late.
+//! Scenarios in which the store refuses requests, is slow or down, or applies transactions late.
 
 use super::*;
 
-/// The gap: the service refuses the leader, another controller confirms cancellations, and then it is
-/// out for all, for longer than `cancel_s`.
+/// Blocks the leader's access to the store, cancels jobs at the other controllers, and then takes
+/// the store down for all, where `outage_ms` may exceed the time within which cancelled tasks must
+/// stop.
 fn check_outage_after_cancellations(
     block_leader: impl Fn(&mut Simulation, usize),
     before_outage_ms: u64,
@@ -21,9 +22,9 @@
         during_outage(sim);
         sim.run_until(sim.store.down_until - 200);
         if outage_ms > CANCEL_MS {
-            assert!(!sim.runs_cancelled_job(), "runs on in the gap");
+            assert!(!sim.runs_cancelled_job(), "a cancelled task still runs during the outage");
         }
-        // Who leads after it hears of what was cancelled late, by its watch alone.
+        // The next leader loses its watch on jobs at first.
         let until = sim.now + 6_000;
         sim.controllers.iter_mut().for_each(|c| c.watches_lost_until = until);
         sim.extend_faults(6_200);
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn refused_leader_then_outage() {
+fn store_refuses_the_leader_before_an_outage() {
     check_outage_after_cancellations(
         |sim, leader| sim.refuse_store_requests(leader, 14_000),
         2_000,
@@ -44,7 +45,7 @@
         CANCEL_MS + 500,
         |_| {},
     );
-    // At the very moment, and refused for longer than the outage.
+    // The outage follows almost at once, and the leader is refused for longer than it.
     check_outage_after_cancellations(
         |sim, leader| sim.refuse_store_requests(leader, 60_000),
         300,
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn cut_leader_then_outage() {
+fn leader_is_partitioned_from_the_store_before_an_outage() {
     check_outage_after_cancellations(
         |sim, leader| sim.partition_from_store(leader, 14_000, true),
         2_000,
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn refused_leader_stands_still_or_is_restarted_in_the_outage() {
+fn refused_leader_freezes_or_restarts_during_an_outage() {
     let freeze = |sim: &mut Simulation| {
         let leader = sim.leader_changes.last().unwrap().1;
         sim.controllers[leader].pending_freeze_until = sim.now + CANCEL_MS + 11_900;
@@ -99,7 +100,7 @@
         CANCEL_MS + 12_000,
         freeze,
     );
-    // It goes on while its workers still have their leases.
+    // The leader continues while its workers still hold their leases.
     check_outage_after_cancellations(
         |sim, leader| sim.refuse_store_requests(leader, 60_000),
         1_000,
@@ -124,12 +125,13 @@
 }
 
 #[test]
-fn leader_refused_as_users_cancel() {
+fn store_refuses_the_leader_while_users_cancel() {
     check_scenario(&[CANCELLED_WHILE_LEADER_REFUSED], |sim| {
         sim.long_tasks = true;
         sim.run_for(60_000);
         let leader = sim.await_leader();
-        // So long that whoever kept its workers would keep what was cancelled, too.
+        // Long enough that a leader that kept renewing its workers would keep cancelled tasks
+        // beyond the deadline.
         sim.refuse_store_requests(leader, CANCEL_MS + 15_000);
         for _ in 0..4 {
             sim.cancel_running_jobs(4, 0);
@@ -140,7 +142,7 @@
 }
 
 #[test]
-fn isolated_leader_keeps_its_workers_as_jobs_are_cancelled_elsewhere() {
+fn jobs_are_cancelled_at_the_successor_of_a_partitioned_leader() {
     for delayed in [true, false] {
         check_scenario(&[CANCELLED_WHILE_RUNNING], |sim| {
             sim.long_tasks = true;
@@ -160,8 +162,8 @@
 }
 
 #[test]
-fn transactions_carried_out_late() {
-    check_scenario(&["late write lost", CANCELLED_WHILE_RUNNING], |sim| {
+fn transactions_are_applied_late() {
+    check_scenario(&["late write conflicted", CANCELLED_WHILE_RUNNING], |sim| {
         sim.unanswered_writes =
             UnansweredWrites { until: 110_000, share: 0.4, only_reply_lost: false };
         sim.run_for(50_000);
@@ -178,26 +180,33 @@
 }
 
 #[test]
-fn answers_of_transactions_lost_while_others_read_them() {
-    check_scenario(&["answer lost", "looked", "cancelled at its end"], |sim| {
-        sim.read_back_until = 120_000;
-        sim.unanswered_writes =
-            UnansweredWrites { until: 120_000, share: 0.4, only_reply_lost: true };
-        sim.cancel_on_completion = CancelOnCompletion { until: 120_000, share: 0.4 };
-        sim.run_for(60_000);
-        sim.cancel_running_jobs(6, 0);
-        sim.run_for(200);
-        sim.fail_over(400);
-        sim.run_for(50_000);
-    });
+fn committed_writes_without_reply_are_read_back() {
+    check_scenario(
+        &[
+            "reply of a committed write lost",
+            "status read back",
+            "cancelled as the last task finished",
+        ],
+        |sim| {
+            sim.read_back_until = 120_000;
+            sim.unanswered_writes =
+                UnansweredWrites { until: 120_000, share: 0.4, only_reply_lost: true };
+            sim.cancel_on_completion = CancelOnCompletion { until: 120_000, share: 0.4 };
+            sim.run_for(60_000);
+            sim.cancel_running_jobs(6, 0);
+            sim.run_for(200);
+            sim.fail_over(400);
+            sim.run_for(50_000);
+        },
+    );
 }
 
 #[test]
-fn new_machines_get_work_at_once_while_writes_lag() {
-    check_scenario(&["late write lost"], |sim| {
+fn new_machines_start_tasks_while_writes_are_late() {
+    check_scenario(&["late write conflicted"], |sim| {
         sim.run_for(20_000);
         for restart_after_ms in [20, 3_000, 100] {
-            // Machines go, and those rented for them are up within two seconds.
+            // Half of the machines fail, and their replacements boot within two seconds.
             for machine in (0..sim.workers.len()).step_by(2) {
                 sim.fail_machine(machine);
             }
@@ -215,7 +224,7 @@
 }
 
 #[test]
-fn store_slow_then_refusing_then_down_while_users_cancel_and_poll() {
+fn users_cancel_while_the_store_is_slow_then_refuses_then_fails() {
     check_scenario(&[CANCELLED_WHILE_RUNNING], |sim| {
         sim.long_tasks = true;
         sim.poll_storm_until = 140_000;
--- a/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/users.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/users.rs
@@ -1,23 +1,26 @@
-//! Meetings of what users send with the ends of jobs and of processes.
+//! Scenarios in which requests of users coincide with the end of jobs or processes.
 
 use super::*;
 
 #[test]
-fn users_read_back_at_all_controllers() {
-    check_scenario(&["looked", "cancelled at once", CANCELLED_WHILE_RUNNING], |sim| {
-        sim.read_back_until = 130_000;
-        for _ in 0..4 {
-            sim.run_for(25_000);
-            sim.cancel_running_jobs(4, 0);
-            sim.run_for(50);
-            sim.fail_over(100);
-        }
-    });
+fn all_controllers_agree_on_statuses_read_back() {
+    check_scenario(
+        &["status read back", "cancelled right after acceptance", CANCELLED_WHILE_RUNNING],
+        |sim| {
+            sim.read_back_until = 130_000;
+            for _ in 0..4 {
+                sim.run_for(25_000);
+                sim.cancel_running_jobs(4, 0);
+                sim.run_for(50);
+                sim.fail_over(100);
+            }
+        },
+    );
 }
 
 #[test]
-fn cancellations_questions_and_submissions_meet_the_last_task() {
-    check_scenario(&["cancelled at its end", "looked"], |sim| {
+fn requests_race_with_the_last_task_of_a_job() {
+    check_scenario(&["cancelled as the last task finished", "status read back"], |sim| {
         sim.read_back_until = 150_000;
         sim.invalid_requests_until = 150_000;
         sim.cancel_on_completion = CancelOnCompletion { until: 150_000, share: 0.7 };
@@ -26,8 +29,8 @@
 }
 
 #[test]
-fn invalid_requests_at_controllers_that_have_just_started() {
-    check_scenario(&["422"], |sim| {
+fn restarted_controllers_refuse_invalid_jobs() {
+    check_scenario(&["invalid job refused"], |sim| {
         sim.invalid_requests_until = 150_000;
         sim.poll_storm_until = 150_000;
         for _ in 0..6 {
@@ -38,7 +41,7 @@
 }
 
 #[test]
-fn one_task_jobs_come_four_a_second() {
+fn rules_hold_for_single_task_jobs_at_four_per_second() {
     for seed in 0..2 {
         let mut sim = loaded_simulation(seed);
         let spec = sim.users[0].spec.clone();
--- a/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/workers.rs
@@ -1,15 +1,15 @@
-//! Meetings in which workers, their links or their zone fail.
+//! Scenarios in which workers, their links or their zone fail.
 
 use super::*;
 
 #[test]
-fn old_heartbeats_after_newer_ones() {
-    check_scenario(&["cancelled as it ran"], |sim| {
+fn old_heartbeats_arrive_after_newer_ones() {
+    check_scenario(&["cancelled while running"], |sim| {
         sim.duplicate_heartbeats =
             DuplicateHeartbeats { until: 100_000, share: 0.8, held_for_next_leader: false };
         sim.run_for(50_000);
         sim.fail_over(20);
-        // A agent epoch ends and the next begins, with copies of the last on their way.
+        // An agent epoch ends and the next begins while duplicates of the last one are in transit.
         sim.hang_workers(0.6, LEASE_MS..LEASE_MS + 4_000);
         sim.run_for(20_000);
         sim.cancel_running_jobs(5, 0);
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn old_heartbeats_reach_every_controller_as_a_new_leader_begins() {
-    check_scenario(&["old report at a new leader", CANCELLED_WHILE_UNREACHABLE], |sim| {
+fn old_heartbeats_reach_a_new_leader() {
+    check_scenario(&["old heartbeat reached a new leader", CANCELLED_WHILE_UNREACHABLE], |sim| {
         sim.long_tasks = true;
         sim.duplicate_heartbeats =
             DuplicateHeartbeats { until: 150_000, share: 0.9, held_for_next_leader: true };
         sim.run_for(60_000);
         let (old_leader, uplink_lost_until) = (sim.await_leader(), sim.now + LEASE_MS * 3 / 2);
-        // Some whose reports are kept are not heard of by the successor itself.
+        // The successor gets only held heartbeats of some workers, since their uplinks are lost.
         sim.for_share_of_workers(0.4, |worker| worker.uplink_lost_until = uplink_lost_until);
         sim.cancel_running_jobs(6, 0);
         sim.run_for(300);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn jobs_bound_to_a_zone_lose_machines() {
+fn zone_bound_jobs_lose_machines_and_links() {
     check_scenario(&[CANCELLED_WHILE_RUNNING], |sim| {
         for (i, user) in sim.users.iter_mut().enumerate() {
             user.spec.one_zone = i % 3 == 0;
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn machines_that_lose_uplink_or_downlink() {
+fn workers_lose_uplink_or_downlink_during_failover() {
     for lose_uplink in [true, false] {
         check_scenario(&[CANCELLED_WHILE_UNREACHABLE], |sim| {
             sim.long_tasks = true;
@@ -81,14 +81,15 @@
             sim.run_for(1_500);
             sim.cancel_running_jobs(12, 0);
             sim.run_for(500);
-            // The leader ends while machines with long tasks do not hear its successor.
+            // The leader stops while workers with long tasks cannot exchange heartbeats with its
+            // successor.
             sim.fail_over(3_000);
         });
     }
 }
 
 #[test]
-fn cut_zone_with_a_controller_outlasts_the_lease() {
+fn partition_of_the_leader_zone_outlasts_the_leases() {
     for delayed in [true, false] {
         check_scenario(&[CANCELLED_WHILE_UNREACHABLE], |sim| {
             sim.long_tasks = true;
@@ -104,13 +105,13 @@
 }
 
 #[test]
-fn teams_at_their_limits_as_cancelled_jobs_hang_and_the_leader_changes() {
+fn limits_hold_while_cancelled_jobs_hang_during_failover() {
     check_scenario(&[CANCELLED_WHILE_UNREACHABLE], |sim| {
         sim.long_tasks = true;
         for (i, user) in sim.users.iter_mut().enumerate() {
             user.spec.team = format!("t{}", i % 2);
             user.spec.cpus = [1.0, 2.0, 4.0][i % 3];
-            // Jobs that come after the change of leader need not wait for older ones' machines.
+            // Jobs submitted after the change of leader need not wait for machines of older ones.
             if i >= 20 {
                 user.submit_at = 70_000 + (i as u64 - 20) * 1_200;
             }
@@ -138,11 +139,11 @@
 }
 
 #[test]
-fn commands_held_up_for_seconds() {
+fn commands_are_delayed_by_seconds() {
     check_scenario(&[CANCELLED_WHILE_RUNNING], |sim| {
         sim.run_for(40_000);
         for _ in 0..5 {
-            // Shorter and longer than a worker waits for its answer.
+            // Some hangs are shorter and some longer than the reply timeout of a worker.
             sim.hang_workers(0.5, 1_000..REPLY_TIMEOUT_MS + 2_000);
             let leader = sim.await_leader();
             let duration_ms = sim.rng.random_range(1_000..3_800);
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn more_work_than_room_while_links_and_zones_fail() {
+fn rules_hold_with_a_backlog_while_links_and_zones_fail() {
     check_scenario(&[CANCELLED_WHILE_RUNNING], |sim| {
         sim.long_tasks = true;
         for (i, user) in sim.users.iter_mut().enumerate() {
--- a/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
@@ -1,18 +1,18 @@
-//! Controllers: the steps of their processes, and what these send.
+//! Controllers: steps of their processes, and delivery of the effects.
 
 use super::*;
 use basaltrail_core::events::HeartbeatEvent;
 
 use super::store_requests::fits_limits;
 
-/// Milliseconds from a request to the cloud's answer, beside the network's delay.
+/// Latency of a request to the cloud, without the network delay.
 const CLOUD_LATENCY_MS: u64 = 20;
-/// How much later a cloud request is carried out now and then.
+/// Additional latency of a late cloud request.
 const CLOUD_LATE_MS: u64 = 30_000;
-/// The call of a copy: nobody waits for its reply.
+/// Call id of a duplicate request, which gets no reply.
 pub(super) const DUPLICATE_CALL: CallId = CallId(u64::MAX);
 
-/// The step of a process: where, in which of its lives, and when what it sends goes out.
+/// The origin of an effect: the controller, the epoch of its process, and when the effect is sent.
 #[derive(Clone, Copy)]
 struct Step {
     controller: usize,
@@ -21,7 +21,7 @@
 }
 
 impl Simulation {
-    /// One step of a controller's process, and all that it sends.
+    /// Steps the process of a controller and applies its effects.
     pub(super) fn step(&mut self, i: usize, input: Input) {
         let c = &mut self.controllers[i];
         let now = ((self.now - c.process_started_at) as f64 * c.clock_rate) as u64;
@@ -31,7 +31,7 @@
         if c.pending_freeze_until > self.now {
             c.frozen_until = std::mem::take(&mut c.pending_freeze_until);
         }
-        // What is built in the step in which it freezes goes out when it goes on.
+        // Effects of the step in which the process freezes are sent after the freeze.
         let step = Step { controller: i, epoch, sent_at: self.now.max(c.frozen_until) };
         for effect in effects {
             self.apply_effect(step, effect);
@@ -56,8 +56,8 @@
             })) => {
                 let controller = step.controller;
                 self.record_violation(format!(
-                    "controller {controller}: an answer without the knowledge it takes: \
-                     {machine} {task:?}"
+                    "controller {controller}: a heartbeat answer kept a task without renewal \
+                     evidence: {machine} {task:?}"
                 ));
             }
             Effect::Log(_) => {}
@@ -89,12 +89,12 @@
         let unknown = Input::Store { op, reply: StoreReply::Unknown };
         self.send(self.now + timeout_ms, controller, epoch, Message::Input(unknown));
         let mut at = sent_at + self.network_delay();
-        if !fits_limits(&call, self.controllers[controller].configuration.limits) {
+        if !fits_limits(&call, self.controllers[controller].configuration.store_limits) {
             self.record_violation(format!(
                 "controller {controller} wrote beyond its limits: {call:?}"
             ));
         }
-        // A transaction is carried out twice; nobody hears of the second.
+        // A duplicate transaction is applied later and gets no reply.
         if matches!(call, StoreRequest::Transaction { .. }) && self.is_duplicated() {
             let at = self.now + self.rng.random_range(5..30_000);
             self.send(at, controller, epoch, Message::Store(DUPLICATE_CALL, call.clone()));
@@ -103,7 +103,7 @@
             if !delayed {
                 return;
             }
-            at = at.max(until + self.network_delay()); // carried out late
+            at = at.max(until + self.network_delay());
         }
         self.send(at, controller, epoch, Message::Store(op, call));
     }
@@ -112,22 +112,22 @@
         let Step { controller, epoch, sent_at } = step;
         let failed = Input::Cloud { op, reply: CloudReply::Failed };
         self.send(self.now + timeout_ms, controller, epoch, Message::Input(failed));
-        // Now and then a request is carried out much later.
         let is_late = self.now < FAULTS_END_MS && self.rng.random_bool(0.05);
-        let late = if is_late { CLOUD_LATE_MS } else { 0 };
+        let late_ms = if is_late { CLOUD_LATE_MS } else { 0 };
         if self.is_duplicated() {
             let at = self.now + self.rng.random_range(5..30_000);
             self.send(at, controller, epoch, Message::Cloud(DUPLICATE_CALL, call.clone()));
         }
         let isolated_until = self.controllers[controller].isolated_until;
-        let at = sent_at.max(isolated_until) + CLOUD_LATENCY_MS + self.network_delay() + late;
+        let at = sent_at.max(isolated_until) + CLOUD_LATENCY_MS + self.network_delay() + late_ms;
         self.send(at, controller, epoch, Message::Cloud(op, call));
     }
 
-    /// What a leader tells its peers reaches those that no cut keeps from it.
+    /// Sends a leader's progress to the peers that no partition separates from it.
     fn send_to_peers(&mut self, from: usize, at: u64, progress: &[Progress]) {
-        let is_cut_off =
-            |c: &SimulatedController| c.isolated_until > at || c.store_partition.is_some();
+        let is_cut_off = |controller: &SimulatedController| {
+            controller.isolated_until > at || controller.store_partition.is_some()
+        };
         for to in (0..CONTROLLERS).filter(|to| *to != from) {
             let in_other_zone = self.zone_partition.is_some() && to % 2 != from % 2;
             if in_other_zone
@@ -142,7 +142,7 @@
         }
     }
 
-    /// When a message between a controller and a worker arrives.
+    /// Returns when a message between a controller and a worker arrives; `u64::MAX` if it is lost.
     pub(super) fn arrival_at_worker(&mut self, controller: usize, worker: usize, at: u64) -> u64 {
         let partition = self.zone_partition.filter(|_| controller % 2 != self.workers[worker].zone);
         match partition.or(self.controllers[controller].worker_partition) {
--- a/crates/basaltrail-core/tests/simulation/simulated/faults.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/faults.rs
@@ -1,11 +1,11 @@
-//! Troubles, alone and together.
+//! Injection of faults.
 
 use super::*;
 
 impl Simulation {
     pub(super) fn inject_fault(&mut self) {
         let now = self.now;
-        // Half of what hits a controller hits the one that leads.
+        // Half of the faults of controllers affect the leader.
         let leader = self.leader().filter(|_| self.rng.random_bool(0.5));
         let controller = leader.unwrap_or_else(|| self.rng.random_range(0..CONTROLLERS));
         let delayed = self.rng.random_bool(0.6);
@@ -22,7 +22,7 @@
             4 => self.controllers[controller].store_partition = Some((until, delayed)),
             5 => self.controllers[controller].store_refuses_until = until,
             6 => self.zone_partition = Some((until, delayed)),
-            // Many at once: hangs shorter and longer than a lease.
+            // Hangs shorter and longer than a lease.
             7 => self.hang_workers(0.4, 1_000..14_000),
             8 => self.for_share_of_workers(0.3, |worker| worker.downlink_lost_until = until),
             9 if !self.workers.is_empty() => {
@@ -37,14 +37,14 @@
             }
             13 => self.controllers[controller].worker_partition = Some((until, delayed)),
             14 => {
-                // Silent for a minute or more, and back.
+                // The controller is down for a minute or longer.
                 let restart_after_ms = self.rng.random_range(60_000..90_000);
                 self.stop_controller(controller, restart_after_ms);
             }
             15 => self.slow_provisioning = (self.rng.random_range(0..2), until + 30_000),
             16 => self.poll_storm_until = until + 10_000,
             17 => {
-                // The leader stands still, and so does its successor.
+                // The leader freezes, and then its successor.
                 self.controllers[controller].pending_freeze_until = until;
                 self.next_leader_freeze = now + self.rng.random_range(4_000..9_000);
             }
@@ -54,7 +54,7 @@
         self.faults_over_at = self.faults_over_at.max(until).max(self.store.down_until);
     }
 
-    /// The faults of what is sent, by users too: the second half of the kinds.
+    /// Injects a fault of messages or requests: the kinds from 18 on.
     fn inject_message_fault(&mut self, kind: u32, controller: usize, delayed: bool, until: u64) {
         match kind {
             18 => {
@@ -74,7 +74,7 @@
             23 => self.invalid_requests_until = until,
             24 => self.read_back_until = until,
             25 => {
-                // The state service refuses the leader, and a moment later everybody.
+                // The store refuses the leader, and then it is down for all.
                 self.controllers[controller].store_refuses_until = until;
                 self.cancel_running_jobs(6, 0);
                 let duration_ms = self.rng.random_range(1_000..CANCEL_MS + 10_000);
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Spot machines are reclaimed in a wave, some without a notice.
+    /// Reclaims a share of the spot machines, some without a notice.
     fn reclaim_spot_machines(&mut self) {
         let now = self.now;
         for worker in
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The state service is out for all. After it all leases have their full time again.
+    /// Takes the store down. Leases have their full TTL again after the outage.
     pub(super) fn start_store_outage(&mut self, duration_ms: u64) {
         self.store.down_until = self.now + duration_ms;
         for (ttl_ms, expires_at) in self.store.leases.values_mut() {
@@ -107,12 +107,12 @@
         self.extend_faults(duration_ms);
     }
 
-    /// A trouble of so long begins now.
+    /// Extends the time of faults to at least `duration_ms` from now.
     pub(super) fn extend_faults(&mut self, duration_ms: u64) {
         self.faults_over_at = self.faults_over_at.max(self.now + duration_ms);
     }
 
-    /// Does something to a share of the machines.
+    /// Applies a fault to a random share of the workers.
     pub(super) fn for_share_of_workers(&mut self, share: f64, mut apply: impl FnMut(&mut Worker)) {
         for worker in &mut self.workers {
             if self.rng.random_bool(share) {
@@ -137,7 +137,7 @@
         worker.failed_at.get_or_insert(self.now);
     }
 
-    /// A zone is cut off from everything; inside, it goes on.
+    /// Partitions a zone from everything outside it.
     pub(super) fn partition_zone(&mut self, zone: usize, duration_ms: u64, delayed: bool) {
         let until = self.now + duration_ms;
         self.zone_partition = Some((until, delayed));
@@ -150,8 +150,8 @@
         self.extend_faults(duration_ms);
     }
 
-    /// Users call off so many jobs that run, within a fifth of a second; up to eight of
-    /// their machines hang.
+    /// Cancels up to `max_jobs` running jobs. If `hang_ms` is positive, up to eight of their
+    /// machines hang.
     pub(super) fn cancel_running_jobs(&mut self, max_jobs: usize, hang_ms: u64) {
         let now = self.now;
         let runs_job = |worker: &Worker, job| {
@@ -184,7 +184,7 @@
         self.extend_faults(hang_ms + 150);
     }
 
-    /// Notes a change of leader; what was kept of old reports then reaches every controller.
+    /// Records a change of leader and delivers the held heartbeats to all controllers.
     pub(super) fn record_leader_change(&mut self) {
         let Some(leader) = self.leader() else { return };
         let epoch = self.controllers[leader].epoch;
@@ -197,7 +197,7 @@
         }
         self.leader_changes.push((self.now, leader, epoch));
         for heartbeat in std::mem::take(&mut self.held_heartbeats) {
-            self.record_situation("old report at a new leader");
+            self.record_situation("old heartbeat reached a new leader");
             for controller in 0..CONTROLLERS {
                 let at = self.now + self.rng.random_range(0..40);
                 let heartbeat = Box::new(heartbeat.clone());
@@ -222,7 +222,7 @@
         self.stop_controller(controller, restart_after_ms);
     }
 
-    /// Ends a process; it is started again after `delay_ms`.
+    /// Stops the process of a controller and starts a new one after `restart_after_ms`.
     pub(super) fn stop_controller(&mut self, controller: usize, restart_after_ms: u64) {
         self.controllers[controller].process = None;
         self.controllers[controller].epoch += 1;
--- a/crates/basaltrail-core/tests/simulation/simulated/limits.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/limits.rs
@@ -1,10 +1,10 @@
-//! Teams' limits and guarantees: what a leader counts holds whoever leads, whatever the settings
-//! of the controllers say meanwhile.
+//! Limits and guarantees of teams, over changes of leader and with settings that differ between
+//! controllers.
 
 use super::simulation::array_job;
 use super::*;
 
-/// A job of many tasks that run for a minute or two.
+/// Returns a job whose tasks run for a minute or two.
 fn long_job(team: usize, tasks: u32) -> JobSpec {
     JobSpec {
         cpus: 2.0,
@@ -32,10 +32,10 @@
     running.filter_map(|((task, _), _)| of_team(task.job)).map(|user| user.spec.cpus).sum()
 }
 
-/// A limit falls below what its team uses, at one controller after the other. Nothing is stopped
-/// for it, and nothing new of the team begins until its use is below.
+/// A limit is lowered below the use of its team, on one controller after the other. No task is
+/// stopped for it, and no task of the team starts until its use is below the limit.
 #[test]
-fn a_limit_lowered_below_use_stops_nothing_and_starts_nothing() {
+fn limit_lowered_below_use_stops_and_starts_no_tasks() {
     for seed in 0..6 {
         let users = vec![User::new(1000, long_job(1, 60), 2_000, None)];
         let mut sim = simulation_with_long_tasks(seed, users);
@@ -54,7 +54,7 @@
         let tasks_started = sim.tasks_started;
         while used_by(&sim, "t1") > lowered {
             sim.run_until(sim.now + 20);
-            assert!(sim.now < 300_000, "seed {seed}: it never fell");
+            assert!(sim.now < 300_000, "seed {seed}: the use never fell below the limit");
         }
         assert_eq!(sim.tasks_started, tasks_started, "seed {seed}: started above the limit");
         assert_eq!(sim.tasks_stopped, 0, "seed {seed}: stopped for the limit");
@@ -64,10 +64,10 @@
     }
 }
 
-/// While a roll is on, controllers differ in a limit, and the lead goes back and forth between
-/// them among troubles: use stays within the highest limit that one of them goes by.
+/// During a rolling change of settings, controllers differ in a limit, and leadership moves
+/// between them under faults. The use stays within the highest configured limit.
 #[test]
-fn limits_that_differ_between_controllers_hold_as_the_lead_changes() {
+fn highest_configured_limit_holds_over_leader_changes() {
     for seed in 0..8 {
         let mut sim = Simulation::new(seed);
         sim.replace_unsupported_services();
@@ -90,21 +90,22 @@
     }
 }
 
-/// Leases after which all tasks of a job within its team's guarantee have begun, where other
-/// teams hold all machines with long work that cannot save: the wait that the operators allow,
-/// and one for the stop, the report of it, the start and the image.
+/// Wait in lease durations that the policy permits before a team within its guarantee preempts.
 const GUARANTEE_LEASES: f64 = 2.0;
+/// Lease durations until all tasks of a job within its team's guarantee have started, while other
+/// teams use all machines with long tasks that cannot save: `GUARANTEE_LEASES`, and one for the
+/// stop, its report, the start and the image.
 const MAX_START_LEASES: u64 = 3;
-/// When the job is submitted: no task of the others ends within the bound.
+/// When the job is submitted. No task of the other teams ends before the bound.
 const SUBMITTED_AT_MS: u64 = 35_000;
 
 #[test]
-fn a_team_within_its_guarantee_does_not_wait_for_long_work_of_others() {
+fn team_within_its_guarantee_starts_within_three_leases() {
     let unsaved = |team, tasks| JobSpec { checkpoint_s: 0.0, ..long_job(team, tasks) };
     for seed in 0..6 {
-        let guests = (0..4).map(|i| User::new(1000 + i, unsaved(2, 40), 2_000, None));
+        let others = (0..4).map(|i| User::new(1000 + i, unsaved(2, 40), 2_000, None));
         let guaranteed = User::new(2000, unsaved(0, 6), SUBMITTED_AT_MS, None);
-        let mut sim = simulation_with_long_tasks(seed, guests.chain([guaranteed]).collect());
+        let mut sim = simulation_with_long_tasks(seed, others.chain([guaranteed]).collect());
         for controller in 0..CONTROLLERS {
             sim.controllers[controller].next_configuration.policy.guarantee_leases =
                 Some(GUARANTEE_LEASES);
@@ -112,7 +113,7 @@
         }
         sim.run_until(SUBMITTED_AT_MS);
         let used_by_others = used_by(&sim, "t2");
-        assert!(used_by_others >= 80.0, "seed {seed}: the others hold {used_by_others} CPUs");
+        assert!(used_by_others >= 80.0, "seed {seed}: the other teams use {used_by_others} CPUs");
         sim.run_until(SUBMITTED_AT_MS + MAX_START_LEASES * LEASE_MS);
         let used = used_by(&sim, "t0");
         assert_eq!(used, 12.0, "seed {seed}: CPUs of the team within its guarantee");
--- a/crates/basaltrail-core/tests/simulation/simulated/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/mod.rs
@@ -1,6 +1,6 @@
-//! The core against stand-ins of the state service, the cloud, workers and users,
-//! with crashes, cuts, late messages, outages and hangs. Each rule is checked here,
-//! by the world and not by the core. Seeds are fixed: the verdict is always the same.
+//! Simulates the core with a store, a cloud, workers and users, under crashes, partitions, late
+//! and duplicate messages, outages and hangs. The simulation checks each rule independently of the
+//! core. Seeds are fixed, so each run is deterministic.
 
 mod checks;
 mod cloud;
@@ -27,44 +27,46 @@
 const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 const CANCEL_MS: u64 = 30_000;
 const LIST_LAG_MS: u64 = 3_000;
-/// What a worker waits for a response.
+/// Time for which a worker waits for a response.
 const REPLY_TIMEOUT_MS: u64 = 4_000;
 const MACHINE_CPUS: f64 = 8.0;
 const CONTROLLERS: usize = 3;
 const ZONES: [&str; 2] = ["a", "b"];
-/// The last team is a guest: no guarantee and no limit.
+/// Limit of each team. The last team has neither a guarantee nor a limit.
 const CPUS_MAX: [f64; 3] = [24.0, 40.0, f64::INFINITY];
-/// Once the troubles are over, a job is spoken of within this.
+/// After the faults have ended, a user gets an answer about each unfinished job within this time.
 const ANSWERED_WITHIN_MS: u64 = 75_000;
-/// How long a job may wait while a machine has room for it.
+/// Longest time for which a job may wait while a machine has room for it.
 const SCHEDULED_WITHIN_MS: u64 = 90_000;
-/// A cancellation that was told is known to whoever starts tasks after so long: a watch, its
-/// patience, and what a worker takes of an answer that was held up.
+/// A controller that starts tasks knows of a confirmed cancellation within this time. It covers a
+/// watch, its timeout, and a delayed answer that a worker still accepts.
 const CANCELLATION_KNOWN_WITHIN_MS: u64 = 13_000;
 const FAULTS_END_MS: u64 = 160_000;
+/// Length of a simulated run.
 const RUN_MS: u64 = 420_000;
 
-/// What a value and a transaction may hold: as the version in production has it, and as the
-/// state service will have it from some moment on.
-const LIMITS: (usize, usize) = (1_024, 12);
-const NEXT_LIMITS: (usize, usize) = (512, 4);
+/// Limits of the store: bytes of a value, and operations of a transaction. The first pair is the
+/// one that the version in production assumes; the store changes to the second one during
+/// upgrades.
+const STORE_LIMITS: (usize, usize) = (1_024, 12);
+const NEXT_STORE_LIMITS: (usize, usize) = (512, 4);
 
-/// What a controller's files say, beside what is the same everywhere.
+/// The settings of a controller that tests vary.
 #[derive(Clone)]
 struct Configuration {
-    limits: (usize, usize),
+    store_limits: (usize, usize),
     cpus_max: [f64; CPUS_MAX.len()],
     policy: Policy,
 }
 
 impl Default for Configuration {
     fn default() -> Self {
-        Configuration { limits: LIMITS, cpus_max: CPUS_MAX, policy: Policy::default() }
+        Configuration { store_limits: STORE_LIMITS, cpus_max: CPUS_MAX, policy: Policy::default() }
     }
 }
 
 fn settings(controller: usize, incarnation: u64, configuration: &Configuration) -> Settings {
-    let limits = configuration.limits;
+    let store_limits = configuration.store_limits;
     let team = |i: usize| Team {
         name: format!("t{i}"),
         cpus: if CPUS_MAX[i].is_finite() { CPUS_MAX[i] / 2.0 } else { 0.0 },
@@ -88,8 +90,8 @@
         cancel_ms: CANCEL_MS,
         store_rps: 120.0,
         write_rps: 40.0,
-        value_bytes: limits.0,
-        transaction_ops: limits.1,
+        value_bytes: store_limits.0,
+        transaction_ops: store_limits.1,
         cloud_rps: 5.0,
         list_lag_ms: LIST_LAG_MS,
         memory_mb: 56.0,
@@ -106,31 +108,34 @@
     lease_id: Option<LeaseId>,
 }
 
-/// The state service.
 #[derive(Default)]
 struct Store {
     keys: BTreeMap<String, StoredValue>,
     revision: Revision,
+    /// All changes, for watches.
     events: Vec<(Revision, WatchEvent)>,
-    leases: BTreeMap<LeaseId, (u64, u64)>, // life, end
+    /// TTL and expiry of each lease.
+    leases: BTreeMap<LeaseId, (u64, u64)>,
     last_lease_id: u64,
     down_until: u64,
     open_watches: Vec<OpenWatch>,
+    /// Bytes of a value, and operations of a transaction.
     limits: (usize, usize),
 }
 
 #[derive(Clone, Debug)]
 struct SimulatedTask {
     state: TaskState,
-    /// When the present state is over.
-    until: u64,
+    /// End of the present state.
+    state_ends_at: u64,
     run_ends_at: u64,
 }
 
-/// One machine and its worker.
+/// A machine and its worker.
 struct Worker {
     zone: usize,
     spot: bool,
+    /// When the machine has booted.
     boots_at: u64,
     alive: bool,
     agent_epoch: AgentEpoch,
@@ -138,51 +143,58 @@
     token: FencingToken,
     lease_renewed_at: u64,
     tasks: BTreeMap<(TaskId, Attempt), SimulatedTask>,
+    /// Controller to which it sends heartbeats.
     controller: usize,
+    /// Sequence number and time of the heartbeat that has no response yet.
     awaiting_reply: Option<(u64, u64)>,
     next_heartbeat: u64,
     hung_until: u64,
-    /// Its reports reach no controller.
+    /// Until then its heartbeats are lost.
     uplink_lost_until: u64,
-    /// Its reports arrive, answers to them do not.
+    /// Until then responses to its heartbeats are lost.
     downlink_lost_until: u64,
     provisioned_at: u64,
-    /// When it stopped by itself: it stays listed.
+    /// When the machine failed; the cloud still lists it.
     failed_at: Option<u64>,
-    /// When it was returned or taken: it is listed no more.
+    /// When the machine was terminated or reclaimed; the cloud no longer lists it.
     terminated_at: Option<u64>,
-    /// Every task fails there.
+    /// Every task fails on a faulty machine.
     faulty: bool,
-    /// When the cloud takes it back, and whether it says so before.
+    /// When the cloud reclaims the machine.
     reclaimed_at: Option<u64>,
+    /// Whether the cloud sends a reclaim notice.
     reclaim_announced: bool,
 }
 
+/// The last job status that a user got.
 #[derive(Clone, Copy, PartialEq)]
 enum Observed {
     Unknown,
     Accepted,
     Done,
+    /// Cancelled, and when the user got this answer.
     Cancelled(u64),
 }
 
+/// A user with one job.
 struct User {
     job: JobId,
     spec: JobSpec,
     submit_at: u64,
     cancel_at: Option<u64>,
-    /// Submitted with a mistake: its tasks fail everywhere.
+    /// Every task of a faulty job fails on any machine.
     faulty: bool,
     observed: Observed,
     cancel_requested: bool,
+    /// Indices of the tasks that are done.
     tasks_done: BTreeSet<u32>,
     requests_sent: u64,
-    /// Until when it waits for the answer to its request; what comes later nobody hears.
+    /// Until then the user waits for the answer to its request; a later answer is dropped.
     request_deadline: u64,
-    /// When a question about the job was last answered, and its first task began.
+    /// When the user last got the status of the job.
     last_answered_at: u64,
     first_task_started_at: Option<u64>,
-    /// Since when nothing of it is on a machine though one has room for it.
+    /// Since when no task of the job is on a machine although one has room for it.
     unscheduled_since: Option<u64>,
 }
 
@@ -197,47 +209,48 @@
     Answer(Requester, Answer),
 }
 
-/// Who waits for an answer.
+/// The sender of a request, to which the answer is delivered.
 #[derive(Clone, Copy)]
 enum Requester {
-    /// A worker, with the number of its report.
+    /// A worker, with the sequence number of its heartbeat.
     Worker(MachineIndex, u64),
     User(usize, PendingRequest),
-    /// Somebody who asks for a job that nobody submitted.
+    /// Polls a job that was never submitted.
     UnknownJob,
-    /// Somebody whose job can never run.
+    /// Submits a job that can never run.
     InvalidJob,
 }
 
 #[derive(Clone, Copy)]
 struct PendingRequest {
-    /// How long its user waits; what comes later nobody hears.
+    /// An answer that arrives later is dropped.
     deadline: u64,
-    /// What the user had been told when it asked.
+    /// The job status that the user knew when it sent the request.
     observed_before: Observed,
-    /// The user asks nothing else meanwhile.
+    /// Whether the user sends no other request until the answer or the deadline.
     exclusive: bool,
 }
 
-/// A share of the transactions gets no answer.
+/// A fault: a share of the transactions that write gets no reply.
 #[derive(Clone, Copy, Default)]
 struct UnansweredWrites {
     until: u64,
     share: f64,
-    /// Only the answer is lost; the others are carried out late.
+    /// True if the transactions are applied at once and only the replies are lost; false if they
+    /// are applied late.
     only_reply_lost: bool,
 }
 
-/// Of a share of the heartbeats a copy comes late.
+/// A fault: a share of the heartbeats is duplicated, and the duplicate arrives late.
 #[derive(Clone, Copy, Default)]
 struct DuplicateHeartbeats {
     until: u64,
     share: f64,
-    /// The copies are kept for the next leader.
+    /// Whether the duplicates are held until the next change of leader.
     held_for_next_leader: bool,
 }
 
-/// A share of the jobs is cancelled as the last task ends.
+/// A share of the jobs is cancelled when the last task is done.
 #[derive(Clone, Copy, Default)]
 struct CancelOnCompletion {
     until: u64,
@@ -251,7 +264,7 @@
     op: CallId,
     prefix: String,
     after: Revision,
-    /// When it is answered though nothing has changed.
+    /// When the store answers even if nothing has changed.
     until: u64,
 }
 
@@ -259,84 +272,92 @@
 
 struct SimulatedController {
     process: Option<Process>,
-    /// What its process runs, if any, and what it will when it starts again.
+    /// Version of the present process.
     version: Version,
+    /// Version after the next start.
     next_version: Version,
+    /// Number of the process; it increases with each start and each stop.
     epoch: u64,
     process_started_at: u64,
+    /// Simulated milliseconds of its clock for one of the simulation's clock.
     clock_rate: f64,
-    /// Cut off from the state service, and whether what is sent is held or lost.
+    /// Partition from the store: its end, and whether requests are delayed (true) or lost.
     store_partition: Option<(u64, bool)>,
     store_refuses_until: u64,
-    /// Watches of the jobs are lost: neither they nor their answers arrive.
+    /// Until then watches on the jobs are lost.
     watches_lost_until: u64,
-    /// It stands still from its next step to then, with what it has built and not sent;
-    /// its clocks run on.
+    /// If later than now, the process freezes at its next step until this time. Its clocks go on,
+    /// and it keeps effects that it has built and not sent.
     pending_freeze_until: u64,
     frozen_until: u64,
-    /// Cut off from the cloud and the users too.
+    /// Until then it is also partitioned from the cloud, the users and its peers.
     isolated_until: u64,
-    /// Cut off from the workers, and whether what is sent is held or lost.
+    /// Partition from the workers: its end, and whether messages are delayed (true) or lost.
     worker_partition: Option<(u64, bool)>,
-    /// What its process goes by, and what it will when it starts again.
+    /// Configuration of the present process.
     configuration: Configuration,
+    /// Configuration after the next start.
     next_configuration: Configuration,
-    /// What its earlier processes went by, and until when.
+    /// Configurations of earlier processes, each with the time at which it was replaced.
     earlier_configurations: Vec<(u64, Configuration)>,
 }
 
+/// A simulated deployment. All times are in simulated milliseconds.
 struct Simulation {
     now: u64,
     messages_sent: u64,
     rng: SmallRng,
+    /// Messages in transit by arrival time and number, each with its controller and the epoch of
+    /// the process that it is for or from.
     queue: BTreeMap<(u64, u64), (usize, u64, Message)>,
     controllers: Vec<SimulatedController>,
     store: Store,
     workers: Vec<Worker>,
+    /// Machines provisioned for each requisition.
     provisioned: BTreeMap<String, Vec<MachineId>>,
     users: Vec<User>,
     requesters: BTreeMap<RequestId, Requester>,
     last_request_id: u64,
+    /// Partition between the zones: its end, and whether messages are delayed (true) or lost.
     zone_partition: Option<(u64, bool)>,
-    /// Machines rented in a zone come late or never until then.
+    /// Zone in which new machines boot late or never, and until when.
     slow_provisioning: (usize, u64),
-    /// Users ask many times as often until then.
+    /// Until then users poll many times as often.
     poll_storm_until: u64,
-    /// When whoever leads then comes to stand: the successor of one that did.
+    /// When the current leader freezes; used to freeze the successor of a frozen leader.
     next_leader_freeze: u64,
-    /// Transactions get no answer, and are carried out later, or at once.
     unanswered_writes: UnansweredWrites,
-    /// Copies of reports come late, or when the next leader begins.
     duplicate_heartbeats: DuplicateHeartbeats,
+    /// Duplicates that are held until the next change of leader.
     held_heartbeats: Vec<Heartbeat>,
-    /// Jobs are cancelled as their last task ends.
     cancel_on_completion: CancelOnCompletion,
-    /// Users ask at all controllers, within milliseconds, what they have just been told.
+    /// Until then a user that gets a new status asks all controllers for it within milliseconds.
     read_back_until: u64,
     invalid_requests_until: u64,
-    /// What a process that starts may run.
+    /// Versions that a process may run when it starts.
     versions: Vec<Version>,
-    /// When a process that may act on old word of jobs last answered a worker, and what came of it.
+    /// When a process of a version that may renew tasks on stale job data last answered a worker.
     stale_renewal_at: Option<u64>,
     violations_of_earlier_versions: Vec<String>,
-    /// Machines are up within two seconds.
+    /// Whether new machines boot within two seconds.
     fast_provisioning: bool,
-    /// The state service answers so much later.
+    /// Additional latency of the store.
     store_delay_ms: u64,
-    /// Tasks run for a minute and more.
+    /// Whether tasks run for a minute or longer.
     long_tasks: bool,
-    /// When each change of leader was seen: the controller that leads since, and its process.
+    /// Each observed change of leader: its time, the controller and the epoch of its process.
     leader_changes: Vec<(u64, usize, u64)>,
-    /// How often a moment came that a day is to bring about.
+    /// Occurrences of the situations that a scenario has to reach.
     situations: BTreeMap<&'static str, u64>,
     next_fault: u64,
     concurrent_faults: u32,
+    /// Whether `check_all_jobs_answered` has run.
     answers_checked: bool,
     violations: Vec<String>,
     tasks_started: u64,
-    /// Orders to stop a task whose job goes on.
+    /// Commands to stop a task of a job that is still active.
     tasks_stopped: u64,
-    /// When the last trouble is over.
+    /// When the last fault is over.
     faults_over_at: u64,
 }
 
--- a/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
@@ -1,11 +1,11 @@
-//! Days on which allotments bind: what is accepted stays within each team's bound, whatever
-//! fails, and what was accepted is kept.
+//! Runs with admission quotas: the accepted jobs of each team stay within its bound under every
+//! fault, and no accepted job is lost.
 
 use super::simulation::array_job;
 use super::*;
 use basaltrail_core::admission::{QuotaPlanner, TeamLoad};
 
-/// Seconds of work that may wait: few, so that the bound is met.
+/// Seconds of work in the backlog: few, so that the bound is reached.
 const BACKLOG_S: f64 = 60.0;
 
 fn policy() -> Policy {
@@ -13,8 +13,8 @@
     Policy { admission: Some(admission), ..Policy::default() }
 }
 
-/// Jobs of a team that may be accepted and not ended: the part of the bound that does not follow
-/// the rate at which it is served.
+/// Returns the bound on the active jobs of a team, without the part that grows with its service
+/// rate.
 fn max_active_jobs(team: usize) -> usize {
     let configuration = Configuration { policy: policy(), ..Configuration::default() };
     let settings = settings(0, 1, &configuration);
@@ -27,7 +27,7 @@
         served: 0.0,
         classes: Vec::new(),
     };
-    // One class is named beside the entry for all others.
+    // One class is named in the policy in addition to the entry for all others.
     QuotaPlanner::bound(&bounds, &load, 0.0, 2 * CONTROLLERS).jobs as usize
 }
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Jobs in the state service, by team.
+    /// Returns the number of active jobs in the store, by team.
     fn active_jobs(&self) -> [usize; CPUS_MAX.len()] {
         let mut count = [0; CPUS_MAX.len()];
         for (key, stored) in &self.store.keys {
@@ -51,8 +51,8 @@
         count
     }
 
-    /// Plays on, looking at the bounds many times a second; gives the most that was active of
-    /// each team.
+    /// Runs until `until` and checks the bounds ten times a second. Returns the maximum of active
+    /// jobs of each team.
     fn run_and_check_bounds(&mut self, until: u64) -> [usize; CPUS_MAX.len()] {
         let mut max_active = [0; CPUS_MAX.len()];
         while self.now < until {
@@ -72,14 +72,14 @@
     JobSpec { estimate_s: 1.0, ..array_job(team, tasks) }
 }
 
-/// A flood of one team within seconds, and a few jobs of another.
+/// Returns a burst of jobs of one team within seconds, and a few jobs of another team.
 fn burst(from: u64) -> Vec<User> {
     let many = (0..300).map(|i| User::new(1000 + i, short_job(1, 1), from + i * 10, None));
     let few = (0..8).map(|i| User::new(5000 + i, short_job(0, 2), from + i * 700, None));
     many.chain(few).collect()
 }
 
-fn simulation_of_burst(seed: u64) -> Simulation {
+fn burst_with_quotas(seed: u64) -> Simulation {
     let mut sim = Simulation::with_users(SmallRng::seed_from_u64(seed), burst(30_000));
     sim.enable_quotas();
     sim
@@ -99,11 +99,11 @@
 }
 
 #[test]
-fn a_flood_is_bounded_and_leaves_the_other_team_its_room() {
+fn burst_of_one_team_is_bounded_and_another_team_is_admitted() {
     for seed in 0..4 {
-        let mut sim = simulation_of_burst(seed);
+        let mut sim = burst_with_quotas(seed);
         sim.run_and_check_bounds(40_000);
-        assert!(sim.accepted_jobs(1000..1300) < 200, "seed {seed}: everything was accepted");
+        assert!(sim.accepted_jobs(1000..1300) < 200, "seed {seed}: the whole burst was accepted");
         assert_eq!(sim.accepted_jobs(5000..5008), 8, "seed {seed}: the other team waited");
         let max_active = sim.run_and_check_bounds(400_000);
         assert!(
@@ -116,18 +116,17 @@
     }
 }
 
-/// Without allotments the flood is accepted whole, as far as memory goes.
 #[test]
-fn without_allotments_the_flood_is_accepted() {
+fn burst_exceeds_the_bound_without_quotas() {
     let mut sim = Simulation::with_users(SmallRng::seed_from_u64(1), burst(30_000));
     sim.run_until(40_000);
     assert!(sim.active_jobs()[1] > max_active_jobs(1));
 }
 
 #[test]
-fn the_bound_holds_while_the_lead_changes_ten_times() {
+fn bound_holds_over_ten_failovers() {
     for seed in 0..4 {
-        let mut sim = simulation_of_burst(seed);
+        let mut sim = burst_with_quotas(seed);
         sim.run_and_check_bounds(31_000);
         for n in 0..10 {
             let leader = sim.leader();
@@ -142,12 +141,13 @@
     }
 }
 
-/// A controller stands still with acceptances that it has built and not sent, and goes on after the
-/// leader has moved its allotment; transactions come late, twice or without an answer.
+/// Guards against an overrun of the bound when a controller freezes with acceptances that it has
+/// not sent, and continues after the leader has moved its quota, while transactions are applied
+/// late, twice or without a reply.
 #[test]
-fn the_bound_holds_with_frozen_controllers_and_late_writes() {
+fn bound_holds_with_frozen_controllers_and_late_writes() {
     for seed in 0..6 {
-        let mut sim = simulation_of_burst(seed);
+        let mut sim = burst_with_quotas(seed);
         sim.run_and_check_bounds(30_200);
         sim.unanswered_writes = UnansweredWrites {
             until: sim.now + 60_000,
@@ -164,18 +164,18 @@
         sim.check_all_jobs_ended();
         sim.assert_no_violations(seed);
         assert!(
-            sim.situations.contains_key("late write lost")
-                || sim.situations.contains_key("answer lost")
+            sim.situations.contains_key("late write conflicted")
+                || sim.situations.contains_key("reply of a committed write lost")
         );
     }
 }
 
-/// A controller ends with a part of its allotment used, and is back at once: as another process, which
-/// accepts nothing before it has an allotment of its own.
+/// A controller restarts at once with a part of its quota used. The new process accepts nothing
+/// before it has a quota of its own.
 #[test]
-fn the_bound_holds_as_controllers_restart_at_once() {
+fn bound_holds_over_immediate_restarts() {
     for seed in 0..4 {
-        let mut sim = simulation_of_burst(seed);
+        let mut sim = burst_with_quotas(seed);
         sim.run_and_check_bounds(30_300);
         for n in 0..12 {
             sim.stop_controller(n % CONTROLLERS, 20);
@@ -188,9 +188,9 @@
 }
 
 #[test]
-fn the_bound_holds_with_the_state_service_out_in_a_burst() {
+fn bound_holds_over_a_store_outage_during_a_burst() {
     for seed in 0..3 {
-        let mut sim = simulation_of_burst(seed);
+        let mut sim = burst_with_quotas(seed);
         sim.run_and_check_bounds(30_400);
         sim.start_store_outage(6_000);
         sim.run_and_check_bounds(sim.now + 330_000);
@@ -200,22 +200,22 @@
 }
 
 #[test]
-fn the_rules_hold_over_seeded_days_with_allotments() {
+fn rules_hold_over_seeded_runs_with_quotas() {
     for seed in 100..116 {
         let mut sim = Simulation::new(seed);
         sim.replace_unsupported_services();
         sim.enable_quotas();
         sim.run_with_faults(1 + (seed % 2) as u32, RUN_MS);
-        // A day may end before the last task of an unlucky job; the rules hold all the same.
+        // A run may end before the last task of a job; the rules hold nevertheless.
         sim.assert_no_violations(seed);
         assert!(sim.tasks_started > 50, "seed {seed}: nothing_ran ({})", sim.tasks_started);
     }
 }
 
-/// Controllers of which some hand out allotments when they lead and some do not: what is
-/// accepted is kept, and everybody is served.
+/// Only one controller assigns quotas when it leads. No accepted job is lost, and all teams are
+/// served.
 #[test]
-fn controllers_with_and_without_allotments_serve_side_by_side() {
+fn controllers_with_and_without_quotas_coexist() {
     for seed in 0..4 {
         let mut sim = Simulation::with_users(SmallRng::seed_from_u64(seed), burst(30_000));
         sim.controllers[0].next_configuration.policy = policy();
@@ -232,8 +232,8 @@
     }
 }
 
-/// Jobs of high priority come without end and fill their team's limit; those of another class
-/// of the team rank behind all of them.
+/// Returns the tasks done of the classes `urgent` and `idle` of one team. Jobs of high priority
+/// arrive continuously and fill the team's limit; those of the other class rank behind them.
 fn tasks_done_by_priority(class_least: f64) -> [usize; 2] {
     let job = |class: &str, priority| JobSpec { class: class.into(), priority, ..short_job(1, 4) };
     let high =
@@ -255,9 +255,9 @@
 }
 
 #[test]
-fn a_class_of_low_priority_gets_its_least_share() {
+fn low_priority_class_gets_its_minimum_share() {
     let [high, low] = tasks_done_by_priority(0.1);
-    assert!(low * 12 >= high, "{low} tasks beside {high}");
+    assert!(low * 12 >= high, "{low} idle tasks for {high} urgent ones");
     let [high, low] = tasks_done_by_priority(0.0);
-    assert!(low * 20 < high, "{low} tasks beside {high} without a least share");
+    assert!(low * 20 < high, "{low} idle tasks for {high} urgent ones without a minimum share");
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/seeded_runs.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/seeded_runs.rs
@@ -1,15 +1,15 @@
-//! Days of seeded faults, and of overload.
+//! Runs with seeded random faults, and runs with an overload.
 
 use super::simulation::array_job;
 use super::*;
 
 #[test]
-fn the_rules_hold_over_seeded_days_of_faults() {
+fn rules_hold_over_seeded_runs_with_faults() {
     let mut tasks_started = 0;
     for seed in 0..48 {
         let mut sim = Simulation::new(seed);
         sim.replace_unsupported_services();
-        // One trouble at a time, then two: pairs are what a design forgets.
+        // One fault at a time, then two: faults that coincide are easily missed in a design.
         sim.run_with_faults(1 + (seed % 3).min(1) as u32, RUN_MS);
         sim.check_all_jobs_ended();
         sim.violations.truncate(5);
@@ -20,8 +20,9 @@
     println!("tasks started: {tasks_started}");
 }
 
-/// What a seeded day comes to: a sum over all that was written to the store, the tasks started and
-/// stopped, the messages sent, and the state of the random numbers, which every message draws on.
+/// Returns a hash of the outcome of a seeded run: the contents and revision of the store, the
+/// tasks started and stopped, the messages sent, and the state of the random number generator,
+/// which every message advances.
 fn outcome_of_run(seed: u64) -> u64 {
     let mut sim = Simulation::new(seed);
     sim.run_with_faults(1 + (seed % 3).min(1) as u32, RUN_MS);
@@ -35,27 +36,28 @@
     let values = sim.store.keys.iter().flat_map(|(key, stored)| [key.as_str(), &stored.value]);
     let bytes =
         counts.iter().flat_map(|count| count.to_le_bytes()).chain(values.flat_map(str::bytes));
-    // FNV-1a, 64 bits: the same on every version and machine.
+    // FNV-1a, 64 bits: stable across compiler versions and machines.
     let mix = |sum: u64, byte: u8| (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
     bytes.fold(0xcbf2_9ce4_8422_2325, mix)
 }
 
 #[test]
-fn the_same_seed_gives_the_same_day() {
+fn the_same_seed_gives_the_same_outcome() {
     for seed in [0, 7, 16] {
         assert_eq!(outcome_of_run(seed), outcome_of_run(seed), "seed {seed}");
     }
-    // To be compared by hand before and after a change that is to keep every decision.
+    // Printed for comparison by hand before and after a change that must not affect decisions.
     let outcomes: Vec<String> =
         (0..6).map(|seed| format!("{:016x}", outcome_of_run(seed))).collect();
-    println!("outcomes of seeded days: {}", outcomes.join(" "));
+    println!("outcomes of seeded runs: {}", outcomes.join(" "));
 }
 
 fn overload_spec(tasks: u32, cpus: f64, priority: Priority) -> JobSpec {
     JobSpec { priority, cpus, ..array_job(1, tasks) }
 }
 
-/// Plays an overload of a team by the `many` and asks that the `few` begin in time.
+/// Overloads a team with the jobs of `many` and checks that those of `few`, numbered from 9000,
+/// start within four minutes.
 fn assert_few_start_during_overload(
     few: impl Iterator<Item = User>,
     many: impl Iterator<Item = User>,
@@ -74,25 +76,25 @@
     for user in &sim.users[..few] {
         let wait_ms = user.first_task_started_at.map(|started_at| started_at - user.submit_at);
         assert!(
-            wait_ms.is_some_and(|started_at| started_at <= 240_000),
-            "{} began after {wait_ms:?} ms",
+            wait_ms.is_some_and(|wait_ms| wait_ms <= 240_000),
+            "{} started after {wait_ms:?} ms",
             user.job
         );
     }
 }
 
-/// Large arrays that rank behind small jobs without end must begin within four minutes.
+/// Large arrays rank behind a continuous stream of small jobs and must still start.
 #[test]
-fn large_arrays_begin_in_overload() {
+fn large_arrays_start_during_overload() {
     let spec = |tasks| overload_spec(tasks, 2.0, Priority::Normal);
     let large = (0..2).map(|i| User::new(9000 + i, spec(60), 30_000 + i * 5_000, None));
     let small = (0..260).map(|i| User::new(1000 + i, spec(4), 5_000 + i * 1_200, None));
     assert_few_start_during_overload(large, small);
 }
 
-/// So must wide tasks, while narrow ones of lesser jobs take a team's limit bit by bit.
+/// Narrow tasks of low priority fill a team's limit bit by bit; wide tasks must still start.
 #[test]
-fn wide_tasks_begin_beside_narrow_ones() {
+fn wide_tasks_start_among_narrow_ones() {
     let wide = overload_spec(3, 8.0, Priority::Normal);
     let narrow = overload_spec(12, 1.0, Priority::Low);
     let wide = (0..2).map(|i| User::new(9000 + i, wide.clone(), 30_000 + i * 5_000, None));
@@ -100,10 +102,10 @@
     assert_few_start_during_overload(wide, narrow);
 }
 
-/// What a team's limit leaves is too little for one more task of a wide job that runs: kept
-/// for it all the same, it would keep narrow jobs waiting beside machines with room.
+/// The rest of a team's limit is too small for another task of a running wide job. Reserving it
+/// for that job would make narrow jobs wait although machines have room.
 #[test]
-fn narrow_jobs_get_what_a_wide_one_cannot_use() {
+fn narrow_jobs_use_capacity_too_small_for_a_wide_task() {
     let team = |spec: JobSpec| JobSpec { team: "t0".into(), ..spec };
     let wide = team(overload_spec(60, 5.0, Priority::Normal));
     let narrow = team(overload_spec(3, 1.0, Priority::Low));
--- a/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
@@ -1,4 +1,4 @@
-//! The world: its jobs, its queue of messages, its time.
+//! Construction of a simulation, its event loop and the delivery of messages.
 
 use super::*;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// An array job of a team, with nothing special about it.
+/// Returns an array job without placement constraints.
 pub(super) fn array_job(team: usize, tasks: u32) -> JobSpec {
     JobSpec {
         kind: JobKind::Array,
@@ -47,13 +47,13 @@
     }
 }
 
-/// Jobs of a day of faults, and how many of them, the last ones, are services.
-const JOBS: u64 = 40;
-const SERVICES: u64 = 6;
+/// Jobs of a run with faults. The last `SERVICE_COUNT` of them are services.
+const JOB_COUNT: u64 = 40;
+const SERVICE_COUNT: u64 = 6;
 
-/// A job of any sort; every draw of the random numbers stands in this order.
+/// Returns a user with a random job. The order of the random draws determines each seeded run.
 fn random_user(rng: &mut SmallRng, i: u64) -> User {
-    let at = rng.random_range(2_000..FAULTS_END_MS + 20_000);
+    let submit_at = rng.random_range(2_000..FAULTS_END_MS + 20_000);
     let team = rng.random_range(0..CPUS_MAX.len());
     let spec = JobSpec {
         priority: if rng.random_bool(0.5) { Priority::Normal } else { Priority::Low },
@@ -68,21 +68,21 @@
         save_s: 2.0,
         ..array_job(team, 1)
     };
-    let cancel_at = rng.random_bool(0.2).then(|| at + rng.random_range(1_000..40_000));
-    let mut user = User::new(1000 + i, spec, at, cancel_at);
-    if i >= JOBS - SERVICES {
+    let cancel_at = rng.random_bool(0.2).then(|| submit_at + rng.random_range(1_000..40_000));
+    let mut user = User::new(1000 + i, spec, submit_at, cancel_at);
+    if i >= JOB_COUNT - SERVICE_COUNT {
         user.make_service(i);
-        user.cancel_at = Some(at + rng.random_range(60_000..180_000));
+        user.cancel_at = Some(submit_at + rng.random_range(60_000..180_000));
     }
     user.faulty = rng.random_bool(0.08);
     if user.faulty && !user.spec.is_service() {
-        user.cancel_at = Some(at + rng.random_range(20_000..120_000));
+        user.cancel_at = Some(submit_at + rng.random_range(20_000..120_000));
     }
     user
 }
 
 impl User {
-    /// A service runs until it is cancelled.
+    /// Turns the job into a service, which runs until it is cancelled.
     fn make_service(&mut self, i: u64) {
         self.spec.kind = JobKind::Service;
         self.spec.estimate_s = 0.0;
@@ -93,7 +93,7 @@
     }
 }
 
-/// How much faster than the world's the clock of each controller is.
+/// Clock drift of each controller relative to the simulation.
 const CLOCK_DRIFTS: [f64; CONTROLLERS] = [0.0005, -0.0005, 0.0];
 
 impl SimulatedController {
@@ -120,10 +120,10 @@
 }
 
 impl Simulation {
-    /// Jobs of all sorts, for days of faults.
+    /// Creates a run with random jobs.
     pub(super) fn new(seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let users = (0..JOBS).map(|i| random_user(&mut rng, i)).collect();
+        let users = (0..JOB_COUNT).map(|i| random_user(&mut rng, i)).collect();
         let mixed = Version::MIXED[seed as usize % Version::MIXED.len()];
         Simulation::of_versions(rng, users, mixed)
     }
@@ -132,7 +132,7 @@
         Simulation::of_versions(rng, users, &[Version::Current])
     }
 
-    /// A world in which each process that starts runs one of these versions.
+    /// Creates a simulation in which each process runs a random one of `versions`.
     fn of_versions(rng: SmallRng, users: Vec<User>, versions: &[Version]) -> Self {
         let mut sim = Simulation {
             now: 0,
@@ -140,7 +140,7 @@
             rng,
             queue: BTreeMap::new(),
             controllers: CLOCK_DRIFTS.into_iter().map(SimulatedController::new).collect(),
-            store: Store { limits: LIMITS, ..Store::default() },
+            store: Store { limits: STORE_LIMITS, ..Store::default() },
             workers: Vec::new(),
             provisioned: BTreeMap::new(),
             users,
@@ -181,7 +181,7 @@
         sim
     }
 
-    /// While a version may run that does not know services, arrays are asked for in their place.
+    /// Replaces services by arrays if some version does not support services.
     pub(super) fn replace_unsupported_services(&mut self) {
         if self.versions.iter().all(|version| version.supports_services()) {
             return;
@@ -191,7 +191,7 @@
         }
     }
 
-    /// All processes run this version until they are upgraded.
+    /// Restarts controllers of other versions, so that all run `version` until an upgrade.
     pub(super) fn run_version(&mut self, version: Version) {
         self.versions = vec![version];
         for i in 0..CONTROLLERS {
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Whether a message comes once more, later: while there are troubles.
+    /// Returns whether a message is duplicated. Messages are duplicated only until the faults end.
     pub(super) fn is_duplicated(&mut self) -> bool {
         self.now < FAULTS_END_MS && self.rng.random_bool(0.03)
     }
@@ -223,8 +223,8 @@
     pub(super) fn start_controller(&mut self, i: usize) {
         let incarnation = self.rng.random();
         if self.versions.len() > 1 {
-            let drawn = self.rng.random_range(0..self.versions.len());
-            self.controllers[i].next_version = self.versions[drawn];
+            let version = self.rng.random_range(0..self.versions.len());
+            self.controllers[i].next_version = self.versions[version];
         }
         let c = &mut self.controllers[i];
         c.epoch += 1;
@@ -248,9 +248,10 @@
         self.run_until(until);
     }
 
-    /// A task of a job whose user was told at `observed` that it is cancelled is there, or starts.
-    /// The version in production may act on old word of jobs when it is back in its right after
-    /// an outage; what it did then is not held against the present one.
+    /// Records that a task exists or starts although the user of its job got the status cancelled
+    /// at `observed_at`. An earlier version may renew tasks on stale job data when it leads again
+    /// after an outage, so the violation counts for that version if one has answered a worker
+    /// since.
     pub(super) fn record_violation_after_cancellation(
         &mut self,
         observed_at: u64,
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Whether a moment came.
+    /// Counts an occurrence of a situation.
     pub(super) fn record_situation(&mut self, situation: &'static str) {
         *self.situations.entry(situation).or_default() += 1;
     }
@@ -340,7 +341,7 @@
                     self.step(controller, input);
                 }
             }
-            // What a process sent is carried out even when it has ended since.
+            // A request is processed even if its process has ended since.
             Message::Store(op, call) => self.handle_store_request(controller, epoch, op, call),
             Message::Cloud(op, call) => self.handle_cloud_request(controller, epoch, op, call),
             Message::Heartbeat(machine, req, heartbeat) => {
--- a/crates/basaltrail-core/tests/simulation/simulated/store.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store.rs
@@ -1,8 +1,8 @@
-//! The store.
+//! The store: keys, leases, transactions and the events of watches.
 
 use super::*;
 
-/// Keys on one page of a list at the most.
+/// Maximum number of keys on one page of a list.
 const MAX_PAGE_KEYS: u32 = 20;
 
 impl Store {
@@ -61,7 +61,7 @@
         events.map(|(_, event)| event.clone()).collect()
     }
 
-    /// Carries a request out; watches are answered elsewhere.
+    /// Applies a request. Watches are handled by `answer_watches`.
     pub(super) fn apply(&mut self, now: u64, request: &StoreRequest) -> StoreReply {
         self.expire_leases(now);
         match request {
@@ -96,7 +96,7 @@
                     StoreReply::NotFound
                 }
             }
-            StoreRequest::Watch { .. } => unreachable!("watches are kept open"),
+            StoreRequest::Watch { .. } => unreachable!("a watch is not applied"),
         }
     }
 
@@ -158,7 +158,7 @@
             key: put.key.clone(),
             value: put.value.clone(),
             mod_revision: self.revision,
-            // Watches do not tell under which lease a key stands.
+            // Watch events do not contain the lease of a key.
             lease_id: None,
         });
         self.events.push((self.revision, event));
--- a/crates/basaltrail-core/tests/simulation/simulated/store_requests.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store_requests.rs
@@ -1,20 +1,21 @@
-//! Requests to the store, and what becomes of its replies on the way.
+//! Requests to the store, with the faults that affect them and their replies.
 
 use super::controllers::DUPLICATE_CALL;
 use super::*;
 
-/// Whether a call keeps limits on the bytes of a value and the changes of a transaction.
+/// Returns whether a request is within limits on the bytes of a value and the operations of a
+/// transaction.
 pub(super) fn fits_limits(call: &StoreRequest, (value_bytes, ops): (usize, usize)) -> bool {
     let StoreRequest::Transaction { preconditions, puts, deletes } = call else { return true };
     let values_fit = puts.iter().all(|put| put.value.len() <= value_bytes);
     values_fit && puts.len() + deletes.len() <= ops && preconditions.len() <= ops * 4
 }
 
-/// Milliseconds for which a watch that cannot be answered is kept.
+/// Time for which an overdue watch that cannot be answered is kept.
 const WATCH_KEEP_MS: u64 = 60_000;
 
 impl Simulation {
-    /// Carries a request out and answers it, as far as the troubles of the moment let it.
+    /// Applies a request and sends the reply, subject to the active faults.
     pub(super) fn handle_store_request(
         &mut self,
         controller: usize,
@@ -35,10 +36,11 @@
             &call,
             StoreRequest::Transaction { puts, deletes, .. } if puts.len() + deletes.len() > 0
         );
-        let late = self.unanswered_writes;
-        let may_be_late = changes && !unreachable && op != DUPLICATE_CALL && self.now < late.until;
-        if may_be_late && self.rng.random_bool(late.share) {
-            return self.apply_without_reply(controller, epoch, call, late);
+        let fault = self.unanswered_writes;
+        let may_go_unanswered =
+            changes && !unreachable && op != DUPLICATE_CALL && self.now < fault.until;
+        if may_go_unanswered && self.rng.random_bool(fault.share) {
+            return self.apply_without_reply(controller, epoch, call, fault);
         }
         let reply = if down { StoreReply::Refused } else { self.store.apply(self.now, &call) };
         self.check_reply(op, &call, &reply);
@@ -50,7 +52,7 @@
         self.answer_watches();
     }
 
-    /// Watches that are open wait; a new one is refused while the store is down.
+    /// Opens a watch, or refuses it while the store is down. An open watch outlasts an outage.
     fn open_watch(&mut self, watch: OpenWatch, down: bool) {
         let controller = watch.controller;
         if down {
@@ -59,48 +61,48 @@
         }
         let lost = self.now < self.controllers[controller].watches_lost_until;
         if watch.prefix == records::JOBS_PREFIX && lost {
-            return self.record_situation("watch lost");
+            return self.record_situation("watch on jobs lost");
         }
         self.store.open_watches.push(watch);
         self.answer_watches();
     }
 
-    /// A transaction gets no answer and is carried out, at once or later.
+    /// Applies a transaction, at once or later, without a reply.
     fn apply_without_reply(
         &mut self,
         controller: usize,
         epoch: u64,
         call: StoreRequest,
-        late: UnansweredWrites,
+        fault: UnansweredWrites,
     ) {
-        if !late.only_reply_lost {
+        if !fault.only_reply_lost {
             let at = self.now + self.rng.random_range(2_000..12_000);
             return self.send(at, controller, epoch, Message::Store(DUPLICATE_CALL, call));
         }
         if matches!(self.store.apply(self.now, &call), StoreReply::Committed { .. }) {
-            self.record_situation("answer lost");
+            self.record_situation("reply of a committed write lost");
         }
         self.answer_watches();
     }
 
     fn check_reply(&mut self, op: CallId, call: &StoreRequest, reply: &StoreReply) {
-        // A copy may come after the limits fell of what an earlier version wrote before.
-        let late = op == DUPLICATE_CALL && fits_limits(call, LIMITS);
-        if *reply == StoreReply::Rejected && !late {
-            self.record_violation(format!("wrote more than the service takes: {call:?}"));
+        // A duplicate of a write of an earlier version may arrive after the limits were lowered.
+        let is_outdated = op == DUPLICATE_CALL && fits_limits(call, STORE_LIMITS);
+        if *reply == StoreReply::Rejected && !is_outdated {
+            self.record_violation(format!("wrote beyond the limits of the store: {call:?}"));
         }
         match reply {
             StoreReply::Committed { .. } if op == DUPLICATE_CALL => {
-                self.record_situation("late write won")
+                self.record_situation("late write committed")
             }
             StoreReply::Conflict { .. } if op == DUPLICATE_CALL => {
-                self.record_situation("late write lost")
+                self.record_situation("late write conflicted")
             }
             _ => {}
         }
     }
 
-    /// Answers the watches that have something to tell or have waited for long enough.
+    /// Answers the watches that have events or have timed out.
     pub(super) fn answer_watches(&mut self) {
         let now = self.now;
         if now < self.store.down_until {
--- a/crates/basaltrail-core/tests/simulation/simulated/upgrades.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/upgrades.rs
@@ -1,10 +1,11 @@
-//! Upgrades while serving. Where only this version is at hand, the one in production differs by
-//! what it writes: to the limits of its day, with no thought of the next ones.
+//! Rolling upgrades under load. Where only the current version is available, the version in
+//! production is simulated by its store limits: it writes values that exceed the next limits.
 
 use super::*;
 
 impl Simulation {
-    /// Ends controllers, so many at a time, that come back with the new version.
+    /// Stops controllers in batches; each restarts with the current version and the next store
+    /// limits.
     fn upgrade_controllers(
         &mut self,
         batch_size: usize,
@@ -13,7 +14,7 @@
     ) {
         for first in (0..CONTROLLERS).step_by(batch_size) {
             for i in first..(first + batch_size).min(CONTROLLERS) {
-                self.controllers[i].next_configuration.limits = NEXT_LIMITS;
+                self.controllers[i].next_configuration.store_limits = NEXT_STORE_LIMITS;
                 self.controllers[i].next_version = Version::default();
                 self.stop_controller(i, 400 + 100 * i as u64);
             }
@@ -26,12 +27,14 @@
 fn check_upgrades(seeds: std::ops::Range<u64>, scenario: impl Fn(&mut Simulation)) {
     let mut largest = 0;
     let earlier = Version::PRODUCTION.iter();
-    for (seed, version) in earlier.flat_map(|v| seeds.clone().map(move |seed| (seed, *v))) {
+    for (seed, version) in
+        earlier.flat_map(|version| seeds.clone().map(move |seed| (seed, *version)))
+    {
         let mut sim = Simulation::new(seed);
         sim.run_version(version);
         for user in &mut sim.users {
             user.faulty = false;
-            // Nothing new is asked for before all have the new version.
+            // No service is submitted before all controllers run the current version.
             if user.spec.is_service() {
                 (user.submit_at, user.cancel_at) = (FAULTS_END_MS, Some(FAULTS_END_MS + 90_000));
             }
@@ -45,12 +48,15 @@
         sim.violations.truncate(5);
         assert!(sim.violations.is_empty(), "seed {seed}, {version:?}: {:#?}", sim.violations);
         assert!(
-            sim.largest_registry_part() <= NEXT_LIMITS.0,
+            sim.largest_registry_part() <= NEXT_STORE_LIMITS.0,
             "seed {seed}: {}",
             sim.largest_registry_part()
         );
     }
-    assert!(largest > NEXT_LIMITS.0, "the old version left nothing to be cut: {largest}");
+    assert!(
+        largest > NEXT_STORE_LIMITS.0,
+        "no value of the old version exceeded the next limits: {largest}"
+    );
 }
 
 impl Simulation {
@@ -61,7 +67,7 @@
 }
 
 #[test]
-fn upgrade_one_at_a_time_and_the_limits_fall() {
+fn rolling_upgrade_one_controller_at_a_time() {
     check_upgrades(0..6, |sim| {
         sim.upgrade_controllers(1, 8_000, |_, _| {});
         sim.lower_store_limits_after(5_000);
@@ -69,12 +75,12 @@
 }
 
 #[test]
-fn upgrade_of_several_at_a_time_with_crashes_back_to_the_old() {
+fn rolling_upgrade_two_at_a_time_with_a_restart_of_the_old_version() {
     check_upgrades(0..6, |sim| {
         sim.upgrade_controllers(2, 6_000, |sim, first| {
             sim.run_until(sim.now + 2_000);
             sim.cancel_running_jobs(2, 1_000);
-            // One whose turn has not come ends, and comes back old.
+            // A controller that is not upgraded yet restarts with the old version.
             if first == 0 {
                 sim.stop_controller(CONTROLLERS - 1, 20);
             }
@@ -84,7 +90,7 @@
 }
 
 #[test]
-fn limits_fall_in_an_outage_after_an_upgrade_among_troubles() {
+fn store_limits_fall_during_an_outage_after_an_upgrade_with_faults() {
     check_upgrades(0..6, |sim| {
         sim.unanswered_writes =
             UnansweredWrites { until: sim.now + 30_000, share: 0.3, only_reply_lost: false };
@@ -113,6 +119,6 @@
 impl Simulation {
     fn lower_store_limits_after(&mut self, ms: u64) {
         self.run_until(self.now + ms);
-        self.store.limits = NEXT_LIMITS;
+        self.store.limits = NEXT_STORE_LIMITS;
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/users.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/users.rs
@@ -1,4 +1,4 @@
-//! Users: what they ask, and what they may be told.
+//! Users: their requests, and the checks of the answers.
 
 use super::*;
 
@@ -27,7 +27,7 @@
         user.request_deadline = now + kind.timeout_ms();
         self.send(next_at, usize::MAX, 0, Message::User(i));
         self.send_request(i, controller, kind, 0, true);
-        // Somebody asks for a job that nobody submitted.
+        // Poll of a job that was never submitted.
         if self.rng.random_bool(0.05) {
             let req = self.register_request(Requester::UnknownJob);
             self.send(now + 1, controller, 0, Message::Input(Input::Poll { req, job: JobId(77) }));
@@ -43,7 +43,7 @@
         RequestId(self.last_request_id)
     }
 
-    /// A user asks a controller, `delay_ms` from now.
+    /// Sends a user's request to a controller after `delay_ms`.
     fn send_request(
         &mut self,
         i: usize,
@@ -76,14 +76,14 @@
         self.send(at, controller, 0, Message::Input(input));
     }
 
-    /// Its user calls a job off, now.
+    /// Cancels the job of a user now.
     pub(super) fn cancel_job(&mut self, i: usize) {
         self.users[i].cancel_at.get_or_insert(self.now);
         let controller = self.rng.random_range(0..CONTROLLERS);
         self.send_request(i, controller, RequestKind::Cancel, 0, false);
     }
 
-    /// Right after a user was told something: at all controllers, again and again.
+    /// Sends several requests to all controllers right after a user got a new status.
     fn read_back(&mut self, i: usize) {
         for controller in 0..CONTROLLERS {
             for kind in [RequestKind::Poll, RequestKind::Submit, RequestKind::Poll] {
@@ -92,12 +92,13 @@
             }
         }
         if self.users[i].observed == Observed::Accepted && self.rng.random_bool(0.1) {
-            self.record_situation("cancelled at once");
+            self.record_situation("cancelled right after acceptance");
             self.cancel_job(i);
         }
     }
 
-    /// Requests that a careful user would not send.
+    /// Sends a request that is redundant or too late for the known status, and an invalid
+    /// submission.
     fn send_invalid_requests(&mut self, i: usize, controller: usize) {
         match self.users[i].observed {
             Observed::Unknown => {}
@@ -121,17 +122,17 @@
         self.send(self.now + 1, controller, 0, Message::Input(input));
     }
 
-    /// An answer arrives.
+    /// Handles an answer to a user.
     pub(super) fn handle_answer(&mut self, requester: Requester, answer: Answer) {
         let known = matches!(answer, Answer::Job { .. } | Answer::Created { .. });
         let (i, request) = match requester {
             Requester::User(i, request) => (i, request),
             Requester::UnknownJob if known => return self.record_violation("invented".into()),
             Requester::InvalidJob if known => {
-                return self.record_violation("accepted what can never run".into());
+                return self.record_violation("accepted an invalid job".into());
             }
             Requester::InvalidJob if matches!(answer, Answer::Unschedulable(_)) => {
-                return self.record_situation("422");
+                return self.record_situation("invalid job refused");
             }
             _ => return,
         };
@@ -151,7 +152,7 @@
             self.record_violation(format!("{rule}: {job}"));
         }
         if !request.exclusive && known && request.observed_before != Observed::Unknown {
-            self.record_situation("looked");
+            self.record_situation("status read back");
         }
         if observed == before {
             return;
@@ -164,7 +165,7 @@
         }
     }
 
-    /// In which moment a cancellation was confirmed.
+    /// Counts the situations in which a cancellation was confirmed.
     fn record_cancellation(&mut self, i: usize) {
         let job = self.users[i].job;
         let runs_task = |worker: &&Worker| {
@@ -181,10 +182,10 @@
             unreachable |= self.zone_partition.is_some();
         }
         if is_running {
-            self.record_situation("cancelled as it ran");
+            self.record_situation("cancelled while running");
         }
         if unreachable {
-            self.record_situation("cancelled out of reach");
+            self.record_situation("cancelled while a machine was unreachable");
         }
         let cannot_reach_store = |controller: &SimulatedController| {
             now < controller.store_refuses_until || controller.store_partition.is_some()
@@ -195,7 +196,7 @@
                     && controller.process.as_ref().is_some_and(Process::is_leading)
             })
         {
-            self.record_situation("cancelled beside a leader that is refused");
+            self.record_situation("cancelled while the store refused the leader");
         }
         if is_running && self.leader().is_none() {
             self.record_situation("cancelled without a leader");
@@ -204,7 +205,7 @@
 }
 
 impl User {
-    /// Takes what an answer says; an error names the rule that the answer breaks.
+    /// Updates the known status from an answer. The error names the rule that the answer breaks.
     fn check_answer(
         &mut self,
         request: PendingRequest,
@@ -218,7 +219,7 @@
                 }
                 match request.observed_before {
                     Observed::Unknown => Ok(()),
-                    _ => Err("went_back: a known job was accepted anew"),
+                    _ => Err("went_back: a known job was created again"),
                 }
             }
             Answer::Job { status, .. } => self.check_status(request, *status, now),
@@ -247,10 +248,10 @@
             (JobStatus::Cancelled, Observed::Cancelled(_)) => Ok(()),
             (JobStatus::Cancelled, _) => {
                 self.observed = Observed::Cancelled(now);
-                self.cancel_requested.then_some(()).ok_or("went_back: cancelled by nobody")
+                self.cancel_requested.then_some(()).ok_or("went_back: cancelled without a request")
             }
             _ if matches!(request.observed_before, Observed::Done | Observed::Cancelled(_)) => {
-                Err("went_back: ended, then alive")
+                Err("went_back: ended, then active")
             }
             (_, Observed::Unknown) => {
                 self.observed = Observed::Accepted;
@@ -269,7 +270,7 @@
 }
 
 impl RequestKind {
-    /// How long a user waits for the answer.
+    /// Returns the time for which a user waits for the answer.
     fn timeout_ms(self) -> u64 {
         match self {
             RequestKind::Poll => 2_000,
--- a/crates/basaltrail-core/tests/simulation/simulated/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/workers.rs
@@ -1,16 +1,16 @@
-//! Machines and the agents on them: heartbeats, tasks, and what they do with commands.
+//! Machines and their workers: heartbeats, tasks and commands.
 
 use super::*;
 
-/// Milliseconds that a task takes to save its progress.
+/// Time that a task takes to save its progress.
 const SAVING_MS: u64 = 2_000;
-/// Milliseconds after which an agent asks another controller.
+/// Delay before a worker sends a heartbeat to the next controller.
 const SWITCH_CONTROLLER_MS: u64 = 1_000;
-/// Milliseconds after which an agent follows a hint to the leader.
+/// Delay before a worker follows a hint to the leader.
 const FOLLOW_HINT_MS: u64 = 100;
-/// Milliseconds until an agent that has seen a new leader's token sends its next heartbeat.
+/// Delay of the next heartbeat after a worker has got a new fencing token.
 const NEW_TOKEN_MS: u64 = 500;
-/// Heartbeats that are held back for the next leader.
+/// Maximum number of duplicates that are held for the next leader.
 const MAX_HELD_HEARTBEATS: usize = 4_000;
 
 impl Worker {
@@ -20,7 +20,8 @@
         self.terminated_at.get_or_insert(now);
     }
 
-    /// The lease binds a hung machine too: what it ran is over.
+    /// Ends all tasks and the agent epoch when the worker lease expires. The lease of a hung
+    /// worker expires too.
     fn expire_lease(&mut self, now: u64) {
         self.tasks.clear();
         self.agent_epoch.0 += 1;
@@ -29,13 +30,13 @@
         self.next_heartbeat = now;
     }
 
-    /// Asks the next controller, a while from now.
+    /// Selects the next controller for the heartbeat after `SWITCH_CONTROLLER_MS`.
     fn switch_controller(&mut self, now: u64) {
         self.controller = (self.controller + 1) % CONTROLLERS;
         self.next_heartbeat = now + SWITCH_CONTROLLER_MS;
     }
 
-    /// What it reports now.
+    /// Returns the heartbeat for the present state.
     fn heartbeat(&self, index: usize, now: u64) -> Heartbeat {
         let seconds_left = |at: u64| at.saturating_sub(now) as f64 / 1000.0;
         let status = |((task, attempt), simulated): (&(TaskId, Attempt), &SimulatedTask)| {
@@ -58,7 +59,8 @@
         }
     }
 
-    /// A task that is started again here, or for which there is no room, exits at once.
+    /// Returns the state of a task after a start command. The task exits at once if it already
+    /// runs here or does not fit.
     fn initial_state(&self, task: TaskId, used_cpus: f64, cpus: f64) -> TaskState {
         let is_live = |simulated: &SimulatedTask| !matches!(simulated.state, TaskState::Exited(_));
         if self.tasks.iter().any(|(key, simulated)| key.0 == task && is_live(simulated)) {
@@ -76,7 +78,7 @@
         matches!(simulated.state, TaskState::Running | TaskState::Saving)
     }
 
-    /// What every machine does by now.
+    /// Advances all machines to the present time.
     pub(super) fn step_workers(&mut self) {
         for index in 0..self.workers.len() {
             let now = self.now;
@@ -97,8 +99,9 @@
                 worker.awaiting_reply = None;
                 worker.switch_controller(now);
             }
-            let is_due =
-                |(_, simulated): &(&(TaskId, Attempt), &SimulatedTask)| simulated.until <= now;
+            let is_due = |(_, simulated): &(&(TaskId, Attempt), &SimulatedTask)| {
+                simulated.state_ends_at <= now
+            };
             let due: Vec<(TaskId, Attempt)> =
                 worker.tasks.iter().filter(is_due).map(|(key, _)| *key).collect();
             for key in due {
@@ -125,7 +128,7 @@
         let at = now + self.network_delay();
         let at = self.arrival_at_worker(to, index, at);
         if self.is_duplicated() {
-            // From milliseconds to well over a lease late, and answered to nobody.
+            // The duplicate arrives up to three lease durations late and gets no answer.
             let delay_ms = self.rng.random_range(50..3 * LEASE_MS);
             self.send_duplicate_heartbeat(to, delay_ms, &heartbeat);
         }
@@ -149,20 +152,23 @@
         self.send(self.now + delay_ms, to, 0, Message::Input(input));
     }
 
-    /// The present state of a task is over.
+    /// Moves a task on whose present state has ended.
     pub(super) fn advance_task(&mut self, index: usize, key: (TaskId, Attempt)) {
         let now = self.now;
         let Some(simulated) = self.workers[index].tasks.get_mut(&key) else { return };
-        simulated.until = u64::MAX;
+        simulated.state_ends_at = u64::MAX;
         let task = key.0;
-        let user_index =
-            self.users.iter().position(|user| user.job == task.job).expect("a user's job");
+        let user_index = self
+            .users
+            .iter()
+            .position(|user| user.job == task.job)
+            .expect("each task belongs to a job of a user");
         match simulated.state {
             TaskState::Fetching => {
                 simulated.state = TaskState::Running;
-                simulated.until = simulated.run_ends_at.max(now + 1);
+                simulated.state_ends_at = simulated.run_ends_at.max(now + 1);
                 if self.users[user_index].tasks_done.contains(&task.index) {
-                    simulated.until = now;
+                    simulated.state_ends_at = now;
                 }
                 self.check_start(index, user_index, key);
             }
@@ -175,7 +181,7 @@
         }
     }
 
-    /// A task has run for its time: it fails, or is done.
+    /// Ends the run of a task, as failed or done.
     fn end_run(&mut self, index: usize, user_index: usize, key: (TaskId, Attempt)) {
         let task = key.0;
         let service = self.users[user_index].spec.is_service();
@@ -192,16 +198,17 @@
                 && self.now < cancellations.until
                 && self.rng.random_bool(cancellations.share)
             {
-                self.record_situation("cancelled at its end");
+                self.record_situation("cancelled as the last task finished");
                 self.cancel_job(user_index);
             }
         }
-        let simulated = self.workers[index].tasks.get_mut(&key).expect("it runs here");
+        let simulated =
+            self.workers[index].tasks.get_mut(&key).expect("the task is on this machine");
         simulated.state = TaskState::Exited(reason);
         self.workers[index].next_heartbeat = self.now;
     }
 
-    /// An answer to a heartbeat arrives.
+    /// Handles the response to a heartbeat.
     pub(super) fn handle_commands(
         &mut self,
         index: usize,
@@ -212,7 +219,7 @@
         let now = self.now;
         let worker = &mut self.workers[index];
         let Some((awaited, sent)) = worker.awaiting_reply.filter(|_| worker.alive) else { return };
-        // Late responses and those of an earlier agent epoch are dropped.
+        // A worker drops late responses and those to an earlier agent epoch.
         let is_lost = now > sent + REPLY_TIMEOUT_MS
             || now < worker.hung_until
             || now < worker.downlink_lost_until;
@@ -268,11 +275,11 @@
             return;
         }
         let Some(user_index) = self.users.iter().position(|user| user.job == task.job) else {
-            return self.record_violation(format!("started a task of no job: {task:?}"));
+            return self.record_violation(format!("started a task of an unknown job: {task:?}"));
         };
         if let Observed::Cancelled(at) = self.users[user_index].observed {
             self.situations
-                .entry("start after a cancellation")
+                .entry("started after a cancellation")
                 .and_modify(|n| *n += 1)
                 .or_default();
             if now > at + CANCELLATION_KNOWN_WITHIN_MS {
@@ -285,20 +292,20 @@
             self.used_cpus(index),
             self.users[user_index].spec.cpus,
         );
-        let until = now + self.rng.random_range(200..2_500);
+        let state_ends_at = now + self.rng.random_range(200..2_500);
         let run_ms = if self.long_tasks { 60_000..110_000 } else { 2_000..25_000 };
-        let run_ends_at = until + self.rng.random_range(run_ms);
-        // Few replicas end by themselves.
+        let run_ends_at = state_ends_at + self.rng.random_range(run_ms);
+        // One replica in ten ends by itself.
         let never_ends = self.users[user_index].spec.is_service()
             && !self.users[user_index].faulty
             && !self.workers[index].faulty
             && self.rng.random_bool(0.9);
         let run_ends_at = if never_ends { u64::MAX } else { run_ends_at };
-        let simulated = SimulatedTask { state, until, run_ends_at };
+        let simulated = SimulatedTask { state, state_ends_at, run_ends_at };
         self.workers[index].tasks.insert((task, attempt), simulated);
     }
 
-    /// CPUs of all tasks on a machine that have not exited.
+    /// Returns the CPUs of all tasks on a machine that have not exited.
     fn used_cpus(&self, index: usize) -> f64 {
         self.workers[index]
             .tasks
@@ -320,7 +327,7 @@
         match simulated.state {
             TaskState::Running if saves => {
                 simulated.state = TaskState::Saving;
-                simulated.until = self.now + SAVING_MS;
+                simulated.state_ends_at = self.now + SAVING_MS;
             }
             TaskState::Saving if grace_s > 0.0 => {}
             TaskState::Exited(_) => {}
--- a/crates/basaltrail-core/tests/simulation/versions.rs
+++ b/crates/basaltrail-core/tests/simulation/versions.rs
@@ -1,5 +1,5 @@
-//! The versions of the controller that a simulated process may run: here, this one alone.
-//! `tests/mixed-versions` plays the same days with earlier ones beside it.
+//! Versions of the controller that a simulated process may run: here only the current one.
+//! `tests/mixed-versions` runs the same simulations with earlier versions as well.
 
 use basaltrail_core::{Controller, Effect, Input, Settings};
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 }
 
 impl Version {
-    /// What processes run side by side on a day, a set for each day in turn.
+    /// Sets of versions that run side by side; the seed of a run selects the set.
     pub const MIXED: &[&[Version]] = &[&[Version::Current]];
-    /// What may be in production before an upgrade.
+    /// Versions that may be in production before an upgrade.
     pub const PRODUCTION: &[Version] = &[Version::Current];
 
-    /// Whether it may start or renew tasks by what it knew of jobs before an outage.
+    /// Returns whether the version may start or renew tasks on job data from before an outage.
     pub fn renews_on_stale_jobs(self) -> bool {
         match self {
             Version::Current => false,
@@ -30,7 +30,7 @@
     }
 }
 
-/// A process of some version.
+/// A controller process of some version.
 pub struct Process(Controller);
 
 impl Process {
--- a/tests/mixed-versions/src/lib.rs
+++ b/tests/mixed-versions/src/lib.rs
@@ -1,1 +1,2 @@
-//! The days of the simulation, played by processes of several versions: see `tests/simulation.rs`.
+//! The simulation of `basaltrail-core` with processes of several versions: see
+//! `tests/simulation.rs`.
--- a/tests/mixed-versions/tests/simulation.rs
+++ b/tests/mixed-versions/tests/simulation.rs
@@ -1,7 +1,8 @@
-//! The simulation of `basaltrail-core` with the versions that may run beside the present one:
-//! e26460f, which the operators run, and 9b39f4b, which has landed since. On the seeded days and
-//! in the meetings each process that starts runs a version drawn anew, so that each leads,
-//! follows, takes over, dies and comes back old in any order; the rolls upgrade both.
+//! Runs the simulation of `basaltrail-core` with the versions that may run at the same time as the
+//! current one: e26460f, which is in production, and 9b39f4b, which is newer. In the seeded runs
+//! and the scenarios with concurrent faults, each process that starts runs a random version, so
+//! each version leads, follows, takes over, stops and restarts in any order. The upgrade tests
+//! upgrade from both.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
 
--- a/tests/mixed-versions/tests/versions/convert.rs
+++ b/tests/mixed-versions/tests/versions/convert.rs
@@ -1,50 +1,51 @@
-//! Inputs and effects of the present version as an earlier one has them, and back. The types
-//! have the same shape under other names; what differs is given to the macro.
+//! Converts inputs of the current version to those of an earlier version, and its effects back.
+//! The types have the same shape under other names; differences are parameters of the macro.
 
-/// `$rejected` is what the version is told of a write that the state service refuses for good.
+/// `$rejected` is the reply that the version gets for a transaction that the store rejects
+/// permanently.
 macro_rules! earlier_version {
     ($module:ident, $old:ident, $rejected:expr) => {
         pub mod $module {
             use basaltrail_core as new;
             use $old as old;
 
-            pub fn settings(s: new::Settings) -> old::Settings {
+            pub fn settings(settings: new::Settings) -> old::Settings {
                 old::Settings {
-                    node: s.controller,
-                    zone: s.zone,
-                    nodes: s.controller_count,
-                    zones: s.zones,
-                    peer_zones: s.peer_zones,
-                    teams: s.teams.into_iter().map(team).collect(),
-                    objectives: s.objectives.into_iter().map(objective).collect(),
-                    report_ms: s.heartbeat_interval_ms,
-                    lease_ms: s.lease_ms,
-                    cancel_ms: s.cancel_ms,
-                    state_rps: s.store_rps,
-                    write_rps: s.write_rps,
-                    value_bytes: s.value_bytes,
-                    txn_ops: s.transaction_ops,
-                    cloud_rps: s.cloud_rps,
-                    list_lag_ms: s.list_lag_ms,
-                    memory_mb: s.memory_mb,
-                    machines_most: s.max_machines,
-                    incarnation: s.incarnation,
+                    node: settings.controller,
+                    zone: settings.zone,
+                    nodes: settings.controller_count,
+                    zones: settings.zones,
+                    peer_zones: settings.peer_zones,
+                    teams: settings.teams.into_iter().map(team).collect(),
+                    objectives: settings.objectives.into_iter().map(objective).collect(),
+                    report_ms: settings.heartbeat_interval_ms,
+                    lease_ms: settings.lease_ms,
+                    cancel_ms: settings.cancel_ms,
+                    state_rps: settings.store_rps,
+                    write_rps: settings.write_rps,
+                    value_bytes: settings.value_bytes,
+                    txn_ops: settings.transaction_ops,
+                    cloud_rps: settings.cloud_rps,
+                    list_lag_ms: settings.list_lag_ms,
+                    memory_mb: settings.memory_mb,
+                    machines_most: settings.max_machines,
+                    incarnation: settings.incarnation,
                     policy: old::Policy::default(),
                 }
             }
 
-            fn team(t: new::Team) -> old::Team {
+            fn team(team: new::Team) -> old::Team {
                 old::Team {
-                    name: t.name,
-                    cpus: t.cpus,
-                    cpus_max: t.cpus_max,
-                    gpus: t.gpus,
-                    gpus_max: t.gpus_max,
+                    name: team.name,
+                    cpus: team.cpus,
+                    cpus_max: team.cpus_max,
+                    gpus: team.gpus,
+                    gpus_max: team.gpus_max,
                 }
             }
 
-            fn objective(o: new::Objective) -> old::Objective {
-                match o {
+            fn objective(objective: new::Objective) -> old::Objective {
+                match objective {
                     new::Objective::Deadline { class, times } => {
                         old::Objective::Deadline { class, times }
                     }
@@ -57,15 +58,15 @@
                 }
             }
 
-            /// By the stored form, as the version reads it.
+            /// Converts a value through its serialized form.
             fn stored<A: serde::Serialize, B: for<'a> serde::Deserialize<'a>>(value: &A) -> B {
-                let text = serde_json::to_string(value).expect("it can be stored");
-                serde_json::from_str(&text).expect("the version reads it")
+                let text = serde_json::to_string(value).expect("the value serializes");
+                serde_json::from_str(&text).expect("the earlier version deserializes the value")
             }
 
             pub fn input(input: new::Input) -> old::Input {
                 match input {
-                    // Nobody asks an earlier version for its limits.
+                    // No test inspects the limits of an earlier version.
                     new::Input::Tick | new::Input::Inspect { .. } => old::Input::Tick,
                     new::Input::Submit { req, job, spec } => old::Input::Submit {
                         req: old::ReqId(req.0),
@@ -78,9 +79,10 @@
                     new::Input::Cancel { req, job } => {
                         old::Input::Cancel { req: old::ReqId(req.0), job: old::JobId(job.0) }
                     }
-                    new::Input::Heartbeat { req, heartbeat: r } => {
-                        old::Input::Checkin { req: old::ReqId(req.0), report: Box::new(report(*r)) }
-                    }
+                    new::Input::Heartbeat { req, heartbeat } => old::Input::Checkin {
+                        req: old::ReqId(req.0),
+                        report: Box::new(report(*heartbeat)),
+                    },
                     new::Input::Store { op, reply } => {
                         old::Input::State { op: old::OpId(op.0), reply: store_reply(reply) }
                     }
@@ -98,15 +100,18 @@
                 }
             }
 
-            fn report(r: new::Heartbeat) -> old::Report {
-                let task = |t: new::TaskStatus| old::TaskReport {
-                    task: old::TaskId { job: old::JobId(t.task.job.0), index: t.task.index },
-                    attempt: old::Attempt(t.attempt.0),
-                    state: match t.state {
+            fn report(heartbeat: new::Heartbeat) -> old::Report {
+                let task = |status: new::TaskStatus| old::TaskReport {
+                    task: old::TaskId {
+                        job: old::JobId(status.task.job.0),
+                        index: status.task.index,
+                    },
+                    attempt: old::Attempt(status.attempt.0),
+                    state: match status.state {
                         new::TaskState::Fetching => old::TaskState::Fetching,
                         new::TaskState::Running => old::TaskState::Running,
                         new::TaskState::Saving => old::TaskState::Saving,
-                        new::TaskState::Exited(why) => old::TaskState::Exited(match why {
+                        new::TaskState::Exited(reason) => old::TaskState::Exited(match reason {
                             new::ExitReason::Done => old::Why::Done,
                             new::ExitReason::Stopped => old::Why::Stopped,
                             new::ExitReason::Error => old::Why::Error,
@@ -117,31 +122,31 @@
                     },
                 };
                 old::Report {
-                    machine: old::MachineId(r.machine.0),
-                    endpoint: r.endpoint,
-                    machine_type: r.machine_type,
-                    zone: r.zone,
-                    spot: r.spot,
-                    session: r.agent_epoch.0,
-                    seq: r.sequence,
-                    token: old::Token(r.token.0),
-                    notice_s: r.reclaim_notice_s,
-                    tasks: r.tasks.into_iter().map(task).collect(),
+                    machine: old::MachineId(heartbeat.machine.0),
+                    endpoint: heartbeat.endpoint,
+                    machine_type: heartbeat.machine_type,
+                    zone: heartbeat.zone,
+                    spot: heartbeat.spot,
+                    session: heartbeat.agent_epoch.0,
+                    seq: heartbeat.sequence,
+                    token: old::Token(heartbeat.token.0),
+                    notice_s: heartbeat.reclaim_notice_s,
+                    tasks: heartbeat.tasks.into_iter().map(task).collect(),
                 }
             }
 
-            fn item(i: new::KeyValue) -> old::Item {
+            fn item(item: new::KeyValue) -> old::Item {
                 old::Item {
-                    key: i.key,
-                    value: i.value,
-                    stamp: i.mod_revision.0,
-                    loan: i.lease_id.map(|id| id.0),
+                    key: item.key,
+                    value: item.value,
+                    stamp: item.mod_revision.0,
+                    loan: item.lease_id.map(|id| id.0),
                 }
             }
 
             fn store_reply(reply: new::StoreReply) -> old::StateReply {
                 match reply {
-                    new::StoreReply::KeyValue(i) => old::StateReply::Found(item(i)),
+                    new::StoreReply::KeyValue(found) => old::StateReply::Found(item(found)),
                     new::StoreReply::NotFound => old::StateReply::Missing,
                     new::StoreReply::Page { items, more, revision } => old::StateReply::Rows {
                         items: items.into_iter().map(item).collect(),
@@ -161,7 +166,7 @@
                         events: events
                             .into_iter()
                             .map(|event| match event {
-                                new::WatchEvent::Put(i) => old::Event::Put(item(i)),
+                                new::WatchEvent::Put(put) => old::Event::Put(item(put)),
                                 new::WatchEvent::Delete { key, mod_revision } => {
                                     old::Event::Remove { key, stamp: mod_revision.0 }
                                 }
@@ -194,27 +199,28 @@
                 }
             }
 
-            fn listed(m: new::ListedMachine) -> old::ListedMachine {
+            fn listed(machine: new::ListedMachine) -> old::ListedMachine {
                 old::ListedMachine {
-                    machine: old::MachineId(m.machine.0),
-                    endpoint: m.endpoint,
-                    machine_type: m.machine_type,
-                    zone: m.zone,
-                    spot: m.spot,
-                    state: match m.state {
+                    machine: old::MachineId(machine.machine.0),
+                    endpoint: machine.endpoint,
+                    machine_type: machine.machine_type,
+                    zone: machine.zone,
+                    spot: machine.spot,
+                    state: match machine.state {
                         new::ListedState::Booting => old::ListedState::Booting,
                         new::ListedState::Running => old::ListedState::Running,
                         new::ListedState::Failed => old::ListedState::Failed,
                     },
-                    age_s: m.age_s,
+                    age_s: machine.age_s,
                 }
             }
 
             pub fn effect(effect: old::Effect) -> Option<new::Effect> {
                 Some(match effect {
-                    old::Effect::Answer { req, answer: a } => {
-                        new::Effect::Answer { req: new::RequestId(req.0), answer: answer(a) }
-                    }
+                    old::Effect::Answer { req, answer: old_answer } => new::Effect::Answer {
+                        req: new::RequestId(req.0),
+                        answer: answer(old_answer),
+                    },
                     old::Effect::State { op, call, timeout_ms } => new::Effect::Store {
                         op: new::CallId(op.0),
                         call: store_request(call),
@@ -235,7 +241,7 @@
                             })
                             .collect(),
                     },
-                    // Neither logs an event that a check reads.
+                    // Earlier versions log no event that a check reads.
                     old::Effect::Log { .. } => return None,
                 })
             }
@@ -254,7 +260,7 @@
                         done,
                         running,
                     },
-                    // Checks look at the kind of an answer; the reason is for its text alone.
+                    // Checks read only the kind of an answer; the reason affects only its text.
                     old::Answer::Invalid(_) => {
                         new::Answer::Invalid(new::InvalidReason::DescriptionTooLong)
                     }
--- a/tests/mixed-versions/tests/versions/mod.rs
+++ b/tests/mixed-versions/tests/versions/mod.rs
@@ -1,4 +1,4 @@
-//! The versions of the controller that a simulated process may run.
+//! Versions of the controller that a simulated process may run.
 
 mod convert;
 
@@ -7,24 +7,24 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Version {
-    /// In production.
+    /// The version in production.
     E26460f,
-    /// Landed since, with services.
+    /// The first version with services.
     V9b39f4b,
     #[default]
     Current,
 }
 
 impl Version {
-    /// What processes run side by side on a day, a set for each day in turn.
+    /// Sets of versions that run side by side; the seed of a run selects the set.
     pub const MIXED: &[&[Version]] = &[
         &[Version::E26460f, Version::V9b39f4b, Version::Current],
         &[Version::V9b39f4b, Version::Current],
     ];
-    /// What may be in production before an upgrade.
+    /// Versions that may be in production before an upgrade.
     pub const PRODUCTION: &[Version] = &[Version::E26460f, Version::V9b39f4b];
 
-    /// Whether it may start or renew tasks by what it knew of jobs before an outage.
+    /// Returns whether the version may start or renew tasks on job data from before an outage.
     pub fn renews_on_stale_jobs(self) -> bool {
         self == Version::E26460f
     }
@@ -34,7 +34,7 @@
     }
 }
 
-/// A process of some version.
+/// A controller process of some version.
 pub enum Process {
     E26460f(Box<core_e26460f::Node>),
     V9b39f4b(Box<core_9b39f4b::Node>),
@@ -68,7 +68,7 @@
                 let effects = node.step(now, wall, convert::v9b39f4b::input(input));
                 effects.into_iter().filter_map(convert::v9b39f4b::effect).collect()
             }
-            Process::Current(node) => node.step(now, wall, input),
+            Process::Current(controller) => controller.step(now, wall, input),
         }
     }
 
@@ -76,7 +76,7 @@
         match self {
             Process::E26460f(node) => node.leading(),
             Process::V9b39f4b(node) => node.leading(),
-            Process::Current(node) => node.is_leading(),
+            Process::Current(controller) => controller.is_leading(),
         }
     }
 }
