--- a/crates/basaltrail-testbed/src/clock.rs
+++ b/crates/basaltrail-testbed/src/clock.rs
@@ -1,28 +1,28 @@
-//! The clock of a run, shared by all stand-ins.
+//! The monotonic clock of a run, shared by all stand-ins.
 
 use std::time::{Duration, Instant};
 
-/// Milliseconds: an instant since the run started, or a duration.
+/// Milliseconds: a time since the run started, or a duration.
 pub type Ms = u64;
 
-/// A monotonic clock that starts with the run.
+/// A monotonic clock whose time zero is the start of the run.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Clock(Instant::now())
     }
 
-    /// The present instant.
+    /// Returns the time since the clock started.
     pub fn now(&self) -> Ms {
         self.0.elapsed().as_millis() as Ms
     }
 
-    /// Sleeps until an instant; returns at once if it is past.
-    pub async fn sleep_until(&self, at: Ms) {
-        let remaining_ms = at.saturating_sub(self.now());
+    /// Sleeps until the given time; returns immediately if the time has passed.
+    pub async fn sleep_until(&self, deadline: Ms) {
+        let remaining_ms = deadline.saturating_sub(self.now());
         tokio::time::sleep(Duration::from_millis(remaining_ms)).await;
     }
 }
--- a/crates/basaltrail-testbed/src/config.rs
+++ b/crates/basaltrail-testbed/src/config.rs
@@ -1,40 +1,40 @@
-//! What a testbed is started with.
+//! The configuration of a testbed.
 
 use crate::deployment::Deployment;
 use std::path::{Path, PathBuf};
 
-/// Where the controllers' policy comes from.
+/// The source of the controllers' policy.
 #[derive(Clone, Debug, Default)]
 pub enum PolicySource {
     /// The controllers start without a policy file.
     #[default]
     None,
-    /// A policy file, the same for all controllers.
+    /// All controllers use one policy file.
     File(PathBuf),
-    /// Entries of a policy file; an administration listener is added for each controller.
+    /// Entries of a policy. A policy file is written for each controller, with its administration
+    /// listener and these entries.
     Entries(String),
 }
 
 impl PolicySource {
-    /// The named file, or no policy.
+    /// Returns the given file as the source, or no policy if it is `None`.
     pub fn from_file(file: Option<&Path>) -> Self {
         file.map_or(PolicySource::None, |file| PolicySource::File(file.into()))
     }
 }
 
-/// What a [`Testbed`](crate::testbed::Testbed) is started with.
+/// The configuration of a [`Testbed`](crate::testbed::Testbed).
 #[derive(Clone, Debug)]
 pub struct TestbedConfig<'a> {
-    /// The controllers' program.
+    /// Path of the controllers' program.
     pub program: &'a Path,
-    /// The controllers' policy.
+    /// Policy of the controllers.
     pub policy: &'a PolicySource,
-    /// The deployment.
+    /// The deployment under test.
     pub deployment: &'a Deployment,
-    /// Where settings and logs are written.
+    /// Directory for settings, policies and logs.
     pub directory: &'a Path,
-    /// Port of the first controller; the others get the ports that follow. Free ports are chosen
-    /// if it is `None`.
+    /// Port of the first controller; the others use the ports after it. `None` chooses free ports.
     pub first_port: Option<u16>,
     /// Seed of the state service and the cloud.
     pub seed: u64,
--- a/crates/basaltrail-testbed/src/http.rs
+++ b/crates/basaltrail-testbed/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the stand-ins, and what their servers share.
+//! HTTP client of the stand-ins, common parts of their servers, and the choice of free ports.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -13,50 +13,50 @@
 use warp::http::StatusCode;
 use warp::Filter;
 
-/// Longest body of an answer that a client accepts, in bytes.
+/// Maximum size of a response body that the client accepts, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// How long an idle connection is kept open.
+/// Time after which the client closes an idle connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A request with an optional JSON body.
 #[derive(Clone, Debug)]
 pub struct Request<'a> {
     /// Address of the server.
-    pub to: SocketAddr,
+    pub address: SocketAddr,
     /// HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub path: &'a str,
-    /// JSON body; may be empty.
+    /// JSON body; empty if the request has none.
     pub body: String,
-    /// How long the client waits for the whole answer.
+    /// Time limit for the complete response.
     pub timeout: Duration,
 }
 
 impl<'a> Request<'a> {
-    /// A GET request.
-    pub fn get(to: SocketAddr, path: &'a str, timeout: Duration) -> Self {
-        Request { to, method: "GET", path, body: String::new(), timeout }
+    /// Creates a GET request without a body.
+    pub fn get(address: SocketAddr, path: &'a str, timeout: Duration) -> Self {
+        Request { address, method: "GET", path, body: String::new(), timeout }
     }
 
-    /// A POST request.
-    pub fn post(to: SocketAddr, path: &'a str, body: String, timeout: Duration) -> Self {
-        Request { to, method: "POST", path, body, timeout }
+    /// Creates a POST request.
+    pub fn post(address: SocketAddr, path: &'a str, body: String, timeout: Duration) -> Self {
+        Request { address, method: "POST", path, body, timeout }
     }
 }
 
-/// An answer to a request.
+/// The response to a request.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// `Retry-After`, in seconds, if the answer has the header.
+    /// Value of the `Retry-After` header in seconds; `None` if it is missing or invalid.
     pub retry_after_s: Option<u64>,
-    /// Body; null if it is not JSON.
+    /// JSON body; null if the body is not valid JSON.
     pub body: Value,
 }
 
-/// An HTTP client with one pooled connection to each server.
+/// An HTTP client that keeps at most one idle connection per server.
 #[derive(Clone)]
 pub struct Client(ConnectionPool<HttpConnector, Full<Bytes>>);
 
@@ -74,7 +74,8 @@
 }
 
 impl Client {
-    /// Sends one request; `None` if no whole answer comes in time.
+    /// Sends a request. Returns `None` if the request fails or no complete response arrives within
+    /// its timeout.
     pub async fn call(&self, request: Request<'_>) -> Option<Response> {
         let timeout = request.timeout;
         tokio::time::timeout(timeout, self.exchange(request)).await.ok()?
@@ -83,7 +84,7 @@
     async fn exchange(&self, request: Request<'_>) -> Option<Response> {
         let request = hyper::Request::builder()
             .method(request.method)
-            .uri(format!("http://{}{}", request.to, request.path))
+            .uri(format!("http://{}{}", request.address, request.path))
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(request.body)))
             .ok()?;
@@ -97,7 +98,7 @@
     }
 }
 
-/// An answer of a server: a status and a JSON body.
+/// A server's reply: a status and a JSON body.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JsonReply {
     status: u16,
@@ -105,17 +106,17 @@
 }
 
 impl JsonReply {
-    /// An answer.
+    /// Creates a reply.
     pub fn new(status: u16, body: Value) -> Self {
         JsonReply { status, body }
     }
 
-    /// An answer that says why a request failed.
+    /// Creates a reply whose body contains an error message.
     pub fn error(status: u16, error: &str) -> Self {
         JsonReply::new(status, json!({ "error": error }))
     }
 
-    /// The HTTP response.
+    /// Converts the reply to an HTTP response.
     pub fn into_response(self) -> warp::reply::Response {
         let status = StatusCode::from_u16(self.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let json = warp::reply::json(&self.body);
@@ -123,11 +124,11 @@
     }
 }
 
-/// Serves on a free port of loopback until the runtime ends.
+/// Serves a filter on a free loopback port until the runtime shuts down. Returns the address.
 ///
 /// # Errors
 ///
-/// If no port is free.
+/// Fails if no port can be bound.
 pub async fn serve<F>(filter: F) -> std::io::Result<SocketAddr>
 where
     F: Filter<Error = warp::Rejection> + Clone + Send + Sync + 'static,
@@ -139,25 +140,26 @@
     Ok(address)
 }
 
-/// Ports for controllers: below those that operating systems assign for port 0, so that no
-/// stand-in takes one between its choice and the controller's start, or its restart.
+/// Ports for controllers. They are below the ports that operating systems assign for port 0, so
+/// that no stand-in binds a chosen port before the controller starts or restarts.
 const CONTROLLER_PORTS: std::ops::Range<u16> = 20_000..30_000;
-/// Distance between the first ports that two processes with successive ids try.
+/// Distance between the first ports that processes with consecutive ids try.
 const PROCESS_STRIDE: u32 = 97;
 
-/// A free port of loopback that no other call in this process returned.
+/// Returns the loopback address of a free port that no earlier call in this process returned,
+/// unless every port of the range was tried.
 ///
 /// # Errors
 ///
-/// If there is none.
+/// Fails if no port of the range is free.
 pub fn free_port() -> std::io::Result<SocketAddr> {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
+    static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
     let count = u32::from(CONTROLLER_PORTS.end - CONTROLLER_PORTS.start);
-    // Processes that run at the same time start at different ports.
-    let first = std::process::id().wrapping_mul(PROCESS_STRIDE) % count;
+    // Concurrent processes start their searches at different ports.
+    let first_offset = std::process::id().wrapping_mul(PROCESS_STRIDE) % count;
     for _ in 0..count {
-        let step = NEXT.fetch_add(1, Ordering::Relaxed);
-        let port = CONTROLLER_PORTS.start + ((first + step) % count) as u16;
+        let offset = NEXT_OFFSET.fetch_add(1, Ordering::Relaxed);
+        let port = CONTROLLER_PORTS.start + ((first_offset + offset) % count) as u16;
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         if std::net::TcpListener::bind(address).is_ok() {
             return Ok(address);
--- a/crates/basaltrail-testbed/src/job_catalog.rs
+++ b/crates/basaltrail-testbed/src/job_catalog.rs
@@ -1,4 +1,5 @@
-//! The jobs of a run, as their images describe them: users upload descriptions, workers read them.
+//! Catalog of the jobs of a run, in place of their images: users add descriptions, workers read
+//! them.
 
 use crate::clock::Ms;
 use crate::history::JobRequirements;
@@ -9,19 +10,19 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What the tasks of a job do.
+/// The description of a job, with the requirements and run time of its tasks.
 #[derive(Clone, Debug)]
 pub struct JobDescription {
-    /// What the job requires.
+    /// Requirements of the job.
     pub requirements: JobRequirements,
-    /// How long each task runs, in milliseconds.
+    /// Run time of each task, in milliseconds.
     pub run_ms: Ms,
 }
 
-/// All jobs that were submitted, and the tasks of each that completed; clones share the jobs.
+/// The submitted jobs and the completed tasks of each; clones share one catalog.
 ///
-/// The description of a job that was submitted by hand is derived from the controllers' durable
-/// record of it.
+/// The description of a job that was submitted manually is derived from the controllers' stored
+/// record of the job.
 #[derive(Clone)]
 pub struct JobCatalog {
     jobs: Arc<Mutex<Jobs>>,
@@ -30,31 +31,35 @@
 
 #[derive(Default)]
 struct Jobs {
+    /// Descriptions by job number.
     descriptions: HashMap<u64, JobDescription>,
-    completed: HashMap<u64, BTreeSet<u32>>,
+    /// Indices of the completed tasks, by job number.
+    completed_tasks: HashMap<u64, BTreeSet<u32>>,
 }
 
 impl JobCatalog {
-    /// An empty catalog; records are looked up in a state service.
+    /// Creates an empty catalog that reads job records from a state service.
     pub fn new(state_service: StateService) -> Self {
         JobCatalog { jobs: Arc::default(), state_service }
     }
 
     /// Adds the description of a job.
-    pub fn upload(&self, job: u64, description: JobDescription) {
+    pub fn add(&self, job: u64, description: JobDescription) {
         self.lock().descriptions.insert(job, description);
     }
 
-    /// The description of a job; `None` if it was never submitted.
+    /// Returns the description of a job, or `None` if neither the catalog nor the state service
+    /// contains the job.
     pub fn find(&self, job: u64) -> Option<JobDescription> {
-        let uploaded = self.lock().descriptions.get(&job).cloned();
-        uploaded.or_else(|| {
+        let known = self.lock().descriptions.get(&job).cloned();
+        known.or_else(|| {
             let description = self.description_from_record(job)?;
-            self.upload(job, description.clone());
+            self.add(job, description.clone());
             Some(description)
         })
     }
 
+    /// Returns the description of a job according to the controllers' record.
     fn description_from_record(&self, job: u64) -> Option<JobDescription> {
         let record = self.state_service.value(&active_job_key(JobId(job)))?;
         let JobRecord { spec, .. } = serde_json::from_value(record).ok()?;
@@ -70,14 +75,14 @@
         Some(JobDescription { requirements, run_ms: (spec.estimate_s * 1000.0) as Ms })
     }
 
-    /// Whether a task completed in any attempt.
+    /// Returns whether any attempt of a task completed.
     pub fn is_completed(&self, job: u64, task: u32) -> bool {
-        self.lock().completed.get(&job).is_some_and(|tasks| tasks.contains(&task))
+        self.lock().completed_tasks.get(&job).is_some_and(|tasks| tasks.contains(&task))
     }
 
-    /// Records that a task completed.
-    pub fn set_completed(&self, job: u64, task: u32) {
-        self.lock().completed.entry(job).or_default().insert(task);
+    /// Records the completion of a task.
+    pub fn record_completion(&self, job: u64, task: u32) {
+        self.lock().completed_tasks.entry(job).or_default().insert(task);
     }
 
     fn lock(&self) -> MutexGuard<'_, Jobs> {
--- a/crates/basaltrail-testbed/src/job_request.rs
+++ b/crates/basaltrail-testbed/src/job_request.rs
@@ -1,44 +1,44 @@
-//! A job that is to be submitted: the body of its submission, and the description for workers.
+//! A job to submit, with the body of its submission and its description for the workers.
 
 use crate::clock::Ms;
 use crate::history::JobRequirements;
 use crate::job_catalog::JobDescription;
 use serde_json::{json, Value};
 
-/// Memory of a task, in GB.
+/// Memory of each task, in GB.
 const TASK_MEMORY_GB: f64 = 1.0;
-/// Size of an image, in GB.
+/// Size of each image, in GB.
 const IMAGE_GB: f64 = 0.5;
-/// Number of different images.
+/// Number of distinct images.
 const IMAGES: u64 = 3;
 
-/// A job that is to be submitted.
+/// A job to submit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobRequest {
-    /// Team, class, tasks, and where they may run.
+    /// Team, class, tasks and placement of the job.
     pub requirements: JobRequirements,
-    /// Priority, as PROTOCOL names it.
+    /// Priority, under its name in PROTOCOL.
     pub priority: &'static str,
-    /// How long each task runs, in milliseconds.
+    /// Run time of each task, in milliseconds.
     pub run_ms: Ms,
 }
 
 impl JobRequest {
-    /// The job as workers need it.
+    /// Returns the job's description for the workers.
     pub fn description(&self) -> JobDescription {
         JobDescription { requirements: self.requirements.clone(), run_ms: self.run_ms }
     }
 
-    /// The body of the job's submission, under PROTOCOL's names.
+    /// Returns the body of the job's submission, with the names of PROTOCOL.
     pub fn body(&self, job: u64) -> Value {
-        let required = &self.requirements;
-        let estimate_s = if required.service { 0.0 } else { self.run_ms as f64 / 1000.0 };
-        json!({"nameId": format!("job-{job:06}"), "shelf": required.class, "desk": required.team,
-            "binding": if required.service { "daemon" } else { "array" },
-            "precedence": self.priority, "leaves": required.tasks,
-            "vcpus": required.cpus, "gpus": 0.0, "ramGb": TASK_MEMORY_GB,
+        let requirements = &self.requirements;
+        let estimate_s = if requirements.service { 0.0 } else { self.run_ms as f64 / 1000.0 };
+        json!({"nameId": format!("job-{job:06}"), "shelf": requirements.class, "desk": requirements.team,
+            "binding": if requirements.service { "daemon" } else { "array" },
+            "precedence": self.priority, "leaves": requirements.tasks,
+            "vcpus": requirements.cpus, "gpus": 0.0, "ramGb": TASK_MEMORY_GB,
             "edition": format!("img-{}", job % IMAGES), "sizeGb": IMAGE_GB, "formats": null,
-            "room": required.zone, "samePlace": false, "apart": false, "remainders": required.spot,
+            "room": requirements.zone, "samePlace": false, "apart": false, "remainders": requirements.spot,
             "reckonS": estimate_s, "bookmarkS": 0.0, "pressS": 0.0, "dueS": null})
     }
 }
--- a/crates/basaltrail-testbed/src/users/user.rs
+++ b/crates/basaltrail-testbed/src/users/user.rs
@@ -62,7 +62,7 @@
         let now = context.clock.now();
         let requirements = description.requirements.clone();
         let service = requirements.service;
-        context.jobs.upload(self.job, description);
+        context.jobs.add(self.job, description);
         context.history.record(now, EventKind::SubmissionStarted { job: self.job, requirements });
         self.update(JobProgress::Pending);
         if !self.submit_until_accepted(now + SUBMIT_MS).await {
--- a/crates/basaltrail-testbed/src/worker/agent.rs
+++ b/crates/basaltrail-testbed/src/worker/agent.rs
@@ -165,7 +165,7 @@
             }
             TaskState::Running => {
                 task.state = TaskState::Ended(EndStatus::Done);
-                self.fleet.context.jobs.set_completed(key.job, key.task);
+                self.fleet.context.jobs.record_completion(key.job, key.task);
                 let reason = TaskEndReason::Completed;
                 self.record(at, EventKind::TaskEnded { attempt, reason });
             }
--- a/crates/basaltrail/tests/try_out.rs
+++ b/crates/basaltrail/tests/try_out.rs
@@ -41,7 +41,7 @@
 
 async fn send(to: SocketAddr, request: &Request) -> (u16, Value) {
     let request = http::Request {
-        to,
+        address: to,
         method: request.method,
         path: &request.path,
         body: request.body.clone(),
