--- a/crates/basaltrail-testbed/src/cloud/messages.rs
+++ b/crates/basaltrail-testbed/src/cloud/messages.rs
@@ -1,13 +1,13 @@
-//! Bodies of the cloud (PROTOCOL, Controller nodes -> cloud). Wire names are mapped to the
-//! field's terms here.
+//! Messages of the cloud (PROTOCOL, Controller nodes -> cloud). Serde attributes map the fields to
+//! their names on the wire.
 
 use crate::deployment::{MACHINE_CPUS, MACHINE_MEMORY_GB, MACHINE_TYPE, ZONES};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-/// A provisioning request. It is idempotent by its name.
+/// A provisioning request. Requests with the same name are answered with the same machines.
 #[derive(Clone, Debug, Deserialize)]
-pub(super) struct RentRequest {
+pub(super) struct ProvisionRequest {
     #[serde(rename = "requisition")]
     pub(super) name: Option<String>,
     #[serde(rename = "room")]
@@ -18,21 +18,22 @@
     pub(super) spot: bool,
 }
 
-/// The machines of a provisioning request, or those that are to be released.
+/// Names of machines: the answer to a provisioning request, or the body of a termination request.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct MachineNames {
     #[serde(rename = "stacks", default)]
     pub(super) names: Vec<String>,
 }
 
-/// The query of a page of machines, in ascending order of their names.
+/// Query for a page of the machine list, which is sorted by name.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(super) struct ListQuery {
+    /// Only machines whose names sort after this one.
     #[serde(default)]
     pub(super) after: String,
 }
 
-/// The condition of a listed machine.
+/// Condition of a listed machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum MachineCondition {
@@ -41,7 +42,7 @@
     Failed,
 }
 
-/// A machine in the list.
+/// An entry of the machine list.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct ListedMachine<'a> {
     #[serde(rename = "nameId")]
@@ -58,7 +59,7 @@
     pub(super) age_s: f64,
 }
 
-/// The body that lists the machine types: there is one.
+/// Returns the list of machine types, which has one entry.
 pub(super) fn machine_types() -> Value {
     json!({"formats": [{"name": MACHINE_TYPE, "vcpus": MACHINE_CPUS, "gpus": 0.0,
         "ramGb": MACHINE_MEMORY_GB, "localGb": 50.0, "fetchGbPerS": 1.0, "price": 1.0,
--- a/crates/basaltrail-testbed/src/cloud/mod.rs
+++ b/crates/basaltrail-testbed/src/cloud/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the cloud (PROTOCOL, Controller nodes -> cloud): machines that are rented by
-//! idempotent requests, take time to boot, crash, and appear late in the list.
+//! Stand-in for the cloud (PROTOCOL, Controller nodes -> cloud). Provisioning requests are
+//! idempotent, machines take time to boot and can crash, and the machine list is outdated.
 
 mod messages;
 
@@ -8,7 +8,7 @@
 use crate::http::{serve, JsonReply};
 use crate::lock;
 use messages::{
-    machine_types, ListQuery, ListedMachine, MachineCondition, MachineNames, RentRequest,
+    machine_types, ListQuery, ListedMachine, MachineCondition, MachineNames, ProvisionRequest,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -21,22 +21,22 @@
 use warp::reply::Response;
 use warp::Filter;
 
-/// How long a crashed machine is still listed as running, in milliseconds.
-const CRASH_LISTED_MS: Ms = 3_000;
-/// How long a machine takes to boot, in milliseconds.
+/// Time until a crashed machine is listed as failed, in milliseconds.
+const CRASH_DETECTION_MS: Ms = 3_000;
+/// Boot time of a machine, in milliseconds.
 const BOOT_MS: std::ops::Range<Ms> = 200..2_500;
-/// Machines in one provisioning request.
-const RENT_MAX: u64 = 50;
-/// Machines in one release.
-const RELEASE_MAX: usize = 100;
-/// Machines in one page of the list.
-const PAGE_LENGTH: usize = 500;
-/// Names of machines are this prefix and a number.
+/// Maximum number of machines per provisioning request.
+const MAX_PROVISIONED_PER_REQUEST: u64 = 50;
+/// Maximum number of machines per termination request.
+const MAX_TERMINATED_PER_REQUEST: usize = 100;
+/// Maximum number of machines per page of the list.
+const MAX_PAGE_LENGTH: usize = 500;
+/// Prefix of machine names, before the number of the machine.
 const MACHINE_PREFIX: &str = "m-";
-/// Spot and on-demand.
+/// Number of machine kinds: spot and on-demand.
 const MACHINE_KINDS: usize = 2;
 
-/// A rented machine.
+/// A provisioned machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
     /// Name of the machine.
@@ -45,98 +45,104 @@
     pub zone: &'static str,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// When it has booted and its worker starts.
+    /// Time at which the machine has booted and its worker starts.
     pub ready_ms: Ms,
-    rented_ms: Ms,
+    /// Time of the provisioning request.
+    provisioned_ms: Ms,
     crashed_ms: Option<Ms>,
-    released_ms: Option<Ms>,
+    terminated_ms: Option<Ms>,
 }
 
 impl Machine {
-    /// When it crashed or was released, whichever came first.
+    /// Returns the time at which the machine crashed or was terminated, whichever came first.
     pub fn gone_ms(&self) -> Option<Ms> {
-        self.crashed_ms.into_iter().chain(self.released_ms).min()
+        self.crashed_ms.into_iter().chain(self.terminated_ms).min()
     }
 
-    /// Whether a list as of an instant contains it.
-    fn is_listed_at(&self, at: Ms) -> bool {
-        self.rented_ms <= at && self.released_ms.is_none_or(|released| released > at)
+    /// Returns whether a list as of the given time contains the machine.
+    fn is_listed_at(&self, at_ms: Ms) -> bool {
+        self.provisioned_ms <= at_ms
+            && self.terminated_ms.is_none_or(|terminated_ms| terminated_ms > at_ms)
     }
 
-    fn condition_at(&self, at: Ms) -> MachineCondition {
-        if self.crashed_ms.is_some_and(|crashed| crashed + CRASH_LISTED_MS <= at) {
+    /// Returns the condition in a list as of the given time.
+    fn condition_at(&self, at_ms: Ms) -> MachineCondition {
+        if self.crashed_ms.is_some_and(|crashed_ms| crashed_ms + CRASH_DETECTION_MS <= at_ms) {
             return MachineCondition::Failed;
         }
-        if at < self.ready_ms {
+        if at_ms < self.ready_ms {
             return MachineCondition::Starting;
         }
         MachineCondition::Running
     }
 
-    fn listed_at(&self, at: Ms) -> ListedMachine<'_> {
+    /// Returns the entry in a list as of the given time.
+    fn listed_at(&self, at_ms: Ms) -> ListedMachine<'_> {
         ListedMachine {
             name: &self.name,
             endpoint: WORKER_ENDPOINT,
             machine_type: MACHINE_TYPE,
             zone: self.zone,
             spot: self.spot,
-            condition: self.condition_at(at),
-            age_s: (at - self.rented_ms) as f64 / 1000.0,
+            condition: self.condition_at(at_ms),
+            age_s: (at_ms - self.provisioned_ms) as f64 / 1000.0,
         }
     }
 }
 
-struct Rentals {
-    /// All machines that were ever rented, in the order of their numbers.
+struct CloudState {
+    /// All machines that were provisioned, indexed by number, including those that are gone.
     machines: Vec<Machine>,
-    /// Names of the machines of each provisioning request.
+    /// Names of the machines of each provisioning request, by the name of the request.
     requests: HashMap<String, Vec<String>>,
+    /// End of the last outage.
     unavailable_until: Ms,
     rng: SmallRng,
 }
 
-/// The cloud; clones share the machines.
+/// The cloud; clones share one state.
 #[derive(Clone)]
 pub struct Cloud {
-    rentals: Arc<Mutex<Rentals>>,
+    state: Arc<Mutex<CloudState>>,
     clock: Clock,
-    /// Half of the longest age of a list.
+    /// Half of the maximum age of a list, in milliseconds.
     list_lag_ms: Ms,
-    /// Machines of one zone and kind that can be rented at once.
+    /// Maximum number of simultaneously provisioned machines of one zone and kind.
     capacity: usize,
-    rented: mpsc::UnboundedSender<Machine>,
+    /// Channel to which each provisioned machine is sent.
+    provisioned_machines: mpsc::UnboundedSender<Machine>,
 }
 
 impl Cloud {
-    /// A cloud with the machines of a deployment. Each rented machine is sent to the receiver,
-    /// whose owner starts its worker.
+    /// Creates a cloud with the capacity of a deployment. Each provisioned machine is sent to the
+    /// returned receiver, whose owner must start the machine's worker.
     pub fn new(
         clock: Clock,
         deployment: &Deployment,
         seed: u64,
     ) -> (Cloud, mpsc::UnboundedReceiver<Machine>) {
-        let (rented, receiver) = mpsc::unbounded_channel();
-        let rentals = Rentals {
+        let (provisioned_machines, receiver) = mpsc::unbounded_channel();
+        let state = CloudState {
             machines: Vec::new(),
             requests: HashMap::new(),
             unavailable_until: 0,
             rng: SmallRng::seed_from_u64(seed),
         };
         let cloud = Cloud {
-            rentals: Arc::new(Mutex::new(rentals)),
+            state: Arc::new(Mutex::new(state)),
             clock,
             list_lag_ms: deployment.list_lag_ms,
             capacity: deployment.machines.div_ceil(MACHINE_KINDS * ZONES.len()),
-            rented,
+            provisioned_machines,
         };
         (cloud, receiver)
     }
 
-    /// Serves on a free port.
+    /// Starts serving requests on a free loopback port and returns its address.
     ///
     /// # Errors
     ///
-    /// If no port is free.
+    /// Fails if no port can be bound.
     pub async fn listen(&self) -> std::io::Result<SocketAddr> {
         serve(self.routes()).await
     }
@@ -148,154 +154,164 @@
             .and(warp::get())
             .and(cloud.clone())
             .map(|cloud: Cloud| cloud.answer(|_, _| JsonReply::new(200, machine_types())));
-        let rent = warp::path!("rentals")
+        let provision = warp::path!("rentals")
             .and(warp::post())
             .and(warp::body::json())
             .and(cloud.clone())
-            .map(|request: RentRequest, cloud: Cloud| {
-                cloud.answer(|cloud, rentals| cloud.rent(rentals, &request))
+            .map(|request: ProvisionRequest, cloud: Cloud| {
+                cloud.answer(|cloud, state| cloud.provision(state, &request))
             });
-        let release = warp::path!("rentals" / "release")
+        let terminate = warp::path!("rentals" / "release")
             .and(warp::post())
             .and(warp::body::json())
             .and(cloud.clone())
             .map(|request: MachineNames, cloud: Cloud| {
-                cloud.answer(|cloud, rentals| cloud.release(rentals, &request))
+                cloud.answer(|cloud, state| cloud.terminate(state, &request))
             });
         let list =
             warp::path!("rentals").and(warp::get()).and(warp::query::<ListQuery>()).and(cloud).map(
                 |query: ListQuery, cloud: Cloud| {
-                    cloud.answer(|cloud, rentals| cloud.list(rentals, &query))
+                    cloud.answer(|cloud, state| cloud.list(state, &query))
                 },
             );
-        types.or(rent).unify().or(release).unify().or(list).unify().boxed()
+        types.or(provision).unify().or(terminate).unify().or(list).unify().boxed()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Rentals> {
-        lock(&self.rentals)
+    fn lock(&self) -> MutexGuard<'_, CloudState> {
+        lock(&self.state)
     }
 
-    fn answer(&self, serve: impl FnOnce(&Cloud, &mut Rentals) -> JsonReply) -> Response {
-        let mut rentals = self.lock();
-        let is_available = self.clock.now() >= rentals.unavailable_until;
+    /// Answers a request with `handle`, or with status 503 during an outage.
+    fn answer(&self, handle: impl FnOnce(&Cloud, &mut CloudState) -> JsonReply) -> Response {
+        let mut state = self.lock();
+        let is_available = self.clock.now() >= state.unavailable_until;
         let reply = match is_available {
-            true => serve(self, &mut rentals),
+            true => handle(self, &mut state),
             false => JsonReply::error(503, "trouble"),
         };
         reply.into_response()
     }
 
-    /// Fault: the cloud's interface is unavailable.
+    /// Fault: rejects all requests for a time; the machines keep running.
     pub fn start_outage(&self, duration_ms: Ms) {
         let until = self.clock.now() + duration_ms;
         self.lock().unavailable_until = until;
     }
 
-    /// Machines that have booted, and neither crashed nor were released.
-    pub fn running(&self) -> Vec<Machine> {
+    /// Returns the machines that have booted and have neither crashed nor been terminated.
+    pub fn running_machines(&self) -> Vec<Machine> {
         let now = self.clock.now();
         let is_running =
             |machine: &&Machine| machine.gone_ms().is_none() && now >= machine.ready_ms;
         self.lock().machines.iter().filter(is_running).cloned().collect()
     }
 
-    /// When a machine crashed or was released, if it was.
+    /// Returns the time at which a machine crashed or was terminated, or `None` if it did neither or
+    /// is unknown.
     pub fn gone_ms(&self, name: &str) -> Option<Ms> {
-        let rentals = self.lock();
-        rentals.machines.get(machine_number(name)?)?.gone_ms()
+        let state = self.lock();
+        state.machines.get(machine_number(name)?)?.gone_ms()
     }
 
-    /// Fault: a machine crashes.
+    /// Fault: crashes a machine, unless it is already gone.
     pub fn crash(&self, name: &str) {
         let now = self.clock.now();
-        let mut rentals = self.lock();
-        let machine = machine_number(name).and_then(|number| rentals.machines.get_mut(number));
+        let mut state = self.lock();
+        let machine = machine_number(name).and_then(|number| state.machines.get_mut(number));
         if let Some(machine) = machine.filter(|machine| machine.gone_ms().is_none()) {
             machine.crashed_ms = Some(now);
         }
     }
 
-    fn rent(&self, rentals: &mut Rentals, request: &RentRequest) -> JsonReply {
+    /// Provisions machines, up to the free capacity. A repeated request is answered with the
+    /// machines of the first one.
+    fn provision(&self, state: &mut CloudState, request: &ProvisionRequest) -> JsonReply {
         let Some(request_name) = &request.name else {
             return JsonReply::error(400, "requisition");
         };
-        if let Some(names) = rentals.requests.get(request_name) {
+        if let Some(names) = state.requests.get(request_name) {
             return JsonReply::new(200, json!(MachineNames { names: names.clone() }));
         }
         let zone = ZONES.iter().find(|zone| request.zone.as_deref() == Some(**zone));
-        let (Some(zone), Some(wanted)) = (zone, request.machines) else {
+        let (Some(zone), Some(requested)) = (zone, request.machines) else {
             return JsonReply::error(400, "room or number");
         };
-        let free = self.free_capacity(rentals, zone, request.spot) as u64;
-        let count = wanted.min(RENT_MAX).min(free);
+        let free_capacity = self.free_capacity(state, zone, request.spot) as u64;
+        let count = requested.min(MAX_PROVISIONED_PER_REQUEST).min(free_capacity);
         if count == 0 {
             return JsonReply::error(503, "no capacity");
         }
         let names: Vec<String> =
-            (0..count).map(|_| self.boot(rentals, zone, request.spot)).collect();
-        rentals.requests.insert(request_name.clone(), names.clone());
+            (0..count).map(|_| self.provision_machine(state, zone, request.spot)).collect();
+        state.requests.insert(request_name.clone(), names.clone());
         JsonReply::new(200, json!(MachineNames { names }))
     }
 
-    fn free_capacity(&self, rentals: &Rentals, zone: &str, spot: bool) -> usize {
+    /// Returns how many more machines of a zone and kind can be provisioned.
+    fn free_capacity(&self, state: &CloudState, zone: &str, spot: bool) -> usize {
         let is_in_use = |machine: &&Machine| {
             machine.gone_ms().is_none() && machine.zone == zone && machine.spot == spot
         };
-        let in_use = rentals.machines.iter().filter(is_in_use).count();
+        let in_use = state.machines.iter().filter(is_in_use).count();
         self.capacity.saturating_sub(in_use)
     }
 
-    /// Rents out one machine, and gives its name.
-    fn boot(&self, rentals: &mut Rentals, zone: &'static str, spot: bool) -> String {
+    /// Provisions one machine and returns its name.
+    fn provision_machine(&self, state: &mut CloudState, zone: &'static str, spot: bool) -> String {
         let now = self.clock.now();
         let machine = Machine {
-            name: machine_name(rentals.machines.len()),
+            name: machine_name(state.machines.len()),
             zone,
             spot,
-            ready_ms: now + rentals.rng.random_range(BOOT_MS),
-            rented_ms: now,
+            ready_ms: now + state.rng.random_range(BOOT_MS),
+            provisioned_ms: now,
             crashed_ms: None,
-            released_ms: None,
+            terminated_ms: None,
         };
         let name = machine.name.clone();
-        rentals.machines.push(machine.clone());
-        // The receiver is gone once the run is over; no worker has to start then.
-        let _ = self.rented.send(machine);
+        state.machines.push(machine.clone());
+        // The send fails only after the run has ended, when no worker must start.
+        let _ = self.provisioned_machines.send(machine);
         name
     }
 
-    fn release(&self, rentals: &mut Rentals, request: &MachineNames) -> JsonReply {
-        if request.names.len() > RELEASE_MAX {
+    /// Terminates machines; names of unknown machines are ignored.
+    fn terminate(&self, state: &mut CloudState, request: &MachineNames) -> JsonReply {
+        if request.names.len() > MAX_TERMINATED_PER_REQUEST {
             return JsonReply::error(400, "too many");
         }
         let now = self.clock.now();
         for number in request.names.iter().filter_map(|name| machine_number(name)) {
-            if let Some(machine) = rentals.machines.get_mut(number) {
-                machine.released_ms.get_or_insert(now);
+            if let Some(machine) = state.machines.get_mut(number) {
+                machine.terminated_ms.get_or_insert(now);
             }
         }
         JsonReply::new(200, json!({}))
     }
 
-    /// The list of machines as of some time ago.
-    fn list(&self, rentals: &mut Rentals, query: &ListQuery) -> JsonReply {
-        let lag_ms = rentals.rng.random_range(0..=2 * self.list_lag_ms);
+    /// Returns a page of the machine list as of a random time in the recent past.
+    fn list(&self, state: &mut CloudState, query: &ListQuery) -> JsonReply {
+        let lag_ms = state.rng.random_range(0..=2 * self.list_lag_ms);
         let as_of = self.clock.now().saturating_sub(lag_ms);
         let is_listed =
             |machine: &&Machine| machine.is_listed_at(as_of) && machine.name > query.after;
-        let mut listed = rentals.machines.iter().filter(is_listed);
-        let page: Vec<ListedMachine> =
-            listed.by_ref().take(PAGE_LENGTH).map(|machine| machine.listed_at(as_of)).collect();
-        let is_truncated = listed.next().is_some();
+        let mut listed_machines = state.machines.iter().filter(is_listed);
+        let page: Vec<ListedMachine> = listed_machines
+            .by_ref()
+            .take(MAX_PAGE_LENGTH)
+            .map(|machine| machine.listed_at(as_of))
+            .collect();
+        let is_truncated = listed_machines.next().is_some();
         JsonReply::new(200, json!({"stacks": page, "truncated": is_truncated}))
     }
 }
 
-/// The name of a machine, by its number in the order of rental.
+/// Returns the name of a machine. Machines are numbered in the order in which they are provisioned.
 fn machine_name(number: usize) -> String {
     format!("{MACHINE_PREFIX}{number:06}")
 }
 
+/// Returns the number of a machine, or `None` if the name is malformed.
 fn machine_number(name: &str) -> Option<usize> {
     name.strip_prefix(MACHINE_PREFIX)?.parse().ok()
 }
--- a/crates/basaltrail-testbed/src/commands/soak.rs
+++ b/crates/basaltrail-testbed/src/commands/soak.rs
@@ -97,7 +97,7 @@
 
 fn progress_line(seed: u64, testbed: &Testbed) -> String {
     let seconds = testbed.clock.now() / 1000;
-    let machines = testbed.cloud.running().len();
+    let machines = testbed.cloud.running_machines().len();
     let jobs = testbed.users.live_jobs().len();
     let token = testbed.fleet.highest_token();
     format!("seed {seed}: {seconds} s, {machines} machines, {jobs} jobs, token {token}")
--- a/crates/basaltrail-testbed/src/faults/injector.rs
+++ b/crates/basaltrail-testbed/src/faults/injector.rs
@@ -302,7 +302,7 @@
         let leader = self.testbed.fleet.leader();
         let name = Deployment::controller_name(leader);
         self.record(format!("the state service refuses {name} for {duration_ms} ms"));
-        self.testbed.state_service.refuse(leader, duration_ms);
+        self.testbed.state_service.refuse_controller(leader, duration_ms);
     }
 
     fn add_state_latency(&mut self, duration_ms: Ms) {
@@ -328,7 +328,7 @@
     }
 
     fn inject_machine_fault(&mut self, kind: FaultKind, duration_ms: Ms) {
-        let running = self.testbed.cloud.running();
+        let running = self.testbed.cloud.running_machines();
         let count = (running.len() / MACHINES_PER_FAULT).max(1);
         let until = self.testbed.clock.now() + duration_ms;
         let machines: Vec<String> = running
--- a/crates/basaltrail-testbed/src/state_service/messages.rs
+++ b/crates/basaltrail-testbed/src/state_service/messages.rs
@@ -1,10 +1,10 @@
-//! Bodies of the state service (PROTOCOL, Controller nodes -> state service). Wire names are
-//! mapped to the field's terms here.
+//! Messages of the state service (PROTOCOL, Controller nodes -> state service). Serde attributes
+//! map the fields to their names on the wire.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A compare-and-swap transaction: all changes are applied if all preconditions hold.
+/// A compare-and-swap transaction, which applies all changes if all preconditions hold.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct TransactionRequest {
     #[serde(rename = "if", default)]
@@ -13,7 +13,7 @@
     pub(super) changes: Vec<Change>,
 }
 
-/// A key must be at a revision; 0 is that of a key that does not exist.
+/// The required revision of a key; 0 requires that the key does not exist.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct Precondition {
     pub(super) key: String,
@@ -21,7 +21,7 @@
     pub(super) mod_revision: Option<u64>,
 }
 
-/// A change of one key.
+/// A change to one key.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub(super) enum Change {
@@ -39,7 +39,7 @@
     },
 }
 
-/// A key and its value, as `get` and `list` answer it.
+/// A key with its value, in the answers of `get` and `list`.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct KeyValue<'a> {
     pub(super) key: &'a str,
@@ -51,7 +51,7 @@
     pub(super) lease: Option<u64>,
 }
 
-/// A change that was carried out, as watches report it.
+/// An applied change, in the answers of watches.
 #[derive(Clone, Debug, Serialize)]
 #[serde(untagged)]
 pub(super) enum WatchEvent {
@@ -74,12 +74,14 @@
 }
 
 impl WatchEvent {
+    /// Returns the changed key.
     pub(super) fn key(&self) -> &str {
         match self {
             WatchEvent::Put { key, .. } | WatchEvent::Delete { key, .. } => key,
         }
     }
 
+    /// Returns the revision of the change.
     pub(super) fn mod_revision(&self) -> u64 {
         match self {
             WatchEvent::Put { mod_revision, .. } | WatchEvent::Delete { mod_revision, .. } => {
@@ -89,27 +91,29 @@
     }
 }
 
-/// The request for a lease.
+/// A request for a lease.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(super) struct LeaseRequest {
+    /// Lifetime of the lease, in milliseconds.
     #[serde(rename = "lifeMs", default)]
     pub(super) ttl_ms: u64,
 }
 
-/// The query of a page of keys, in ascending order.
+/// Query for one key, or for a page of keys in ascending order.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(super) struct ListQuery {
-    /// Only keys with this prefix; without it the request is for one key.
+    /// Only keys with this prefix; `None` if the request is for one key.
     #[serde(rename = "starts")]
     pub(super) prefix: Option<String>,
     /// Only keys after this one.
     #[serde(default)]
     pub(super) after: String,
+    /// Maximum number of keys in the page.
     #[serde(rename = "most")]
     pub(super) limit: Option<usize>,
 }
 
-/// The query of a watch.
+/// Query of a watch.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(super) struct WatchQuery {
     #[serde(rename = "starts", default)]
@@ -117,7 +121,7 @@
     /// Only changes after this revision.
     #[serde(rename = "after", default)]
     pub(super) after_revision: u64,
-    /// How long the request is held open if there is no change, in milliseconds.
+    /// Maximum time for which the request waits for a change, in milliseconds.
     #[serde(rename = "blockMs", default)]
     pub(super) block_ms: u64,
 }
--- a/crates/basaltrail-testbed/src/state_service/mod.rs
+++ b/crates/basaltrail-testbed/src/state_service/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-in of the state service (PROTOCOL, Controller nodes -> state service): a key-value store
+//! Stand-in for the state service (PROTOCOL, Controller nodes -> state service): a key-value store
 //! with compare-and-swap transactions, leases and watches.
 //!
 //! Its faults are outages, refusals of single controllers, slow answers, late transactions and
-//! lost answers. The HTTP routes are in `routes`, the store itself is in `store`.
+//! lost answers. The module `routes` contains the HTTP routes, and `store` the key-value store.
 
 mod messages;
 mod rate_limiter;
@@ -20,45 +20,47 @@
 use store::{Store, TransactionOutcome};
 use tokio::sync::watch;
 
-/// How long a connection is kept open whose request is never answered.
-const UNANSWERED: Duration = Duration::from_secs(30);
-/// How often expired leases are looked for.
+/// Time for which the connection of a request with a lost answer is kept open.
+const LOST_ANSWER_HOLD: Duration = Duration::from_secs(30);
+/// Interval of the checks for expired leases.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest time for which a watch is held open.
-const WATCH_MAX_MS: Ms = 60_000;
-/// How often an open watch looks whether its time is over, or an outage has ended.
-const WATCH_CHECK_MS: std::ops::RangeInclusive<Ms> = 5..=100;
+/// Maximum time for which a watch waits for a change, in milliseconds.
+const MAX_WATCH_MS: Ms = 60_000;
+/// Interval at which an open watch checks for its timeout and the end of an outage, in
+/// milliseconds. It depends on the remaining time of the watch.
+const WATCH_CHECK_INTERVAL_MS: std::ops::RangeInclusive<Ms> = 5..=100;
 
 /// Limits of the service.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub write_rps: f64,
-    /// Changes in one transaction; it may have four times as many preconditions.
+    /// Maximum number of changes per transaction. A transaction may have four times as many
+    /// preconditions.
     pub txn_ops: usize,
-    /// Bytes of one value.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
 }
 
-/// A fault of transactions.
+/// A fault that affects transactions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TransactionFault {
-    /// All transactions are carried out and answered at once.
+    /// All transactions are executed and answered immediately.
     None,
-    /// This share is carried out seconds later and not answered.
+    /// This share of the transactions is executed seconds later and not answered.
     Late(f64),
-    /// This share is carried out at once and not answered.
+    /// This share of the transactions is executed immediately and not answered.
     AnswerLost(f64),
 }
 
-/// Counts of what the service did.
+/// Counters of the service's work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServiceCounters {
-    /// Requests, including those that were refused.
+    /// Received requests, including refused ones.
     pub requests: u64,
-    /// Puts and deletes that were carried out.
+    /// Puts and deletes of executed transactions.
     pub changes: u64,
 }
 
@@ -66,13 +68,13 @@
 #[derive(Clone)]
 pub struct StateService {
     store: Arc<Mutex<Store>>,
-    /// Wakes the open watches: the revision after the last change.
+    /// Notifies open watches of the store's latest revision.
     revision: Arc<watch::Sender<u64>>,
     clock: Clock,
 }
 
 impl StateService {
-    /// Starts an empty service. It needs a runtime, since leases expire in the background.
+    /// Starts an empty service. Requires a runtime, for the background task that expires leases.
     pub fn start(clock: Clock, limits: Limits, seed: u64) -> Self {
         let store = Arc::new(Mutex::new(Store::new(limits, seed)));
         let (revision, _) = watch::channel(0);
@@ -81,11 +83,12 @@
         service
     }
 
-    /// Serves one controller on an address of its own, so that it can be refused alone.
+    /// Starts serving one controller on a loopback port of its own, so that the service can refuse
+    /// single controllers. Returns the address.
     ///
     /// # Errors
     ///
-    /// If no port is free.
+    /// Fails if no port can be bound.
     pub async fn listen(&self, controller: usize) -> std::io::Result<SocketAddr> {
         serve(routes::all(self.clone(), controller)).await
     }
@@ -94,74 +97,78 @@
         lock(&self.store)
     }
 
-    /// Counts a request, delays it under the slowness fault, and tells whether it is served.
+    /// Counts a request and delays it by the added latency. Returns an error with the reply if the
+    /// request is refused.
     async fn admit(&self, controller: usize) -> Result<(), JsonReply> {
         let now = self.clock.now();
-        let (latency_ms, verdict) = {
+        let (latency_ms, decision) = {
             let mut store = self.lock();
-            let verdict = store.admit(now, controller);
-            (store.latency_ms, verdict)
+            let decision = store.admit(now, controller);
+            (store.latency_ms, decision)
         };
         if latency_ms > 0 {
             tokio::time::sleep(Duration::from_millis(latency_ms)).await;
         }
-        verdict
+        decision
     }
 
-    /// Runs a step on the store, and wakes the watches if it changed the revision.
-    fn step<T>(&self, step: impl FnOnce(&mut Store, Ms) -> T) -> T {
+    /// Runs an operation on the store, and notifies the watches if the revision changed.
+    fn with_store<T>(&self, operation: impl FnOnce(&mut Store, Ms) -> T) -> T {
         let now = self.clock.now();
         let mut store = self.lock();
-        let result = step(&mut store, now);
+        let result = operation(&mut store, now);
         let revision = store.revision();
-        self.revision.send_if_modified(|seen| std::mem::replace(seen, revision) != revision);
+        self.revision.send_if_modified(|latest| std::mem::replace(latest, revision) != revision);
         result
     }
 
+    /// Executes and answers a transaction, subject to the transaction fault.
     async fn transact(&self, request: TransactionRequest) -> JsonReply {
         let outcome = self.lock().draw_outcome();
         if let TransactionOutcome::LateBy(delay_ms) = outcome {
             let service = self.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(Duration::from_millis(delay_ms)).await;
-                service.step(|store, now| store.transact(now, &request));
+                service.with_store(|store, now| store.transact(now, &request));
             });
         } else {
-            let answer = self.step(|store, now| store.transact(now, &request));
+            let answer = self.with_store(|store, now| store.transact(now, &request));
             if outcome == TransactionOutcome::Answered {
                 return answer;
             }
         }
-        tokio::time::sleep(UNANSWERED).await;
+        tokio::time::sleep(LOST_ANSWER_HOLD).await;
         JsonReply::error(503, "trouble")
     }
 
-    /// Answers once there are changes to report, or the time of the request is over.
+    /// Answers a watch as soon as changes match it, or when its time limit is reached.
     async fn watch(&self, controller: usize, query: WatchQuery) -> JsonReply {
-        let until = self.clock.now() + query.block_ms.min(WATCH_MAX_MS);
+        let until_ms = self.clock.now() + query.block_ms.min(MAX_WATCH_MS);
         let mut revision = self.revision.subscribe();
         loop {
             revision.mark_unchanged();
             let now = self.clock.now();
-            if let Some(reply) = self.try_answer_watch(controller, &query, now, now >= until) {
+            if let Some(reply) = self.try_answer_watch(controller, &query, now, now >= until_ms) {
                 return reply;
             }
-            let remaining_ms = until.saturating_sub(now);
-            let wait_ms = remaining_ms.clamp(*WATCH_CHECK_MS.start(), *WATCH_CHECK_MS.end());
+            let remaining_ms = until_ms.saturating_sub(now);
+            let wait_ms = remaining_ms
+                .clamp(*WATCH_CHECK_INTERVAL_MS.start(), *WATCH_CHECK_INTERVAL_MS.end());
             let wait = Duration::from_millis(wait_ms);
             let _ = tokio::time::timeout(wait, revision.changed()).await;
         }
     }
 
+    /// Returns the answer to a watch, or `None` if the watch must continue to wait.
     fn try_answer_watch(
         &self,
         controller: usize,
         query: &WatchQuery,
         now: Ms,
-        is_over: bool,
+        has_timed_out: bool,
     ) -> Option<JsonReply> {
         let store = self.lock();
-        // Watches are held open through an outage.
+        // Open watches wait until an outage or a refusal ends.
         if !store.is_available(now, controller) {
             return None;
         }
@@ -169,49 +176,50 @@
             return Some(JsonReply::error(410, "too old"));
         }
         let events = store.events_after(&query.prefix, query.after_revision);
-        if events.is_empty() && !is_over {
+        if events.is_empty() && !has_timed_out {
             return None;
         }
         let body = json!({"impression": store.revision(), "news": events});
         Some(JsonReply::new(200, body))
     }
 
+    /// Deletes expired leases periodically.
     async fn expire_leases(self) {
         loop {
             tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
-            self.step(Store::expire_leases);
+            self.with_store(Store::expire_leases);
         }
     }
 
-    /// The value of a key, read past all limits and faults.
+    /// Returns the value of a key, regardless of limits and faults and without counting a request.
     pub fn value(&self, key: &str) -> Option<Value> {
         self.lock().value(key).cloned()
     }
 
-    /// What the service did so far.
+    /// Returns the counters since the service started.
     pub fn counters(&self) -> ServiceCounters {
         self.lock().counters
     }
 
-    /// Fault: the service is unavailable to all; afterwards each lease has its full lifetime
+    /// Fault: refuses all requests for a time. After the outage each lease has its full lifetime
     /// again.
     pub fn start_outage(&self, duration_ms: Ms) {
-        let until = self.clock.now() + duration_ms;
-        self.lock().start_outage(until);
+        let until_ms = self.clock.now() + duration_ms;
+        self.lock().start_outage(until_ms);
     }
 
-    /// Fault: one controller alone is refused, and its leases expire.
-    pub fn refuse(&self, controller: usize, duration_ms: Ms) {
-        let until = self.clock.now() + duration_ms;
-        self.lock().refuse(controller, until);
+    /// Fault: refuses one controller for a time, so that its leases can expire.
+    pub fn refuse_controller(&self, controller: usize, duration_ms: Ms) {
+        let until_ms = self.clock.now() + duration_ms;
+        self.lock().refuse_controller(controller, until_ms);
     }
 
-    /// Fault: every answer comes so much later; 0 ends it.
+    /// Fault: delays every request by the given time; 0 ends the fault.
     pub fn set_latency(&self, latency_ms: Ms) {
         self.lock().latency_ms = latency_ms;
     }
 
-    /// Sets the fault of transactions.
+    /// Fault: sets how transactions fail; [`TransactionFault::None`] ends the fault.
     pub fn set_transaction_fault(&self, fault: TransactionFault) {
         self.lock().transaction_fault = fault;
     }
--- a/crates/basaltrail-testbed/src/state_service/routes.rs
+++ b/crates/basaltrail-testbed/src/state_service/routes.rs
@@ -1,4 +1,4 @@
-//! The HTTP routes of the state service, for one controller.
+//! HTTP routes of the state service for one controller.
 
 use super::messages::{LeaseRequest, ListQuery, TransactionRequest, WatchQuery};
 use super::store::Store;
@@ -10,16 +10,19 @@
 use warp::reply::Response;
 use warp::Filter;
 
-/// The service, and whether it serves this request.
+/// The service, and the decision whether it serves a request.
 struct Admission {
     service: StateService,
-    verdict: Result<(), JsonReply>,
+    /// The reply to a refused request is the error.
+    decision: Result<(), JsonReply>,
 }
 
 impl Admission {
-    /// Answers a request by one step on the store, if it is served.
-    fn answer(self, step: impl FnOnce(&mut Store, Ms) -> JsonReply) -> Response {
-        let reply = self.verdict.map_or_else(|refusal| refusal, |()| self.service.step(step));
+    /// Answers an admitted request with an operation on the store, and a refused one with its
+    /// refusal.
+    fn answer(self, operation: impl FnOnce(&mut Store, Ms) -> JsonReply) -> Response {
+        let reply =
+            self.decision.map_or_else(|refusal| refusal, |()| self.service.with_store(operation));
         reply.into_response()
     }
 }
@@ -27,14 +30,14 @@
 type AdmissionFilter = BoxedFilter<(Admission,)>;
 type Route = BoxedFilter<(Response,)>;
 
-/// Every route; each checks the limits after the request is known to be well-formed.
+/// Returns all routes. Each decides on admission only after it has parsed the request.
 pub(super) fn all(service: StateService, controller: usize) -> Route {
     let admission = warp::any()
         .then(move || {
             let service = service.clone();
             async move {
-                let verdict = service.admit(controller).await;
-                Admission { service, verdict }
+                let decision = service.admit(controller).await;
+                Admission { service, decision }
             }
         })
         .boxed();
@@ -52,7 +55,7 @@
         .boxed()
 }
 
-/// `GET /kv/KEY` reads one key, `GET /kv?starts=PREFIX` a page of them.
+/// `GET /kv/KEY` reads one key, and `GET /kv?starts=PREFIX` a page of keys.
 fn read(admission: &AdmissionFilter) -> Route {
     warp::path("kv")
         .and(warp::path::tail())
@@ -74,7 +77,7 @@
         .and(warp::body::json())
         .and(admission.clone())
         .then(|request: TransactionRequest, admission: Admission| async move {
-            let reply = match admission.verdict {
+            let reply = match admission.decision {
                 Ok(()) => admission.service.transact(request).await,
                 Err(refusal) => refusal,
             };
@@ -118,7 +121,7 @@
         .and(warp::query::<WatchQuery>())
         .and(admission.clone())
         .then(move |query: WatchQuery, admission: Admission| async move {
-            let reply = match admission.verdict {
+            let reply = match admission.decision {
                 Ok(()) => admission.service.watch(controller, query).await,
                 Err(refusal) => refusal,
             };
--- a/crates/basaltrail-testbed/src/state_service/store.rs
+++ b/crates/basaltrail-testbed/src/state_service/store.rs
@@ -1,5 +1,5 @@
-//! The store of the state service: keys with revisions, leases, transactions and the log of
-//! changes for watches. Every method is one atomic step.
+//! The key-value store of the state service: keys with revisions, leases, transactions, and the
+//! log of changes for watches. Each method is one atomic operation.
 
 use super::messages::{
     Change, KeyValue, LeaseRequest, ListQuery, Precondition, TransactionRequest, WatchEvent,
@@ -13,16 +13,18 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Changes that are kept for watches; a watch that starts before them is answered 410.
-const WATCH_LOG_LENGTH: usize = 10_000;
-/// Keys in one page of a list.
-const PAGE_LENGTH: usize = 1_000;
-/// Preconditions of a transaction at the most, for each change that it may have.
+/// Maximum number of changes in the watch log. A watch that requires older changes is answered
+/// with status 410.
+const MAX_WATCH_LOG_LENGTH: usize = 10_000;
+/// Maximum number of keys per page of a list.
+const MAX_PAGE_LENGTH: usize = 1_000;
+/// Maximum number of preconditions per transaction, as a multiple of the maximum number of
+/// changes.
 const PRECONDITIONS_PER_CHANGE: usize = 4;
-/// Lifetimes that a lease may have, in milliseconds.
-const LEASE_TTL_MS: std::ops::RangeInclusive<Ms> = 100..=600_000;
-/// How late a transaction is carried out under [`TransactionFault::Late`].
-const LATE_MS: std::ops::Range<Ms> = 1_000..6_000;
+/// Valid lifetimes of a lease, in milliseconds.
+const VALID_LEASE_TTL_MS: std::ops::RangeInclusive<Ms> = 100..=600_000;
+/// Delay of a late transaction under [`TransactionFault::Late`], in milliseconds.
+const LATE_TRANSACTION_DELAY_MS: std::ops::Range<Ms> = 1_000..6_000;
 
 struct StoredValue {
     value: Value,
@@ -35,14 +37,14 @@
     expires_ms: Ms,
 }
 
-/// When a transaction is carried out, and whether it is answered.
+/// The time at which a transaction is executed, and whether it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TransactionOutcome {
-    /// At once, with an answer.
+    /// Executed immediately and answered.
     Answered,
-    /// At once, without an answer.
+    /// Executed immediately and not answered.
     AnswerLost,
-    /// After so many milliseconds, without an answer.
+    /// Executed after a delay in milliseconds, and not answered.
     LateBy(Ms),
 }
 
@@ -50,17 +52,18 @@
     keys: BTreeMap<String, StoredValue>,
     revision: u64,
     watch_log: VecDeque<WatchEvent>,
-    /// Revision of the last change that is no longer in the log.
+    /// Revision of the latest change that was removed from the watch log.
     compacted_revision: u64,
     leases: HashMap<u64, Lease>,
-    last_lease: u64,
-    requests: TokenBucket,
-    writes: TokenBucket,
+    last_lease_id: u64,
+    request_limiter: TokenBucket,
+    write_limiter: TokenBucket,
     limits: Limits,
+    /// End of the last outage.
     unavailable_until: Ms,
-    /// Controllers that are refused, by index, and until when.
+    /// End of each refused controller's refusal, by index of the controller.
     refused_until: HashMap<usize, Ms>,
-    /// Added latency of every answer.
+    /// Added latency of every request.
     pub(super) latency_ms: Ms,
     pub(super) transaction_fault: TransactionFault,
     rng: SmallRng,
@@ -68,6 +71,7 @@
 }
 
 impl Store {
+    /// Creates an empty store. The seed determines which transactions are affected by faults.
     pub(super) fn new(limits: Limits, seed: u64) -> Self {
         Store {
             keys: BTreeMap::new(),
@@ -75,9 +79,9 @@
             watch_log: VecDeque::new(),
             compacted_revision: 0,
             leases: HashMap::new(),
-            last_lease: 0,
-            requests: TokenBucket::new(limits.rps),
-            writes: TokenBucket::new(limits.write_rps),
+            last_lease_id: 0,
+            request_limiter: TokenBucket::new(limits.rps),
+            write_limiter: TokenBucket::new(limits.write_rps),
             limits,
             unavailable_until: 0,
             refused_until: HashMap::new(),
@@ -88,50 +92,54 @@
         }
     }
 
+    /// Returns the revision of the latest change.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
 
+    /// Returns the revision of the latest change that was removed from the watch log.
     pub(super) fn compacted_revision(&self) -> u64 {
         self.compacted_revision
     }
 
-    /// Whether a controller is served at all.
+    /// Returns whether the service accepts a controller's requests, apart from the rate limit.
     pub(super) fn is_available(&self, now: Ms, controller: usize) -> bool {
         let refused_until = self.refused_until.get(&controller);
         now >= self.unavailable_until && refused_until.is_none_or(|until| now >= *until)
     }
 
-    /// Counts a request, and refuses it during an outage or above the rate limit.
+    /// Counts a request. Refuses it during an outage, a refusal of the controller, or above the rate
+    /// limit.
     pub(super) fn admit(&mut self, now: Ms, controller: usize) -> Result<(), JsonReply> {
         self.counters.requests += 1;
         if !self.is_available(now, controller) {
             return Err(JsonReply::error(503, "trouble"));
         }
-        if !self.requests.try_acquire(now, 1.0) {
+        if !self.request_limiter.try_acquire(now, 1.0) {
             return Err(JsonReply::error(429, "too many requests"));
         }
         Ok(())
     }
 
-    /// Makes the service unavailable; afterwards each lease has its full lifetime again.
+    /// Starts or prolongs an outage. After it each lease has its full lifetime again.
     pub(super) fn start_outage(&mut self, until: Ms) {
         self.unavailable_until = self.unavailable_until.max(until);
-        let available = self.unavailable_until;
+        let outage_end_ms = self.unavailable_until;
         for lease in self.leases.values_mut() {
-            lease.expires_ms = available + lease.ttl_ms;
+            lease.expires_ms = outage_end_ms + lease.ttl_ms;
         }
     }
 
-    pub(super) fn refuse(&mut self, controller: usize, until: Ms) {
+    /// Refuses a controller until the given time.
+    pub(super) fn refuse_controller(&mut self, controller: usize, until: Ms) {
         self.refused_until.insert(controller, until);
     }
 
-    /// Draws what happens to the next transaction.
+    /// Draws the outcome of the next transaction according to the transaction fault.
     pub(super) fn draw_outcome(&mut self) -> TransactionOutcome {
         match self.transaction_fault {
             TransactionFault::Late(share) if self.rng.random_bool(share) => {
-                TransactionOutcome::LateBy(self.rng.random_range(LATE_MS))
+                TransactionOutcome::LateBy(self.rng.random_range(LATE_TRANSACTION_DELAY_MS))
             }
             TransactionFault::AnswerLost(share) if self.rng.random_bool(share) => {
                 TransactionOutcome::AnswerLost
@@ -140,6 +148,7 @@
         }
     }
 
+    /// Returns the value of a key.
     pub(super) fn value(&self, key: &str) -> Option<&Value> {
         self.keys.get(key).map(|stored| &stored.value)
     }
@@ -149,6 +158,7 @@
         KeyValue { key, value, mod_revision: *mod_revision, lease: *lease }
     }
 
+    /// Answers a read of one key.
     pub(super) fn get(&self, key: &str) -> JsonReply {
         match self.keys.get(key) {
             Some(stored) => JsonReply::new(200, json!(Self::key_value(key, stored))),
@@ -156,26 +166,30 @@
         }
     }
 
+    /// Answers a read of a page of keys.
     pub(super) fn list(&self, query: &ListQuery) -> JsonReply {
         let prefix = query.prefix.as_deref().unwrap_or_default();
-        let limit = query.limit.unwrap_or(PAGE_LENGTH).min(PAGE_LENGTH);
-        let is_listed = |key: &str| key.starts_with(prefix) && key > query.after.as_str();
-        let mut found = self.keys.iter().filter(|(key, _)| is_listed(key));
-        let page: Vec<KeyValue> =
-            found.by_ref().take(limit).map(|(key, stored)| Self::key_value(key, stored)).collect();
-        let is_truncated = found.next().is_some();
+        let limit = query.limit.unwrap_or(MAX_PAGE_LENGTH).min(MAX_PAGE_LENGTH);
+        let matches_query = |key: &str| key.starts_with(prefix) && key > query.after.as_str();
+        let mut matching = self.keys.iter().filter(|(key, _)| matches_query(key));
+        let page: Vec<KeyValue> = matching
+            .by_ref()
+            .take(limit)
+            .map(|(key, stored)| Self::key_value(key, stored))
+            .collect();
+        let is_truncated = matching.next().is_some();
         let revision = self.revision;
         let body = json!({"rows": page, "truncated": is_truncated, "impression": revision});
         JsonReply::new(200, body)
     }
 
-    /// Carries out a transaction if it keeps the limits and its preconditions hold.
+    /// Executes a transaction if it is within the limits and its preconditions hold.
     pub(super) fn transact(&mut self, now: Ms, request: &TransactionRequest) -> JsonReply {
         let TransactionRequest { preconditions, changes } = request;
         if self.exceeds_limits(request) {
             return JsonReply::error(400, "beyond a limit");
         }
-        if !self.writes.try_acquire(now, changes.len() as f64) {
+        if !self.write_limiter.try_acquire(now, changes.len() as f64) {
             return JsonReply::error(429, "too many changes");
         }
         let failed: Vec<&str> = preconditions
@@ -186,7 +200,7 @@
         if !failed.is_empty() {
             return JsonReply::new(409, json!({"failed": failed, "impression": self.revision}));
         }
-        if changes.iter().any(|change| self.names_unknown_lease(change)) {
+        if changes.iter().any(|change| self.uses_unknown_lease(change)) {
             return JsonReply::error(400, "no such lease");
         }
         self.revision += u64::from(!changes.is_empty());
@@ -197,23 +211,26 @@
         JsonReply::new(200, json!({"impression": self.revision}))
     }
 
+    /// Returns whether a transaction has too many changes or preconditions, or a value is too large.
     fn exceeds_limits(&self, request: &TransactionRequest) -> bool {
         let limits = self.limits;
-        let is_too_long = |change: &Change| match change {
+        let is_value_too_large = |change: &Change| match change {
             Change::Put { value, .. } => value.to_string().len() > limits.value_bytes,
             Change::Delete { .. } => false,
         };
         request.changes.len() > limits.txn_ops
             || request.preconditions.len() > limits.txn_ops * PRECONDITIONS_PER_CHANGE
-            || request.changes.iter().any(is_too_long)
+            || request.changes.iter().any(is_value_too_large)
     }
 
+    /// Returns whether a precondition holds.
     fn holds(&self, precondition: &Precondition) -> bool {
         let mod_revision = self.keys.get(&precondition.key).map_or(0, |stored| stored.mod_revision);
         precondition.mod_revision == Some(mod_revision)
     }
 
-    fn names_unknown_lease(&self, change: &Change) -> bool {
+    /// Returns whether a change attaches its key to a lease that does not exist.
+    fn uses_unknown_lease(&self, change: &Change) -> bool {
         match change {
             Change::Put { lease: Some(lease), .. } => !self.leases.contains_key(lease),
             Change::Put { lease: None, .. } | Change::Delete { .. } => false,
@@ -229,19 +246,28 @@
 
     fn put(&mut self, key: &str, value: &Value, lease: Option<u64>) {
         let mod_revision = self.revision;
-        self.log(WatchEvent::Put { key: key.into(), value: value.clone(), mod_revision, lease });
+        self.append_to_watch_log(WatchEvent::Put {
+            key: key.into(),
+            value: value.clone(),
+            mod_revision,
+            lease,
+        });
         self.keys.insert(key.into(), StoredValue { value: value.clone(), mod_revision, lease });
     }
 
     fn delete(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            self.log(WatchEvent::Delete { key: key.into(), mod_revision: self.revision });
+            self.append_to_watch_log(WatchEvent::Delete {
+                key: key.into(),
+                mod_revision: self.revision,
+            });
         }
     }
 
-    fn log(&mut self, event: WatchEvent) {
+    /// Appends a change to the watch log, and removes the oldest one if the log is full.
+    fn append_to_watch_log(&mut self, event: WatchEvent) {
         self.watch_log.push_back(event);
-        if self.watch_log.len() <= WATCH_LOG_LENGTH {
+        if self.watch_log.len() <= MAX_WATCH_LOG_LENGTH {
             return;
         }
         if let Some(oldest) = self.watch_log.pop_front() {
@@ -249,7 +275,7 @@
         }
     }
 
-    /// The changes of keys with a prefix after a revision, oldest first.
+    /// Returns the changes to keys with a prefix after a revision, oldest first.
     pub(super) fn events_after(&self, prefix: &str, revision: u64) -> Vec<&WatchEvent> {
         let later = self.watch_log.iter().rev().take_while(|event| event.mod_revision() > revision);
         let mut events: Vec<&WatchEvent> =
@@ -258,28 +284,30 @@
         events
     }
 
+    /// Grants a lease with the requested lifetime.
     pub(super) fn grant_lease(&mut self, now: Ms, request: LeaseRequest) -> JsonReply {
         let ttl_ms = request.ttl_ms;
-        if !LEASE_TTL_MS.contains(&ttl_ms) {
+        if !VALID_LEASE_TTL_MS.contains(&ttl_ms) {
             return JsonReply::error(400, "lifeMs");
         }
-        self.last_lease += 1;
-        self.leases.insert(self.last_lease, Lease { ttl_ms, expires_ms: now + ttl_ms });
-        JsonReply::new(200, json!({"loan": self.last_lease}))
+        self.last_lease_id += 1;
+        self.leases.insert(self.last_lease_id, Lease { ttl_ms, expires_ms: now + ttl_ms });
+        JsonReply::new(200, json!({"loan": self.last_lease_id}))
     }
 
-    pub(super) fn renew_lease(&mut self, now: Ms, lease: u64) -> JsonReply {
-        let Some(lease) = self.leases.get_mut(&lease) else { return self.not_found() };
+    /// Renews a lease for its full lifetime.
+    pub(super) fn renew_lease(&mut self, now: Ms, lease_id: u64) -> JsonReply {
+        let Some(lease) = self.leases.get_mut(&lease_id) else { return self.not_found() };
         lease.expires_ms = now + lease.ttl_ms;
         JsonReply::new(200, json!({}))
     }
 
-    /// Ends a lease and deletes the keys that are attached to it.
-    pub(super) fn revoke_lease(&mut self, lease: u64) -> JsonReply {
-        if self.leases.remove(&lease).is_none() {
+    /// Removes a lease and deletes the keys attached to it.
+    pub(super) fn revoke_lease(&mut self, lease_id: u64) -> JsonReply {
+        if self.leases.remove(&lease_id).is_none() {
             return self.not_found();
         }
-        let attached = self.keys.iter().filter(|(_, stored)| stored.lease == Some(lease));
+        let attached = self.keys.iter().filter(|(_, stored)| stored.lease == Some(lease_id));
         let attached: Vec<String> = attached.map(|(key, _)| key.clone()).collect();
         self.revision += u64::from(!attached.is_empty());
         for key in attached {
@@ -288,18 +316,19 @@
         JsonReply::new(200, json!({}))
     }
 
-    /// Ends the leases whose time is over; none during an outage.
+    /// Removes expired leases; leases do not expire during an outage.
     pub(super) fn expire_leases(&mut self, now: Ms) {
         if now < self.unavailable_until {
             return;
         }
         let expired = self.leases.iter().filter(|(_, lease)| now >= lease.expires_ms);
         let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
-        for lease in expired {
-            self.revoke_lease(lease);
+        for lease_id in expired {
+            self.revoke_lease(lease_id);
         }
     }
 
+    /// Returns the reply for a key or lease that does not exist.
     fn not_found(&self) -> JsonReply {
         JsonReply::new(404, json!({"impression": self.revision}))
     }
