--- a/crates/basaltrail-testbed/src/faults/injector.rs
+++ b/crates/basaltrail-testbed/src/faults/injector.rs
@@ -342,21 +342,21 @@
             match kind {
                 FaultKind::MachineCrash => self.testbed.cloud.crash(machine),
                 FaultKind::MachineHang => {
-                    fleet.set_faults(machine, |faults| faults.hangs_until = until);
+                    fleet.set_faults(machine, |faults| faults.suspended_until = until);
                 }
                 FaultKind::MachineMute => {
-                    fleet.set_faults(machine, |faults| faults.mute_until = until);
+                    fleet.set_faults(machine, |faults| faults.heartbeats_dropped_until = until);
                 }
-                _ => fleet.set_faults(machine, |faults| faults.deaf_until = until),
+                _ => fleet.set_faults(machine, |faults| faults.answers_dropped_until = until),
             }
         }
     }
 
     fn start_late_heartbeats(&self, duration_ms: Ms) {
         self.record(format!("copies of heartbeats arrive late for {duration_ms} ms"));
-        self.testbed.fleet.set_late_copies(LATE_COPIES_THOUSANDTHS);
+        self.testbed.fleet.set_late_copy_thousandths(LATE_COPIES_THOUSANDTHS);
         self.recover_after(duration_ms, |testbed| async move {
-            testbed.fleet.set_late_copies(0);
+            testbed.fleet.set_late_copy_thousandths(0);
         });
     }
 
--- a/crates/basaltrail-testbed/src/worker/agent.rs
+++ b/crates/basaltrail-testbed/src/worker/agent.rs
@@ -1,5 +1,7 @@
-//! The state of one worker: its epoch, lease and tasks. It is a function of time and of the
-//! answers to its heartbeats; it does no input or output besides the history.
+//! State machine of one worker, with its epoch, lease and tasks.
+//!
+//! Its inputs are the time and the answers to its heartbeats. It does no network input or output; it
+//! records events in the history and completed tasks in the job catalog.
 
 use super::fleet::Fleet;
 use super::messages::{Command, EndStatus, Heartbeat, HeartbeatAnswer, TaskPhase, TaskStatus};
@@ -15,13 +17,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How long an image is fetched.
+/// Time to fetch an image, in milliseconds.
 const FETCH_MS: std::ops::Range<Ms> = 50..600;
-/// The share of task attempts that fail.
+/// Share of the task attempts that fail.
 const FAILURE_SHARE: f64 = 0.02;
-/// How long tasks of services run: longer than any run lasts.
+/// Run time of tasks of services, in milliseconds; longer than any run of the testbed.
 const SERVICE_RUN_MS: Ms = Ms::MAX / 4;
 
+/// State of a task attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TaskState {
     FetchingImage,
@@ -29,14 +32,17 @@
     Ended(EndStatus),
 }
 
+/// A task attempt on the machine.
 #[derive(Clone, Debug)]
 struct Task {
     state: TaskState,
-    /// When the present state ends.
-    until_ms: Ms,
+    /// Time at which the current state ends.
+    state_end_ms: Ms,
+    /// Run time of the task, in milliseconds.
     run_ms: Ms,
     cpus: f64,
-    fails: bool,
+    /// Whether the attempt fails at the end of its run time.
+    will_fail: bool,
 }
 
 impl Task {
@@ -44,7 +50,8 @@
         matches!(self.state, TaskState::Ended(_))
     }
 
-    fn status(&self, key: TaskKey) -> TaskStatus {
+    /// Returns the attempt's status in a heartbeat.
+    fn status(&self, key: AttemptKey) -> TaskStatus {
         let (phase, end) = match self.state {
             TaskState::FetchingImage => (TaskPhase::Fetching, None),
             TaskState::Running => (TaskPhase::Running, None),
@@ -55,43 +62,49 @@
     }
 }
 
+/// Identifies a task attempt on the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct TaskKey {
+struct AttemptKey {
     job: u64,
     task: u32,
     attempt: u64,
 }
 
-/// A heartbeat's answer, and how it came.
+/// An answer to a heartbeat, with its times and sender.
 pub(super) struct ReceivedAnswer {
-    /// When the heartbeat was sent; the lease is renewed from then on.
+    /// Time at which the heartbeat was sent; the renewed lease starts at this time.
     pub(super) sent_ms: Ms,
+    /// Time at which the answer was received.
     pub(super) received_ms: Ms,
-    /// Epoch of the heartbeat.
+    /// Agent epoch of the heartbeat.
     pub(super) epoch: u64,
     /// Index of the controller that answered.
     pub(super) controller: usize,
     pub(super) answer: HeartbeatAnswer,
 }
 
+/// State of one worker.
 pub(super) struct Agent {
     pub(super) machine: Machine,
     fleet: Arc<Fleet>,
     pub(super) rng: SmallRng,
     epoch: u64,
+    /// Number of the last heartbeat.
     sequence: u64,
+    /// Highest fencing token that the worker has accepted.
     token: u64,
-    /// Start of the present lease.
-    renewed_ms: Ms,
-    tasks: BTreeMap<TaskKey, Task>,
-    /// Whether something changed since the last heartbeat.
-    pub(super) changed: bool,
-    /// When a higher token last counted as a change, which it does at most once in half a lease.
-    token_changed_ms: Option<Ms>,
+    /// Start of the current lease.
+    lease_start_ms: Ms,
+    tasks: BTreeMap<AttemptKey, Task>,
+    /// Whether the state changed after the last heartbeat, so that the next one is sent earlier.
+    pub(super) has_unreported_changes: bool,
+    /// Time at which a higher token last counted as a change; it counts at most once per half lease
+    /// duration.
+    token_change_ms: Option<Ms>,
 }
 
 impl Agent {
-    /// A worker without tasks, with a lease from now on.
+    /// Creates the state of a worker without tasks whose lease starts now.
     pub(super) fn new(machine: Machine, fleet: Arc<Fleet>, rng: SmallRng, now: Ms) -> Self {
         Agent {
             machine,
@@ -100,13 +113,14 @@
             epoch: 1,
             sequence: 0,
             token: 0,
-            renewed_ms: now,
+            lease_start_ms: now,
             tasks: BTreeMap::new(),
-            changed: false,
-            token_changed_ms: None,
+            has_unreported_changes: false,
+            token_change_ms: None,
         }
     }
 
+    /// Returns the lease duration, in milliseconds.
     fn lease_ms(&self) -> Ms {
         self.fleet.context.deployment.lease_ms
     }
@@ -115,78 +129,81 @@
         self.fleet.context.history.record(at_ms, kind);
     }
 
-    fn attempt(&self, key: TaskKey) -> TaskAttempt {
-        let TaskKey { job, task, attempt } = key;
+    /// Returns the attempt for events of the history.
+    fn task_attempt(&self, key: AttemptKey) -> TaskAttempt {
+        let AttemptKey { job, task, attempt } = key;
         TaskAttempt { job, task, attempt, machine: self.machine.name.clone() }
     }
 
-    /// Lets everything happen that happens before an instant, each at its own time: state changes
-    /// of tasks, and the expiry of the lease.
+    /// Applies the state changes of tasks and the expiries of the lease up to the given time, each
+    /// with the time at which it is due.
     pub(super) fn advance(&mut self, now: Ms) {
         let lease_ms = self.lease_ms();
-        while now > self.renewed_ms + lease_ms {
-            let expired_ms = self.renewed_ms + lease_ms;
-            self.advance_tasks(expired_ms);
-            self.end_all_tasks(expired_ms, TaskEndReason::LeaseExpired);
+        while now > self.lease_start_ms + lease_ms {
+            let expiry_ms = self.lease_start_ms + lease_ms;
+            self.advance_tasks(expiry_ms);
+            self.end_all_tasks(expiry_ms, TaskEndReason::LeaseExpired);
             self.epoch += 1;
-            self.renewed_ms = expired_ms;
-            self.changed = true;
+            self.lease_start_ms = expiry_ms;
+            self.has_unreported_changes = true;
         }
         self.advance_tasks(now);
     }
 
+    /// Applies the state changes of tasks up to the given time, in the order in which they are due.
     fn advance_tasks(&mut self, now: Ms) {
         loop {
-            let due = self.tasks.iter().filter(|(_, task)| task.until_ms <= now);
-            let next = due.min_by_key(|(_, task)| task.until_ms).map(|(key, _)| *key);
-            let Some(key) = next else { return };
-            self.leave_state(key);
+            let due_tasks = self.tasks.iter().filter(|(_, task)| task.state_end_ms <= now);
+            let next_key = due_tasks.min_by_key(|(_, task)| task.state_end_ms).map(|(key, _)| *key);
+            let Some(key) = next_key else { return };
+            self.enter_next_state(key);
         }
     }
 
-    /// Moves a task on whose present state is over.
-    fn leave_state(&mut self, key: TaskKey) {
-        let attempt = self.attempt(key);
+    /// Moves a task to the next state at the end of its current one.
+    fn enter_next_state(&mut self, key: AttemptKey) {
+        let attempt = self.task_attempt(key);
         let is_completed = self.fleet.context.jobs.is_completed(key.job, key.task);
         let Some(task) = self.tasks.get_mut(&key) else { return };
-        let at = std::mem::replace(&mut task.until_ms, Ms::MAX);
-        self.changed = true;
+        let at_ms = std::mem::replace(&mut task.state_end_ms, Ms::MAX);
+        self.has_unreported_changes = true;
         match task.state {
             TaskState::FetchingImage => {
                 task.state = TaskState::Running;
-                // A task that completed before ends at once.
-                task.until_ms = if is_completed { at } else { at.saturating_add(task.run_ms) };
-                self.record(at, EventKind::TaskStarted(attempt));
+                // A task that another attempt completed ends immediately.
+                task.state_end_ms =
+                    if is_completed { at_ms } else { at_ms.saturating_add(task.run_ms) };
+                self.record(at_ms, EventKind::TaskStarted(attempt));
             }
-            TaskState::Running if task.fails && !is_completed => {
+            TaskState::Running if task.will_fail && !is_completed => {
                 task.state = TaskState::Ended(EndStatus::Error);
                 let reason = TaskEndReason::Failed;
-                self.record(at, EventKind::TaskEnded { attempt, reason });
+                self.record(at_ms, EventKind::TaskEnded { attempt, reason });
             }
             TaskState::Running => {
                 task.state = TaskState::Ended(EndStatus::Done);
                 self.fleet.context.jobs.record_completion(key.job, key.task);
                 let reason = TaskEndReason::Completed;
-                self.record(at, EventKind::TaskEnded { attempt, reason });
+                self.record(at_ms, EventKind::TaskEnded { attempt, reason });
             }
             TaskState::Ended(_) => {}
         }
     }
 
-    /// Drops all tasks.
-    pub(super) fn end_all_tasks(&mut self, at: Ms, reason: TaskEndReason) {
+    /// Removes all tasks, and records the end of those that are running.
+    pub(super) fn end_all_tasks(&mut self, at_ms: Ms, reason: TaskEndReason) {
         for (key, task) in std::mem::take(&mut self.tasks) {
             if task.state == TaskState::Running {
-                let attempt = self.attempt(key);
-                self.record(at, EventKind::TaskEnded { attempt, reason });
+                let attempt = self.task_attempt(key);
+                self.record(at_ms, EventKind::TaskEnded { attempt, reason });
             }
         }
     }
 
-    /// The next heartbeat, with everything that changed.
+    /// Returns the next heartbeat, with the status of all task attempts.
     pub(super) fn next_heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
-        self.changed = false;
+        self.has_unreported_changes = false;
         Heartbeat {
             machine: self.machine.name.clone(),
             endpoint: WORKER_ENDPOINT,
@@ -201,16 +218,16 @@
         }
     }
 
-    /// Renews the lease and carries out the commands of an answer, unless its token is outdated
-    /// or its heartbeat was of an earlier epoch.
-    pub(super) fn accept(&mut self, received: &ReceivedAnswer) {
+    /// Renews the lease and executes the commands of an answer. Ignores the answer if its token is
+    /// outdated or its heartbeat belongs to an earlier epoch.
+    pub(super) fn apply_answer(&mut self, received: &ReceivedAnswer) {
         let ReceivedAnswer { sent_ms, received_ms, epoch, controller, answer } = received;
         let token = answer.token;
         if token < self.token || *epoch != self.epoch {
             return;
         }
         self.accept_token(*received_ms, token);
-        self.renewed_ms = self.renewed_ms.max(*sent_ms);
+        self.lease_start_ms = self.lease_start_ms.max(*sent_ms);
         self.fleet.observe_leader(*controller, token);
         let machine = self.machine.name.clone();
         let renewal = EventKind::LeaseRenewed { machine, controller: *controller, token };
@@ -220,90 +237,99 @@
         }
     }
 
+    /// Stores an accepted token. A higher token counts as a change at most once per half lease
+    /// duration.
     fn accept_token(&mut self, now: Ms, token: u64) {
         let half_lease_ms = self.lease_ms() / 2;
-        let may_count = self.token_changed_ms.is_none_or(|at| now >= at + half_lease_ms);
-        if token > self.token && may_count {
-            self.token_changed_ms = Some(now);
-            self.changed = true;
+        let counts_as_change =
+            self.token_change_ms.is_none_or(|at_ms| now >= at_ms + half_lease_ms);
+        if token > self.token && counts_as_change {
+            self.token_change_ms = Some(now);
+            self.has_unreported_changes = true;
         }
         self.token = token;
     }
 
+    /// Records and executes a command. Ignores a command with a malformed task name.
     fn execute(&mut self, received: &ReceivedAnswer, command: &Command) {
         let Some(task) = names::parse_task(&command.task) else { return };
-        let key = TaskKey { job: task.job.0, task: task.index, attempt: command.attempt };
+        let key = AttemptKey { job: task.job.0, task: task.index, attempt: command.attempt };
         let now = received.received_ms;
         let event = EventKind::CommandReceived {
-            attempt: self.attempt(key),
+            attempt: self.task_attempt(key),
             command: command.name.clone(),
             token: received.answer.token,
             controller: received.controller,
         };
         self.record(now, event);
         match command.name.as_str() {
-            "start" => self.start(now, key),
-            "kill" => self.kill(now, key),
-            "forget" => self.forget(key),
+            "start" => self.start_task(now, key),
+            "kill" => self.kill_task(now, key),
+            "forget" => self.forget_task(key),
             _ => {}
         }
     }
 
-    fn start(&mut self, now: Ms, key: TaskKey) {
+    /// Starts a task attempt, or reports why it cannot start. Does nothing if it is already known.
+    fn start_task(&mut self, now: Ms, key: AttemptKey) {
         if self.tasks.contains_key(&key) {
             return;
         }
-        self.changed = true;
+        self.has_unreported_changes = true;
         let description = self.fleet.context.jobs.find(key.job);
-        let refusal = self.refusal(key, description.as_ref());
-        let fetched_ms = now + self.rng.random_range(FETCH_MS);
-        let (state, until_ms) = match refusal {
+        let refusal = self.start_refusal(key, description.as_ref());
+        let fetch_end_ms = now + self.rng.random_range(FETCH_MS);
+        let (state, state_end_ms) = match refusal {
             Some(status) => (TaskState::Ended(status), Ms::MAX),
-            None => (TaskState::FetchingImage, fetched_ms),
+            None => (TaskState::FetchingImage, fetch_end_ms),
         };
         let cpus = description.as_ref().map_or(0.0, |job| job.requirements.cpus);
         let run_ms = description.map_or(0, |job| match job.requirements.service {
             true => SERVICE_RUN_MS,
             false => job.run_ms,
         });
-        let fails = self.rng.random_bool(FAILURE_SHARE);
-        self.tasks.insert(key, Task { state, until_ms, run_ms, cpus, fails });
+        let will_fail = self.rng.random_bool(FAILURE_SHARE);
+        self.tasks.insert(key, Task { state, state_end_ms, run_ms, cpus, will_fail });
     }
 
-    /// Why a task cannot be started here, if it cannot.
-    fn refusal(&self, key: TaskKey, description: Option<&JobDescription>) -> Option<EndStatus> {
+    /// Returns the reason that a task cannot start on this machine, or `None` if it can start.
+    fn start_refusal(
+        &self,
+        key: AttemptKey,
+        description: Option<&JobDescription>,
+    ) -> Option<EndStatus> {
         let Some(description) = description else { return Some(EndStatus::Unknown) };
         let requirements = &description.requirements;
         if key.task >= requirements.tasks {
             return Some(EndStatus::Unknown);
         }
-        let live = || self.tasks.iter().filter(|(_, task)| !task.has_ended());
-        if live().any(|(other, _)| (other.job, other.task) == (key.job, key.task)) {
-            return Some(EndStatus::InUse);
+        let active_tasks = || self.tasks.iter().filter(|(_, task)| !task.has_ended());
+        if active_tasks().any(|(other, _)| (other.job, other.task) == (key.job, key.task)) {
+            return Some(EndStatus::OtherAttemptActive);
         }
-        let used_cpus: f64 = live().map(|(_, task)| task.cpus).sum();
+        let used_cpus: f64 = active_tasks().map(|(_, task)| task.cpus).sum();
         if used_cpus + requirements.cpus > MACHINE_CPUS + CPU_ROUNDING {
-            return Some(EndStatus::NoRoom);
+            return Some(EndStatus::InsufficientCpus);
         }
         None
     }
 
-    /// Stops a task at once: the stand-in has no checkpoints to save.
-    fn kill(&mut self, now: Ms, key: TaskKey) {
-        let attempt = self.attempt(key);
+    /// Stops a task immediately, since the stand-in saves no checkpoints.
+    fn kill_task(&mut self, now: Ms, key: AttemptKey) {
+        let attempt = self.task_attempt(key);
         let Some(task) = self.tasks.get_mut(&key).filter(|task| !task.has_ended()) else { return };
         let was_running = task.state == TaskState::Running;
         task.state = TaskState::Ended(EndStatus::Stopped);
-        task.until_ms = Ms::MAX;
-        self.changed = true;
+        task.state_end_ms = Ms::MAX;
+        self.has_unreported_changes = true;
         if was_running {
             let reason = TaskEndReason::Stopped;
             self.record(now, EventKind::TaskEnded { attempt, reason });
         }
     }
 
-    /// Drops a task that ended: the controller has recorded its end.
-    fn forget(&mut self, key: TaskKey) {
+    /// Removes a task that ended, whose end the controller has recorded.
+    fn forget_task(&mut self, key: AttemptKey) {
         if self.tasks.get(&key).is_some_and(Task::has_ended) {
             self.tasks.remove(&key);
         }
--- a/crates/basaltrail-testbed/src/worker/messages.rs
+++ b/crates/basaltrail-testbed/src/worker/messages.rs
@@ -1,9 +1,9 @@
-//! Bodies of workers' heartbeats (PROTOCOL, Workers -> controller nodes). Wire names are mapped
-//! to the field's terms here.
+//! Messages between workers and controllers (PROTOCOL, Workers -> controller nodes). Serde
+//! attributes map the fields to their names on the wire.
 
 use serde::{Deserialize, Serialize};
 
-/// A heartbeat with the status of all tasks on the machine.
+/// A heartbeat, with the status of all task attempts on the machine.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Heartbeat {
     #[serde(rename = "stack")]
@@ -15,22 +15,24 @@
     pub(super) zone: &'static str,
     #[serde(rename = "remainders")]
     pub(super) spot: bool,
-    /// Epoch of the agent: a new one starts when the lease expires.
+    /// Epoch of the agent; a new epoch starts when the worker lease expires.
     #[serde(rename = "tenure")]
     pub(super) epoch: u64,
+    /// Number of the heartbeat.
     #[serde(rename = "folio")]
     pub(super) sequence: u64,
-    /// The highest fencing token that the worker accepted.
+    /// Highest fencing token that the worker has accepted.
     #[serde(rename = "warrant")]
     pub(super) token: u64,
-    /// Seconds until the cloud reclaims the machine; here it never announces that.
+    /// Seconds until the cloud reclaims the machine; always `None`, since the stand-in for the cloud
+    /// sends no reclaim notices.
     #[serde(rename = "recallS")]
     pub(super) reclaim_s: Option<f64>,
     #[serde(rename = "leaves")]
     pub(super) tasks: Vec<TaskStatus>,
 }
 
-/// The status of one task attempt.
+/// Status of a task attempt.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct TaskStatus {
     /// `JOB/INDEX`.
@@ -44,32 +46,34 @@
     pub(super) end: Option<EndStatus>,
 }
 
-/// The phase of a task attempt.
+/// Phase of a task attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum TaskPhase {
-    /// The image is being fetched.
+    /// The worker is fetching the image.
     Fetching,
     Running,
     Ended,
 }
 
-/// How a task attempt ended.
+/// Outcome of a task attempt that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum EndStatus {
     Done,
     Error,
     Stopped,
-    /// No such job or task is known.
+    /// The worker does not know the job or the task.
     Unknown,
-    /// Another attempt at the task is on the machine.
-    InUse,
+    /// Another attempt of the task has not ended on the machine.
+    #[serde(rename = "in_use")]
+    OtherAttemptActive,
     /// The machine has too few free CPUs.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    InsufficientCpus,
 }
 
-/// The answer of the leader to a heartbeat (status 200).
+/// The leader's answer to a heartbeat (status 200).
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(super) struct HeartbeatAnswer {
     #[serde(rename = "warrant", default)]
@@ -78,7 +82,7 @@
     pub(super) commands: Vec<Command>,
 }
 
-/// A command to a worker about one task attempt.
+/// A command to a worker, for one task attempt.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct Command {
     /// `start`, `kill` or `forget`.
@@ -91,10 +95,10 @@
     pub(super) attempt: u64,
 }
 
-/// The answer of a controller that is not the leader (status 421).
+/// The answer of a controller that is not the leader to a heartbeat (status 421).
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(super) struct NotLeaderAnswer {
-    /// Name of the leader, if the controller knows it.
+    /// Name of the leader; `None` if the controller does not know it.
     #[serde(rename = "steward", default)]
     pub(super) leader: Option<String>,
 }
--- a/crates/basaltrail-testbed/src/worker/mod.rs
+++ b/crates/basaltrail-testbed/src/worker/mod.rs
@@ -1,9 +1,9 @@
-//! Stand-in of a worker (PROTOCOL, Workers -> controller nodes): heartbeats, leases, epochs,
-//! fencing tokens, commands, and late copies of heartbeats. There are no direct commands, since
+//! Stand-in for a worker (PROTOCOL, Workers -> controller nodes): heartbeats, leases, epochs,
+//! fencing tokens, commands, and late copies of heartbeats. It listens for no direct commands, since
 //! controllers send none.
 //!
-//! Leases and tasks end at the instant at which they must, and are recorded with that instant,
-//! however late this process gets there: a busy machine changes no verdict.
+//! The ends of leases and tasks are recorded with the times at which they are due, regardless of
+//! when this process handles them. Thus a busy host does not change the result of a check.
 
 mod agent;
 mod fleet;
@@ -26,25 +26,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a worker waits for an answer (PROTOCOL: 4 s).
+/// Time limit for the answer to a heartbeat (PROTOCOL: 4 s).
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// How long a worker waits before it asks the next controller (PROTOCOL: 1 s).
-const NEXT_CONTROLLER_MS: Ms = 1_000;
-/// How long a worker waits before it asks the leader that a controller named.
-const REDIRECT_MS: Ms = 50;
-/// The shortest time between two heartbeats, however much changes.
-const CHANGE_INTERVAL_MS: Ms = 500;
-/// How late copies of heartbeats arrive.
-const COPY_DELAY_MS: std::ops::Range<Ms> = 500..9_000;
-/// The shortest sleep of a worker.
+/// Delay before a worker sends a heartbeat to the next controller, in milliseconds (PROTOCOL: 1 s).
+const NEXT_CONTROLLER_DELAY_MS: Ms = 1_000;
+/// Delay before a worker sends a heartbeat to the leader that a controller named, in milliseconds.
+const REDIRECT_DELAY_MS: Ms = 50;
+/// Minimum time from a heartbeat to the next one that is sent early because of a change, in
+/// milliseconds.
+const MIN_CHANGE_INTERVAL_MS: Ms = 500;
+/// Delay of late copies of heartbeats, in milliseconds.
+const LATE_COPY_DELAY_MS: std::ops::Range<Ms> = 500..9_000;
+/// Minimum sleep of a worker, in milliseconds.
 const MIN_SLEEP_MS: Ms = 5;
-/// How often a worker looks at its machine's state within one heartbeat interval: thousands of
-/// workers that woke up more often would keep this process busy with that alone.
-const WAKE_UPS_PER_HEARTBEAT: Ms = 20;
+/// Number of times per heartbeat interval that a worker checks its machine and tasks. With
+/// thousands of workers, more frequent checks alone would keep this process fully busy.
+const CHECKS_PER_HEARTBEAT: Ms = 20;
 /// Path of heartbeats.
 const HEARTBEAT_PATH: &str = "/checkin";
 
-/// Runs a machine's worker until the machine is gone or the run is over.
+/// Runs a machine's worker, from the end of its boot until the machine is gone or the run ends.
 pub async fn run(machine: Machine, fleet: Arc<Fleet>, seed: u64) {
     fleet.context.clock.sleep_until(machine.ready_ms).await;
     if fleet.context.cloud.gone_ms(&machine.name).is_some() {
@@ -60,13 +61,15 @@
     client: Client,
     /// Addresses of the controllers.
     controllers: Vec<SocketAddr>,
-    /// Index of the controller that gets the next heartbeat.
+    /// Index of the controller to which the next heartbeat is sent.
     target: usize,
     last_sent_ms: Ms,
-    next_due_ms: Ms,
+    /// Time at which the next heartbeat is due if nothing changes.
+    next_heartbeat_ms: Ms,
 }
 
 impl HeartbeatLoop {
+    /// Records the start of a worker, and chooses its first controller at random.
     fn start(machine: Machine, fleet: Arc<Fleet>, seed: u64) -> Self {
         let context = &fleet.context;
         let now = context.clock.now();
@@ -82,7 +85,7 @@
             controllers,
             target,
             last_sent_ms: 0,
-            next_due_ms: now,
+            next_heartbeat_ms: now,
             fleet,
         }
     }
@@ -99,42 +102,43 @@
                 return;
             }
             self.agent.advance(now);
-            match self.sleeps_until(now) {
+            match self.wake_up_time(now) {
                 Some(wake_up_ms) => clock.sleep_until(wake_up_ms).await,
                 None => self.send_heartbeat(now).await,
             }
         }
     }
 
-    /// Until when the worker sleeps; `None` if its next heartbeat is due.
-    fn sleeps_until(&self, now: Ms) -> Option<Ms> {
-        let due_ms = match self.agent.changed {
-            true => self.next_due_ms.min(self.last_sent_ms + CHANGE_INTERVAL_MS),
-            false => self.next_due_ms,
+    /// Returns the time at which the worker wakes up, or `None` if its next heartbeat is due.
+    fn wake_up_time(&self, now: Ms) -> Option<Ms> {
+        let due_ms = match self.agent.has_unreported_changes {
+            true => self.next_heartbeat_ms.min(self.last_sent_ms + MIN_CHANGE_INTERVAL_MS),
+            false => self.next_heartbeat_ms,
         };
-        let hangs_until = self.fleet.faults_of(&self.agent.machine.name).hangs_until;
-        let send_ms = due_ms.max(hangs_until);
+        let suspended_until = self.fleet.faults_of(&self.agent.machine.name).suspended_until;
+        let send_ms = due_ms.max(suspended_until);
         if now >= send_ms {
             return None;
         }
-        let interval_ms = self.fleet.context.deployment.heartbeat_ms / WAKE_UPS_PER_HEARTBEAT;
+        let interval_ms = self.fleet.context.deployment.heartbeat_ms / CHECKS_PER_HEARTBEAT;
         Some(send_ms.min(now + interval_ms).max(now + MIN_SLEEP_MS))
     }
 
+    /// Sends a heartbeat and handles its answer.
     async fn send_heartbeat(&mut self, now: Ms) {
         let faults = self.fleet.faults_of(&self.agent.machine.name);
         let heartbeat = self.agent.next_heartbeat();
         self.last_sent_ms = now;
         let body = json!(heartbeat).to_string();
         self.send_late_copy(&body);
-        let response = self.exchange(body, now < faults.mute_until).await;
+        let response = self.exchange(body, now < faults.heartbeats_dropped_until).await;
         let received_ms = self.fleet.context.clock.now();
         self.agent.advance(received_ms);
-        let response = response.filter(|_| self.is_delivered(now, received_ms));
-        self.next_due_ms = now + self.draw_interval();
+        let response = response.filter(|_| self.is_answer_delivered(now, received_ms));
+        self.next_heartbeat_ms = now + self.draw_interval();
         let previous_target = self.target;
         match response {
-            Some(response) if response.status == 200 => self.agent.accept(&ReceivedAnswer {
+            Some(response) if response.status == 200 => self.agent.apply_answer(&ReceivedAnswer {
                 sent_ms: now,
                 received_ms,
                 epoch: heartbeat.epoch,
@@ -145,71 +149,74 @@
             _ => self.try_next_controller(received_ms),
         }
         if self.target != previous_target {
-            // The worker closes its connection to a controller that it leaves.
+            // A worker closes its connection when it switches to another controller.
             self.client = Client::default();
         }
     }
 
-    /// Sends a heartbeat; one of a mute machine is lost.
-    async fn exchange(&self, body: String, is_mute: bool) -> Option<Response> {
-        if is_mute {
+    /// Sends a heartbeat and returns its answer. A dropped heartbeat is not sent and times out.
+    async fn exchange(&self, body: String, is_dropped: bool) -> Option<Response> {
+        if is_dropped {
             tokio::time::sleep(ANSWER_TIMEOUT).await;
             return None;
         }
-        let to = self.controllers[self.target];
-        self.client.call(Request::post(to, HEARTBEAT_PATH, body, ANSWER_TIMEOUT)).await
+        let address = self.controllers[self.target];
+        self.client.call(Request::post(address, HEARTBEAT_PATH, body, ANSWER_TIMEOUT)).await
     }
 
-    /// Sometimes sends a copy of a heartbeat late, to whoever listens at the address by then.
+    /// Sends a late copy of a share of the heartbeats. A copy goes to the original address, even if
+    /// the controller there restarts in the meantime.
     fn send_late_copy(&mut self, body: &str) {
         if !self.agent.rng.random_bool(self.fleet.late_copy_share()) {
             return;
         }
-        let delay = Duration::from_millis(self.agent.rng.random_range(COPY_DELAY_MS));
-        let (to, body) = (self.controllers[self.target], body.to_string());
+        let delay = Duration::from_millis(self.agent.rng.random_range(LATE_COPY_DELAY_MS));
+        let (address, body) = (self.controllers[self.target], body.to_string());
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
-            let request = Request::post(to, HEARTBEAT_PATH, body, ANSWER_TIMEOUT);
+            let request = Request::post(address, HEARTBEAT_PATH, body, ANSWER_TIMEOUT);
             Client::default().call(request).await;
         });
     }
 
-    /// Whether an answer reaches the worker, and in time.
-    fn is_delivered(&self, sent_ms: Ms, received_ms: Ms) -> bool {
+    /// Returns whether an answer reaches the worker within the time limit.
+    fn is_answer_delivered(&self, sent_ms: Ms, received_ms: Ms) -> bool {
         let faults = self.fleet.faults_of(&self.agent.machine.name);
-        received_ms >= faults.hangs_until
-            && received_ms >= faults.deaf_until
+        received_ms >= faults.suspended_until
+            && received_ms >= faults.answers_dropped_until
             && received_ms <= sent_ms + ANSWER_TIMEOUT.as_millis() as Ms
     }
 
-    /// The time to the next heartbeat: the configured interval, within a quarter.
+    /// Draws the time to the next heartbeat: the configured interval plus or minus up to a quarter.
     fn draw_interval(&mut self) -> Ms {
         let interval_ms = self.fleet.context.deployment.heartbeat_ms;
         self.agent.rng.random_range(interval_ms * 3 / 4..=interval_ms * 5 / 4)
     }
 
-    /// Goes to the leader that a controller named, or to the next controller.
+    /// Switches to the leader that a controller named, or to the next controller if it named no other
+    /// known one.
     fn redirect(&mut self, now: Ms, response: Response) {
         let leader = parse::<NotLeaderAnswer>(response).leader;
-        let named = leader.and_then(|name| {
+        let named_leader = leader.and_then(|name| {
             (0..self.controllers.len()).find(|index| Deployment::controller_name(*index) == name)
         });
-        match named.filter(|named| *named != self.target) {
+        match named_leader.filter(|leader| *leader != self.target) {
             Some(leader) => {
                 self.target = leader;
-                self.next_due_ms = now + REDIRECT_MS;
+                self.next_heartbeat_ms = now + REDIRECT_DELAY_MS;
             }
             None => self.try_next_controller(now),
         }
     }
 
+    /// Switches to the next controller.
     fn try_next_controller(&mut self, now: Ms) {
         self.target = (self.target + 1) % self.controllers.len();
-        self.next_due_ms = now + NEXT_CONTROLLER_MS;
+        self.next_heartbeat_ms = now + NEXT_CONTROLLER_DELAY_MS;
     }
 }
 
-/// The body of an answer; the empty one if it is malformed.
+/// Parses the body of an answer; a malformed body is treated as an empty answer.
 fn parse<T: DeserializeOwned + Default>(response: Response) -> T {
     serde_json::from_value(response.body).unwrap_or_default()
 }
