--- a/crates/basaltrail-testbed/src/scenarios/overload.rs
+++ b/crates/basaltrail-testbed/src/scenarios/overload.rs
@@ -32,7 +32,7 @@
 /// Average work of a job, in CPU-seconds.
 const JOB_CPU_S: f64 = 24.0;
 const BEHAVIOR: UserBehavior =
-    UserBehavior { cancel_share: 0.0, repeat_share: 0.02, submit_to: None };
+    UserBehavior { cancel_share: 0.0, resubmit_share: 0.02, submission_controller: None };
 
 const TEAMS: [TeamShares; 3] = [
     TeamShares { name: "imports", guaranteed: 0.3, limit: 0.6 },
@@ -191,7 +191,8 @@
 ) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let jobs_per_s = class.load * testbed.deployment.cpus() / JOB_CPU_S;
-    let behavior = UserBehavior { submit_to: class.uses_one_controller.then_some(0), ..BEHAVIOR };
+    let behavior =
+        UserBehavior { submission_controller: class.uses_one_controller.then_some(0), ..BEHAVIOR };
     let mut job = first_job;
     while testbed.clock.now() < end {
         let tasks = rng.random_range(TASKS);
--- a/crates/basaltrail-testbed/src/scenarios/racing.rs
+++ b/crates/basaltrail-testbed/src/scenarios/racing.rs
@@ -41,7 +41,7 @@
 /// Number of the first job of the guaranteed team.
 const FIRST_GUARANTEED_JOB: u64 = 100_000;
 const BEHAVIOR: UserBehavior =
-    UserBehavior { cancel_share: 0.0, repeat_share: 0.05, submit_to: None };
+    UserBehavior { cancel_share: 0.0, resubmit_share: 0.05, submission_controller: None };
 
 /// Number of teams that submit racing jobs: the first ones of [`TEAMS`].
 const RACING_TEAMS: usize = 2;
--- a/crates/basaltrail-testbed/src/scenarios/warm_up.rs
+++ b/crates/basaltrail-testbed/src/scenarios/warm_up.rs
@@ -20,7 +20,7 @@
 /// Interval of the checks for unfinished jobs.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const BEHAVIOR: UserBehavior =
-    UserBehavior { cancel_share: 0.0, repeat_share: 0.05, submit_to: None };
+    UserBehavior { cancel_share: 0.0, resubmit_share: 0.05, submission_controller: None };
 
 /// Waits until the controllers are ready, and makes them provision machines. Controllers provision
 /// machines only for pending work, so each team submits a job that fills its guarantee.
--- a/crates/basaltrail-testbed/src/users/mod.rs
+++ b/crates/basaltrail-testbed/src/users/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in of users: they submit jobs, repeat submissions, poll and cancel, each request through
-//! a controller drawn at random, as a load balancer of connections would choose it.
+//! Stand-in for users, who submit, resubmit, poll and cancel jobs. Each request goes to a random
+//! controller, as behind a load balancer.
 
 mod user;
 mod workload;
@@ -20,62 +20,62 @@
 use std::time::Duration;
 use user::User;
 
-/// How long users wait for the answer to a query.
+/// Time limit for the answer to a query.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Clients that all users share: a connection of its own for each of thousands of users would
-/// take more sockets than one process may open.
+/// Number of HTTP clients, which all users share. Separate connections for thousands of users would
+/// exceed the limit of open files of the process.
 const CLIENTS: usize = 64;
 
-/// What a user knows of its job.
+/// Progress of a job, according to its user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobProgress {
-    /// No submission was answered yet.
+    /// The user has not received an acceptance yet.
     Pending,
-    /// The job is accepted.
+    /// The job was accepted.
     Accepted,
-    /// The job is done or cancelled.
+    /// The job completed or was cancelled.
     Finished,
-    /// The job was rejected, or not accepted within the time that its user repeats it.
+    /// The job was rejected, or was not accepted while its user retried the submission.
     Rejected,
 }
 
-/// A job as its user sees it.
+/// The last known progress of a job.
 #[derive(Clone, Copy, Debug)]
 pub struct JobView {
-    /// What the user last learned.
+    /// Progress of the job, according to its user.
     pub progress: JobProgress,
-    /// When the user last learned it.
+    /// Time at which the user last received the progress.
     pub updated_ms: Ms,
 }
 
-/// What the users of a run talk to.
+/// The parts of a run that its users use.
 pub struct UsersContext {
     /// Clock of the run.
     pub clock: Clock,
     /// History of the run.
     pub history: History,
-    /// The deployment.
+    /// The deployment under test.
     pub deployment: Deployment,
-    /// The jobs, for the workers.
+    /// Catalog to which users add the jobs' descriptions for the workers.
     pub jobs: JobCatalog,
-    /// Addresses at which users reach the controllers.
+    /// Addresses of the controllers for users.
     pub controllers: Vec<SocketAddr>,
 }
 
-/// How a user behaves.
+/// Behavior of a user.
 #[derive(Clone, Copy, Debug)]
 pub struct UserBehavior {
-    /// Share of the array jobs that are cancelled; services always are.
+    /// Share of the array jobs that are cancelled; services are always cancelled.
     pub cancel_share: f64,
-    /// Share of the queries for a job that repeat its submission instead.
-    pub repeat_share: f64,
-    /// Index of the controller that gets all submissions; one is drawn for each if it is `None`.
-    pub submit_to: Option<usize>,
+    /// Share of the requests about an accepted job that resubmit it instead of polling.
+    pub resubmit_share: f64,
+    /// Index of the controller that receives all submissions; `None` draws one for each.
+    pub submission_controller: Option<usize>,
 }
 
 impl Default for UserBehavior {
     fn default() -> Self {
-        UserBehavior { cancel_share: 0.15, repeat_share: 0.03, submit_to: None }
+        UserBehavior { cancel_share: 0.15, resubmit_share: 0.03, submission_controller: None }
     }
 }
 
@@ -84,50 +84,51 @@
     context: UsersContext,
     clients: Vec<Client>,
     jobs: Mutex<BTreeMap<u64, JobView>>,
-    /// Jobs that their users are to cancel now.
-    to_cancel: Mutex<Vec<u64>>,
+    /// Numbers of the jobs that their users must cancel immediately.
+    cancellation_requests: Mutex<Vec<u64>>,
     stopped: AtomicBool,
 }
 
 impl Users {
-    /// Users without jobs.
+    /// Creates the shared state of the users, without jobs.
     pub fn new(context: UsersContext) -> Self {
         Users {
             context,
             clients: std::iter::repeat_with(Client::default).take(CLIENTS).collect(),
             jobs: Mutex::default(),
-            to_cancel: Mutex::default(),
+            cancellation_requests: Mutex::default(),
             stopped: AtomicBool::new(false),
         }
     }
 
-    /// All jobs as their users see them, by number.
+    /// Returns the last known progress of all jobs, by number.
     pub fn jobs(&self) -> BTreeMap<u64, JobView> {
         lock(&self.jobs).clone()
     }
 
-    /// Numbers of the jobs that are accepted and not finished, in ascending order.
+    /// Returns the numbers of the jobs that were accepted and are not finished, in ascending order.
     pub fn live_jobs(&self) -> Vec<u64> {
         let jobs = lock(&self.jobs);
-        let live = jobs.iter().filter(|(_, job)| job.progress == JobProgress::Accepted);
-        live.map(|(number, _)| *number).collect()
+        let accepted = jobs.iter().filter(|(_, job)| job.progress == JobProgress::Accepted);
+        accepted.map(|(number, _)| *number).collect()
     }
 
-    /// Number of the jobs that are finished.
+    /// Returns the number of finished jobs.
     pub fn finished_count(&self) -> usize {
-        self.count(&[JobProgress::Finished])
+        self.count_jobs(&[JobProgress::Finished])
     }
 
-    /// Number of the jobs that may still be accepted or run.
+    /// Returns the number of pending and accepted jobs.
     pub fn unfinished_count(&self) -> usize {
-        self.count(&[JobProgress::Pending, JobProgress::Accepted])
+        self.count_jobs(&[JobProgress::Pending, JobProgress::Accepted])
     }
 
-    fn count(&self, progress: &[JobProgress]) -> usize {
+    /// Returns the number of jobs with one of the given values of progress.
+    fn count_jobs(&self, progress: &[JobProgress]) -> usize {
         lock(&self.jobs).values().filter(|job| progress.contains(&job.progress)).count()
     }
 
-    /// Starts a user who submits a job at once and follows it until it is finished.
+    /// Starts a user, who submits a job immediately and polls it until it is finished.
     pub fn submit(
         self: &Arc<Self>,
         job: u64,
@@ -139,42 +140,45 @@
         tokio::spawn(user.run(request.description()));
     }
 
-    /// Makes users cancel their jobs at once.
+    /// Requests that users cancel their jobs immediately.
     pub fn cancel_jobs(&self, jobs: &[u64]) {
-        lock(&self.to_cancel).extend(jobs);
+        lock(&self.cancellation_requests).extend(jobs);
     }
 
-    /// Ends all users; each notices it within a request.
+    /// Stops all users; each stops within the duration of one request.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the run is over.
+    /// Returns whether the users must stop.
     pub fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// Clock of the run.
+    /// Returns the clock of the run.
     pub fn clock(&self) -> Clock {
         self.context.clock
     }
 
-    fn client_of(&self, job: u64) -> Client {
+    /// Returns the client for the requests about a job.
+    fn client_for(&self, job: u64) -> Client {
         self.clients[job as usize % CLIENTS].clone()
     }
 
-    fn must_cancel(&self, job: u64) -> bool {
-        lock(&self.to_cancel).contains(&job)
+    /// Returns whether the immediate cancellation of a job is requested.
+    fn is_cancellation_requested(&self, job: u64) -> bool {
+        lock(&self.cancellation_requests).contains(&job)
     }
 
-    /// Whether a job is to be cancelled; true only once.
-    fn take_cancellation(&self, job: u64) -> bool {
-        let mut to_cancel = lock(&self.to_cancel);
-        let position = to_cancel.iter().position(|other| *other == job);
-        position.map(|position| to_cancel.swap_remove(position)).is_some()
+    /// Removes the request to cancel a job; returns whether there was one.
+    fn remove_cancellation_request(&self, job: u64) -> bool {
+        let mut requests = lock(&self.cancellation_requests);
+        let position = requests.iter().position(|other| *other == job);
+        position.map(|position| requests.swap_remove(position)).is_some()
     }
 
-    fn update(&self, job: u64, updated_ms: Ms, progress: JobProgress) {
+    /// Sets the progress of a job.
+    fn set_progress(&self, job: u64, updated_ms: Ms, progress: JobProgress) {
         lock(&self.jobs).insert(job, JobView { progress, updated_ms });
     }
 }
--- a/crates/basaltrail-testbed/src/users/workload.rs
+++ b/crates/basaltrail-testbed/src/users/workload.rs
@@ -1,4 +1,4 @@
-//! The jobs of a soak, drawn at random, and queries for jobs that nobody submitted.
+//! The random jobs of a soak test, and queries for jobs that were never submitted.
 
 use super::{UserBehavior, Users, QUERY_TIMEOUT};
 use crate::clock::Ms;
@@ -14,33 +14,38 @@
 
 /// Number of the first job.
 const FIRST_JOB: u64 = 1_000;
-/// Submissions in large fleets follow each other after about this time at the shortest.
+/// Approximate minimum time between two submissions, in milliseconds; it applies to large fleets.
 const MIN_PAUSE_MS: Ms = 100;
-/// Tasks of an array job at the most, in fleets of up to [`SMALL_FLEET`] machines.
+/// Maximum number of tasks of an array job in a fleet of up to [`SMALL_FLEET`] machines.
 const MAX_ARRAY_TASKS: u32 = 12;
-/// Machines in a small fleet.
+/// Number of machines in a small fleet. The maximum number of tasks of an array job grows with each
+/// multiple of it.
 const SMALL_FLEET: usize = 300;
-/// Numbers of the jobs that nobody submits.
+/// Numbers of jobs that are never submitted.
 const UNKNOWN_JOBS: std::ops::Range<u64> = 900_000..901_000;
-/// The time between two queries for unknown jobs.
+/// Time between two queries for unknown jobs, in milliseconds.
 const UNKNOWN_QUERY_INTERVAL_MS: std::ops::Range<Ms> = 500..2_000;
-/// Run time of half of the tasks.
+/// Run time of tasks that do not run long, in milliseconds.
 const SHORT_RUN_MS: std::ops::Range<Ms> = 500..4_000;
+/// Share of the jobs that are services.
 const SERVICE_SHARE: f64 = 0.06;
+/// Share of the jobs that allow spot machines.
 const SPOT_SHARE: f64 = 0.7;
+/// Share of the jobs that require one zone.
 const ONE_ZONE_SHARE: f64 = 0.1;
+/// Share of the jobs whose tasks run long.
 const LONG_RUN_SHARE: f64 = 0.5;
-/// CPUs of a task of an array job.
+/// CPU counts of the tasks of array jobs.
 const TASK_CPUS: [f64; 3] = [1.0, 2.0, 4.0];
 
-/// Submits jobs until an instant, somewhat more than the machines can run at once.
-pub async fn submit_jobs(users: Arc<Users>, until: Ms, seed: u64) {
+/// Submits jobs until the given time, slightly more than the machines can run simultaneously.
+pub async fn submit_jobs(users: Arc<Users>, deadline: Ms, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let machines = users.context.deployment.machines;
-    // The first jobs come at once: work for a few times the machines.
+    // The first jobs are submitted without pauses; their tasks need a few times the machines.
     let first_paused_job = FIRST_JOB + (machines / 3 + 4) as u64;
     let mut job = FIRST_JOB;
-    while users.context.clock.now() < until {
+    while users.context.clock.now() < deadline {
         let request = draw_job(&mut rng, &users.context.deployment);
         users.submit(job, &request, UserBehavior::default(), rng.random());
         job += 1;
@@ -50,7 +55,7 @@
     }
 }
 
-/// Queries jobs that nobody submitted until the run is over.
+/// Queries jobs that were never submitted, until the run ends.
 pub async fn query_unknown_jobs(users: Arc<Users>, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let client = Client::default();
@@ -69,34 +74,35 @@
     }
 }
 
-/// The time to the next submission: the more machines, the shorter, down to what a state service
-/// can write; larger fleets get larger jobs instead.
+/// Draws the time to the next submission. It decreases with the number of machines, down to what the
+/// write rate of the state service allows; larger fleets get larger jobs instead.
 fn draw_pause(rng: &mut SmallRng, machines: usize) -> Duration {
-    let longest_ms = 60_000 / (machines as Ms + 20);
-    let pause_ms = match longest_ms > MIN_PAUSE_MS {
-        true => rng.random_range(MIN_PAUSE_MS..longest_ms),
+    let max_pause_ms = 60_000 / (machines as Ms + 20);
+    let pause_ms = match max_pause_ms > MIN_PAUSE_MS {
+        true => rng.random_range(MIN_PAUSE_MS..max_pause_ms),
         false => rng.random_range(MIN_PAUSE_MS / 2..=MIN_PAUSE_MS),
     };
     Duration::from_millis(pause_ms)
 }
 
-/// Tasks of an array job at the most.
+/// Returns the maximum number of tasks of an array job.
 fn max_tasks(machines: usize) -> u32 {
     MAX_ARRAY_TASKS * (machines / SMALL_FLEET).max(1) as u32
 }
 
+/// Draws the requirements, priority and run time of a job.
 fn draw_job(rng: &mut SmallRng, deployment: &Deployment) -> JobRequest {
     let team = deployment.teams[rng.random_range(0..deployment.teams.len())].name;
-    let service = rng.random_bool(SERVICE_SHARE);
-    let (class, priority) = match service {
+    let is_service = rng.random_bool(SERVICE_SHARE);
+    let (class, priority) = match is_service {
         true => ("service", "critical"),
         false => ("array", "standard"),
     };
-    let tasks = match service {
+    let tasks = match is_service {
         true => rng.random_range(1..4),
         false => rng.random_range(1..=max_tasks(deployment.machines)),
     };
-    let cpus = match service {
+    let cpus = match is_service {
         true => 1.0,
         false => TASK_CPUS[rng.random_range(0..TASK_CPUS.len())],
     };
@@ -109,9 +115,9 @@
         zone: rng
             .random_bool(ONE_ZONE_SHARE)
             .then(|| ZONES[rng.random_range(0..ZONES.len())].into()),
-        service,
+        service: is_service,
     };
-    // Long tasks run on for longer than a cancellation may take.
+    // Long tasks run for longer than the time allowed for a cancellation.
     let run_ms = match rng.random_bool(LONG_RUN_SHARE) {
         true => rng.random_range(deployment.cancel_ms..deployment.cancel_ms * 2),
         false => rng.random_range(SHORT_RUN_MS),
