--- a/crates/basaltrail-testbed/src/commands/serve.rs
+++ b/crates/basaltrail-testbed/src/commands/serve.rs
@@ -84,11 +84,11 @@
     let controllers = &testbed.controllers;
     for controller in 0..controllers.count() {
         let name = Deployment::controller_name(controller);
-        println!("{name}  http://{}", controllers.listen(controller));
+        println!("{name}  http://{}", controllers.listen_address(controller));
     }
     if has_administration {
         let name = Deployment::controller_name(0);
-        println!("administration of {name}  {}", controllers.administration(0));
+        println!("administration of {name}  {}", controllers.administration_address(0));
     }
     for team in &testbed.deployment.teams {
         println!("team {}: {} CPUs guaranteed, {} at most", team.name, team.cpus, team.cpus_max);
--- a/crates/basaltrail-testbed/src/controller_settings.rs
+++ b/crates/basaltrail-testbed/src/controller_settings.rs
@@ -1,32 +1,33 @@
-//! The settings file of a controller (TOML). The keys are those of the program's settings.
+//! The settings file of a controller, in TOML. The field names are the keys of the program's
+//! settings.
 
 use crate::clock::Ms;
 use crate::deployment::{Deployment, ZONES};
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// Where one controller listens, and the proxied addresses at which it reaches the others.
+/// The addresses of one controller's listeners, and the proxied addresses to which it connects.
 #[derive(Clone, Debug)]
 pub struct ControllerAddresses {
-    /// Listener for users and workers.
+    /// Address of the listener for users and workers.
     pub listen: SocketAddr,
-    /// Listener for the other controllers.
+    /// Address of the listener for the other controllers.
     pub peer_listen: SocketAddr,
-    /// Listener for operators, if the policy has one.
+    /// Address of the listener for operators; used only if the policy configures it.
     pub administration: SocketAddr,
-    /// The state service.
+    /// Proxied address of the state service.
     pub state_service: SocketAddr,
-    /// The cloud.
+    /// Proxied address of the cloud.
     pub cloud: SocketAddr,
-    /// The other controllers, by index.
+    /// Indices and proxied addresses of the other controllers.
     pub peers: Vec<(usize, SocketAddr)>,
 }
 
-/// The settings file of one controller.
+/// Returns the contents of one controller's settings file.
 ///
 /// # Errors
 ///
-/// If the settings cannot be written as TOML.
+/// Fails if the settings cannot be serialized as TOML.
 pub fn to_toml(
     deployment: &Deployment,
     controller: usize,
@@ -46,7 +47,7 @@
             cloud: addresses.cloud.to_string(),
             state: addresses.state_service.to_string(),
         },
-        params: Params::of(deployment),
+        params: Params::from_deployment(deployment),
         members: members.collect(),
     })
 }
@@ -134,7 +135,8 @@
 }
 
 impl Params {
-    fn of(deployment: &Deployment) -> Self {
+    /// Returns the parameters of a deployment.
+    fn from_deployment(deployment: &Deployment) -> Self {
         let teams = deployment.teams.iter().map(|team| Team {
             name: team.name,
             cpus: team.cpus,
@@ -174,6 +176,7 @@
     }
 }
 
-fn seconds(duration: Ms) -> f64 {
-    duration as f64 / 1000.0
+/// Converts milliseconds to seconds.
+fn seconds(duration_ms: Ms) -> f64 {
+    duration_ms as f64 / 1000.0
 }
--- a/crates/basaltrail-testbed/src/deployment.rs
+++ b/crates/basaltrail-testbed/src/deployment.rs
@@ -1,67 +1,79 @@
-//! The deployment under test: its times, limits, teams and machines.
+//! The deployment under test, with its times, limits, teams and machines.
 
 use crate::clock::Ms;
 
 /// Zones of the deployment.
 pub const ZONES: [&str; 2] = ["room-a", "room-b"];
-/// The one machine type.
+/// Name of the only machine type.
 pub const MACHINE_TYPE: &str = "box";
 /// CPUs of a machine.
 pub const MACHINE_CPUS: f64 = 8.0;
 /// Memory of a machine, in GB.
 pub const MACHINE_MEMORY_GB: f64 = 32.0;
-/// Address at which workers claim to receive commands. Nobody listens there, since controllers
-/// send none.
+/// Address that workers report for direct commands. It has no listener, since controllers send no
+/// direct commands.
 pub const WORKER_ENDPOINT: &str = "127.0.0.1:1";
 
-/// Heartbeats a second of all workers at the most: what one machine carries beside the
-/// controllers. In larger fleets heartbeats are rarer, and all times grow with their interval.
+/// Maximum number of heartbeats per second from all workers, which one host can handle in addition
+/// to the controllers. In larger fleets the heartbeat interval grows, and the lease and cancellation
+/// times grow with it.
 const HEARTBEATS_PER_S: usize = 1_000;
-/// The shortest heartbeat interval, in milliseconds.
+/// Minimum heartbeat interval, in milliseconds.
 const MIN_HEARTBEAT_MS: usize = 1_000;
-/// The worker's lease, in heartbeat intervals.
+/// Duration of the worker lease, in heartbeat intervals.
 const LEASE_HEARTBEATS: Ms = 6;
-/// The time allowed for a cancellation, in heartbeat intervals.
+/// Time allowed for a cancellation, in heartbeat intervals.
 const CANCEL_HEARTBEATS: Ms = 14;
-/// Age of the cloud's lists of machines, in milliseconds.
+/// Average age of the cloud's machine lists, in milliseconds.
 const LIST_LAG_MS: Ms = 1_000;
 
-/// Rates and sizes for small fleets; beyond them the shares of each machine below count.
+// Minimum rates and sizes. They apply to small fleets; in larger ones the values per machine below
+// determine the rates and sizes.
+
+/// Minimum limit of requests per second to the state service.
 const MIN_STATE_RPS: f64 = 400.0;
+/// Minimum limit of puts and deletes per second to the state service.
 const MIN_WRITE_RPS: f64 = 160.0;
+/// Minimum limit of requests per second to the cloud.
 const MIN_CLOUD_RPS: f64 = 20.0;
+/// Minimum memory of a controller, in MB.
 const MIN_MEMORY_MB: f64 = 128.0;
+/// Minimum limit of connections of a controller.
 const MIN_CONNECTIONS: usize = 2_000;
-/// Rates and sizes for each machine.
+/// Requests per second to the state service, per machine.
 const STATE_RPS_PER_MACHINE: f64 = 0.5;
+/// Puts and deletes per second to the state service, per machine.
 const WRITE_RPS_PER_MACHINE: f64 = 0.08;
+/// Requests per second to the cloud, per machine.
 const CLOUD_RPS_PER_MACHINE: f64 = 0.008;
+/// Memory of a controller per machine, in MB.
 const MEMORY_MB_PER_MACHINE: f64 = 0.175;
+/// Connections of a controller, per machine.
 const CONNECTIONS_PER_MACHINE: usize = 3;
 
-/// A team and its limits, in CPUs.
+/// A team, with its guarantee and limit in CPUs.
 #[derive(Clone, Copy, Debug)]
 pub struct Team {
     /// Name of the team.
     pub name: &'static str,
     /// Guaranteed CPUs.
     pub cpus: f64,
-    /// CPUs that its tasks may use at most.
+    /// Maximum number of CPUs that the team's tasks may use.
     pub cpus_max: f64,
 }
 
-/// A team and its limits, as shares of the CPUs of all machines.
+/// A team, with its guarantee and limit as shares of the CPUs of all machines.
 #[derive(Clone, Copy, Debug)]
 pub struct TeamShares {
     /// Name of the team.
     pub name: &'static str,
     /// Guaranteed share.
     pub guaranteed: f64,
-    /// Share that its tasks may use at most.
+    /// Maximum share that the team's tasks may use.
     pub limit: f64,
 }
 
-/// The teams of a deployment, unless a scenario has its own.
+/// Teams of a deployment, unless the scenario defines its own.
 const DEFAULT_TEAMS: [TeamShares; 3] = [
     TeamShares { name: "imports", guaranteed: 0.3, limit: 0.6 },
     TeamShares { name: "reports", guaranteed: 0.2, limit: 0.5 },
@@ -70,45 +82,45 @@
 
 /// Times, limits and teams of a deployment.
 ///
-/// The times are shorter than in production, so that much happens in a minute; those that
-/// PROTOCOL fixes for workers are kept.
+/// The times are shorter than in production, so that many events occur per minute. The times that
+/// PROTOCOL specifies for workers are unchanged.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Number of controllers.
     pub controllers: usize,
-    /// Number of machines that the cloud can rent out, over all zones and kinds.
+    /// Number of machines that the cloud can provision, in all zones and of all kinds.
     pub machines: usize,
-    /// Interval of a worker's heartbeats.
+    /// Interval of a worker's heartbeats, in milliseconds.
     pub heartbeat_ms: Ms,
-    /// Duration of a worker's lease.
+    /// Duration of the worker lease, in milliseconds.
     pub lease_ms: Ms,
-    /// Time allowed for a cancellation.
+    /// Time allowed for a cancellation, in milliseconds.
     pub cancel_ms: Ms,
-    /// Age of a list of machines; up to twice as much.
+    /// Average age of a machine list, in milliseconds; the maximum is twice as much.
     pub list_lag_ms: Ms,
-    /// Requests a second of the state service.
+    /// Limit of requests per second to the state service.
     pub state_rps: f64,
-    /// Puts and deletes a second of the state service.
+    /// Limit of puts and deletes per second to the state service.
     pub write_rps: f64,
-    /// Changes in one transaction.
+    /// Maximum number of changes per transaction.
     pub txn_ops: usize,
-    /// Largest value of a key, in kilobytes.
+    /// Maximum size of a value, in kilobytes of 1,024 bytes.
     pub value_kb: f64,
-    /// Requests a second of the cloud.
+    /// Limit of requests per second to the cloud.
     pub cloud_rps: f64,
     /// Memory of each controller, in MB.
     pub memory_mb: f64,
-    /// Sockets of each controller.
+    /// Maximum number of connections of each controller.
     pub max_connections: usize,
-    /// The teams.
+    /// Teams of the deployment.
     pub teams: Vec<Team>,
 }
 
 impl Deployment {
-    /// A deployment with a number of controllers and machines.
+    /// Returns a deployment with the given numbers of controllers and machines and the default teams.
     pub fn new(controllers: usize, machines: usize) -> Self {
         let heartbeat_ms = (machines * 1_000 / HEARTBEATS_PER_S).max(MIN_HEARTBEAT_MS) as Ms;
-        let scaled = |least: f64, per_machine: f64| least.max(machines as f64 * per_machine);
+        let scaled = |minimum: f64, per_machine: f64| minimum.max(machines as f64 * per_machine);
         let deployment = Deployment {
             controllers,
             machines,
@@ -128,28 +140,28 @@
         deployment.with_teams(&DEFAULT_TEAMS)
     }
 
-    /// The same deployment with other teams.
+    /// Replaces the teams.
     pub fn with_teams(self, shares: &[TeamShares]) -> Self {
         let cpus = self.cpus();
-        let team = |shares: &TeamShares| Team {
+        let to_team = |shares: &TeamShares| Team {
             name: shares.name,
             cpus: (cpus * shares.guaranteed).floor(),
             cpus_max: (cpus * shares.limit).floor(),
         };
-        Deployment { teams: shares.iter().map(team).collect(), ..self }
+        Deployment { teams: shares.iter().map(to_team).collect(), ..self }
     }
 
-    /// CPUs of all machines.
+    /// Returns the number of CPUs of all machines.
     pub fn cpus(&self) -> f64 {
         self.machines as f64 * MACHINE_CPUS
     }
 
-    /// The name of a controller, by its index.
+    /// Returns the name of the controller with the given index.
     pub fn controller_name(controller: usize) -> String {
         format!("stack-{controller}")
     }
 
-    /// The zone of a controller, by its index.
+    /// Returns the zone of the controller with the given index.
     pub fn controller_zone(controller: usize) -> &'static str {
         ZONES[controller % ZONES.len()]
     }
--- a/crates/basaltrail-testbed/src/proxy.rs
+++ b/crates/basaltrail-testbed/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A TCP proxy through which every connection of a run goes. Each link can be blocked, delayed or
-//! reset, in one direction or in both, as packets between hosts are.
+//! A TCP proxy for the connections of a run, which simulates faults of the network between hosts.
+//! Each link can be blocked or delayed, in one direction or both, and its connections can be reset.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes that are forwarded at once.
+/// Maximum number of bytes that are forwarded in one step.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// How long a listener waits after it could not accept a connection.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// Delay after a listener failed to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What happens to the bytes in one direction of a link.
+/// Treatment of the bytes in one direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkMode {
-    /// They are forwarded.
+    /// Bytes are forwarded.
     Open,
-    /// They are held until the link is open again, and then forwarded in order.
+    /// Bytes are held until the direction is no longer blocked, and then forwarded in order.
     Blocked,
-    /// They are forwarded after a delay.
+    /// Bytes are forwarded after a delay.
     Delayed(Duration),
 }
 
@@ -31,47 +31,51 @@
     Forward,
     /// From the server to the client.
     Backward,
-    /// Both.
+    /// Both directions.
     Both,
 }
 
-/// What the connections of a link follow.
+/// State of a link, as observed by its connections.
 #[derive(Clone)]
 struct LinkState {
     forward: watch::Receiver<LinkMode>,
     backward: watch::Receiver<LinkMode>,
+    /// Changes when the connections must be closed.
     resets: watch::Receiver<u64>,
 }
 
-/// A proxied address.
+/// A proxied connection path to one server.
 pub struct Link {
-    /// The address that clients connect to.
+    /// Address to which clients connect.
     pub address: SocketAddr,
     forward: watch::Sender<LinkMode>,
     backward: watch::Sender<LinkMode>,
-    /// How often all connections of the link were reset.
+    /// Number of resets of the link's connections.
     resets: watch::Sender<u64>,
 }
 
 impl Link {
-    /// Opens a link to a server.
+    /// Opens a link to a server, on a free loopback port.
     ///
     /// # Errors
     ///
-    /// If no port is free.
+    /// Fails if no port can be bound.
     pub async fn open(server: SocketAddr) -> std::io::Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (forward, forward_state) = watch::channel(LinkMode::Open);
-        let (backward, backward_state) = watch::channel(LinkMode::Open);
-        let (resets, reset_state) = watch::channel(0);
-        let state =
-            LinkState { forward: forward_state, backward: backward_state, resets: reset_state };
+        let (forward, forward_receiver) = watch::channel(LinkMode::Open);
+        let (backward, backward_receiver) = watch::channel(LinkMode::Open);
+        let (resets, resets_receiver) = watch::channel(0);
+        let state = LinkState {
+            forward: forward_receiver,
+            backward: backward_receiver,
+            resets: resets_receiver,
+        };
         tokio::spawn(accept_connections(listener, server, state));
         Ok(Link { address, forward, backward, resets })
     }
 
-    /// Sets what happens to the bytes in a direction.
+    /// Sets the treatment of the bytes in one direction or both.
     pub fn set_mode(&self, direction: Direction, mode: LinkMode) {
         if direction != Direction::Backward {
             self.forward.send_replace(mode);
@@ -81,16 +85,17 @@
         }
     }
 
-    /// Closes all open connections.
+    /// Closes all open connections of the link.
     pub fn reset(&self) {
         self.resets.send_modify(|count| *count += 1);
     }
 }
 
+/// Accepts connections of a link, and forwards each until it ends or is reset.
 async fn accept_connections(listener: TcpListener, server: SocketAddr, state: LinkState) {
     loop {
         let Ok((client, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let LinkState { forward, backward, mut resets } = state.clone();
@@ -104,6 +109,7 @@
     }
 }
 
+/// Connects to the server and forwards the bytes of a connection in both directions.
 async fn forward_connection(
     client: TcpStream,
     server: SocketAddr,
@@ -121,13 +127,14 @@
     );
 }
 
+/// Forwards bytes in one direction until the source closes the connection or writing fails.
 async fn forward_bytes(
-    mut from: OwnedReadHalf,
-    mut to: OwnedWriteHalf,
+    mut source: OwnedReadHalf,
+    mut destination: OwnedWriteHalf,
     mut mode: watch::Receiver<LinkMode>,
 ) {
     let mut chunk = vec![0; CHUNK_BYTES];
-    while let Ok(length) = from.read(&mut chunk).await {
+    while let Ok(length) = source.read(&mut chunk).await {
         let current_mode = *mode.borrow();
         if let LinkMode::Delayed(delay) = current_mode {
             tokio::time::sleep(delay).await;
@@ -135,9 +142,9 @@
         if mode.wait_for(|mode| *mode != LinkMode::Blocked).await.is_err() {
             return;
         }
-        if length == 0 || to.write_all(&chunk[..length]).await.is_err() {
+        if length == 0 || destination.write_all(&chunk[..length]).await.is_err() {
             break;
         }
     }
-    let _ = to.shutdown().await;
+    let _ = destination.shutdown().await;
 }
--- a/crates/basaltrail-testbed/src/state_service/mod.rs
+++ b/crates/basaltrail-testbed/src/state_service/mod.rs
@@ -143,15 +143,15 @@
 
     /// Answers a watch as soon as changes match it, or when its time limit is reached.
     async fn watch(&self, controller: usize, query: WatchQuery) -> JsonReply {
-        let until_ms = self.clock.now() + query.block_ms.min(MAX_WATCH_MS);
+        let deadline = self.clock.now() + query.block_ms.min(MAX_WATCH_MS);
         let mut revision = self.revision.subscribe();
         loop {
             revision.mark_unchanged();
             let now = self.clock.now();
-            if let Some(reply) = self.try_answer_watch(controller, &query, now, now >= until_ms) {
+            if let Some(reply) = self.try_answer_watch(controller, &query, now, now >= deadline) {
                 return reply;
             }
-            let remaining_ms = until_ms.saturating_sub(now);
+            let remaining_ms = deadline.saturating_sub(now);
             let wait_ms = remaining_ms
                 .clamp(*WATCH_CHECK_INTERVAL_MS.start(), *WATCH_CHECK_INTERVAL_MS.end());
             let wait = Duration::from_millis(wait_ms);
@@ -204,14 +204,14 @@
     /// Fault: refuses all requests for a time. After the outage each lease has its full lifetime
     /// again.
     pub fn start_outage(&self, duration_ms: Ms) {
-        let until_ms = self.clock.now() + duration_ms;
-        self.lock().start_outage(until_ms);
+        let until = self.clock.now() + duration_ms;
+        self.lock().start_outage(until);
     }
 
     /// Fault: refuses one controller for a time, so that its leases can expire.
     pub fn refuse_controller(&self, controller: usize, duration_ms: Ms) {
-        let until_ms = self.clock.now() + duration_ms;
-        self.lock().refuse_controller(controller, until_ms);
+        let until = self.clock.now() + duration_ms;
+        self.lock().refuse_controller(controller, until);
     }
 
     /// Fault: delays every request by the given time; 0 ends the fault.
--- a/crates/basaltrail-testbed/src/testbed.rs
+++ b/crates/basaltrail-testbed/src/testbed.rs
@@ -1,5 +1,5 @@
-//! A testbed: controllers of the real program and every stand-in that they and their users talk
-//! to, all on loopback of one machine.
+//! The testbed, which runs controllers of the real program with all stand-ins, on the loopback
+//! interface of one host.
 
 use crate::clock::{Clock, Ms};
 use crate::cloud::{Cloud, Machine};
@@ -22,86 +22,92 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// How long a controller may take to answer whether it is ready.
+/// Time limit for the answer of a controller to a readiness check.
 const READY_TIMEOUT: Duration = Duration::from_millis(500);
-/// The time between two such questions.
+/// Interval of the readiness checks.
 const READY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a run could not be made.
+/// An error that prevents or ends a run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A file of the run cannot be written.
+    /// A file or directory of the run could not be written.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file or directory.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// Why.
+        /// Cause of the error.
         source: std::io::Error,
     },
-    /// A link cannot be opened.
+    /// A link could not be opened.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// A controller cannot be started or read.
+    /// A controller could not be started or signaled, or one of its files is inaccessible.
     #[error(transparent)]
     Controller(#[from] ControllerError),
-    /// A controller does not become ready.
-    #[error("a controller is not ready after {waited_s} s, see {}", logs.display())]
+    /// A controller did not become ready within the time limit.
+    #[error("a controller is not ready after {timeout_s} s; see the logs in {}", logs.display())]
     NotReady {
-        /// How long it was waited for, in seconds.
-        waited_s: u64,
+        /// Time limit, in seconds.
+        timeout_s: u64,
         /// Directory of the controllers' logs.
         logs: PathBuf,
     },
 }
 
 impl RunError {
-    /// Converts the error of writing a file.
+    /// Converts the error of writing a file or directory.
     pub(crate) fn file(path: &std::path::Path) -> impl FnOnce(std::io::Error) -> Self + '_ {
         |source| RunError::File { path: path.into(), source }
     }
 }
 
-/// All that takes part in a run.
+/// The controllers and the stand-ins of a run.
 pub struct Testbed {
     /// Clock of the run.
     pub clock: Clock,
     /// History of the run.
     pub history: History,
-    /// The deployment.
+    /// The deployment under test.
     pub deployment: Deployment,
-    /// The state service.
+    /// Stand-in for the state service.
     pub state_service: StateService,
-    /// The cloud.
+    /// Stand-in for the cloud.
     pub cloud: Cloud,
-    /// The links.
+    /// The proxied links.
     pub links: Links,
-    /// The controllers.
+    /// The controller processes.
     pub controllers: Controllers,
-    /// The workers.
+    /// Stand-ins for the workers.
     pub fleet: Arc<Fleet>,
-    /// The users.
+    /// Stand-in for the users.
     pub users: Arc<Users>,
-    /// Directory of settings and logs.
+    /// Directory for settings, policies and logs.
     directory: PathBuf,
 }
 
 impl Testbed {
-    /// Starts every stand-in and every controller; workers start as machines are rented.
+    /// Starts all stand-ins and controllers. Workers start when their machines are provisioned.
     ///
     /// # Errors
     ///
-    /// If a port is taken, a file cannot be written or a controller cannot be started.
+    /// Fails if a port is in use, a file cannot be written or a controller cannot be started.
     pub async fn start(config: &TestbedConfig<'_>) -> Result<Arc<Testbed>, RunError> {
         std::fs::create_dir_all(config.directory).map_err(RunError::file(config.directory))?;
-        let (testbed, rented) = Testbed::build(config).await?;
+        let (testbed, provisioned_machines) = Testbed::build(config).await?;
         let testbed = Arc::new(testbed);
         for controller in 0..testbed.controllers.count() {
             testbed.controllers.start(controller).await?;
         }
-        tokio::spawn(start_workers(rented, testbed.fleet.clone(), config.worker_seed));
+        tokio::spawn(start_workers(
+            provisioned_machines,
+            testbed.fleet.clone(),
+            config.worker_seed,
+        ));
         Ok(testbed)
     }
 
+    /// Creates the testbed without starting controllers. The returned receiver receives each
+    /// provisioned machine.
     async fn build(
         config: &TestbedConfig<'_>,
     ) -> Result<(Testbed, mpsc::UnboundedReceiver<Machine>), RunError> {
@@ -109,7 +115,7 @@
         let clock = Clock::start();
         let history = History::default();
         let state_service = StateService::start(clock, limits(&deployment), config.seed);
-        let (cloud, rented) = Cloud::new(clock, &deployment, config.seed);
+        let (cloud, provisioned_machines) = Cloud::new(clock, &deployment, config.seed);
         let (links, addresses) = Links::open(config, &state_service, &cloud).await?;
         let controllers = Controllers::prepare(config, addresses)?;
         let jobs = JobCatalog::new(state_service.clone());
@@ -142,10 +148,10 @@
             users,
             directory,
         };
-        Ok((testbed, rented))
+        Ok((testbed, provisioned_machines))
     }
 
-    /// Ends users, workers and controllers.
+    /// Stops the users and workers, and kills the controllers.
     pub async fn stop(&self) {
         self.fleet.stop();
         self.users.stop();
@@ -154,20 +160,20 @@
         }
     }
 
-    /// Waits until every controller answers that it is ready.
+    /// Waits until every controller reports that it is ready.
     ///
     /// # Errors
     ///
-    /// If a controller is not ready in time.
+    /// Fails if a controller is not ready within the time limit.
     pub async fn wait_until_ready(&self, timeout_ms: Ms) -> Result<(), RunError> {
         let deadline = self.clock.now() + timeout_ms;
         let client = Client::default();
         for controller in 0..self.controllers.count() {
-            let address = self.controllers.listen(controller);
+            let address = self.controllers.listen_address(controller);
             while !is_ready(&client, address).await {
                 if self.clock.now() >= deadline {
                     let logs = self.directory.clone();
-                    return Err(RunError::NotReady { waited_s: timeout_ms / 1_000, logs });
+                    return Err(RunError::NotReady { timeout_s: timeout_ms / 1_000, logs });
                 }
                 tokio::time::sleep(READY_INTERVAL).await;
             }
@@ -176,11 +182,13 @@
     }
 }
 
+/// Returns whether a controller reports that it is ready.
 async fn is_ready(client: &Client, controller: SocketAddr) -> bool {
     let response = client.call(Request::get(controller, "/ready", READY_TIMEOUT)).await;
     response.is_some_and(|response| response.status == 200)
 }
 
+/// Returns the limits of the state service.
 fn limits(deployment: &Deployment) -> Limits {
     Limits {
         rps: deployment.state_rps,
@@ -190,13 +198,19 @@
     }
 }
 
+/// Returns the addresses to which the clients of links connect.
 fn addresses_of(links: &[Link]) -> Vec<SocketAddr> {
     links.iter().map(|link| link.address).collect()
 }
 
-async fn start_workers(mut rented: mpsc::UnboundedReceiver<Machine>, fleet: Arc<Fleet>, seed: u64) {
+/// Starts the worker of each machine that is received.
+async fn start_workers(
+    mut provisioned_machines: mpsc::UnboundedReceiver<Machine>,
+    fleet: Arc<Fleet>,
+    seed: u64,
+) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    while let Some(machine) = rented.recv().await {
+    while let Some(machine) = provisioned_machines.recv().await {
         tokio::spawn(worker::run(machine, fleet.clone(), rng.random()));
     }
 }
--- a/crates/basaltrail/tests/inspect.rs
+++ b/crates/basaltrail/tests/inspect.rs
@@ -38,8 +38,8 @@
 async fn a_submission_beyond_the_backlog_is_refused_and_inspected() {
     let policy = PolicySource::Entries("(admission (backlog-s 30))".into());
     let (testbed, directory) = common::start_one_controller("inspect", policy).await;
-    let controller = testbed.controllers.listen(0);
-    let administration = testbed.controllers.administration(0);
+    let controller = testbed.controllers.listen_address(0);
+    let administration = testbed.controllers.administration_address(0);
     let client = Client::default();
     let submit = |body| Request::post(controller, "/api/jobs", body, TIMEOUT);
     let (mut first, mut refused) = (None, None);
--- a/crates/basaltrail/tests/try_out.rs
+++ b/crates/basaltrail/tests/try_out.rs
@@ -65,8 +65,9 @@
 }
 
 async fn stop_and_check_processes(testbed: &Testbed) {
-    let addresses: Vec<SocketAddr> =
-        (0..testbed.controllers.count()).map(|index| testbed.controllers.listen(index)).collect();
+    let addresses: Vec<SocketAddr> = (0..testbed.controllers.count())
+        .map(|index| testbed.controllers.listen_address(index))
+        .collect();
     testbed.stop().await;
     for address in addresses {
         let open = tokio::net::TcpStream::connect(address).await;
@@ -77,7 +78,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_requests_of_the_readme_work_as_written() {
     let (testbed, directory) = common::start_one_controller("try-out", PolicySource::None).await;
-    let controller = testbed.controllers.listen(0);
+    let controller = testbed.controllers.listen_address(0);
     let requests = readme_requests();
     let [submit, poll, cancel] = requests.as_slice() else {
         panic!("{} requests in the README", requests.len());
