--- a/crates/basaltrail-testbed/src/cloud/mod.rs
+++ b/crates/basaltrail-testbed/src/cloud/mod.rs
@@ -1,5 +1,5 @@
 //! Stand-in for the cloud (PROTOCOL, Controller nodes -> cloud). Provisioning requests are
-//! idempotent, machines take time to boot and can crash, and the machine list is outdated.
+//! idempotent, machines take time to boot and can crash, and the machine list can be outdated.
 
 mod messages;
 
@@ -77,7 +77,7 @@
     }
 
     /// Returns the entry in a list as of the given time.
-    fn listed_at(&self, at_ms: Ms) -> ListedMachine<'_> {
+    fn list_entry_at(&self, at_ms: Ms) -> ListedMachine<'_> {
         ListedMachine {
             name: &self.name,
             endpoint: WORKER_ENDPOINT,
@@ -299,7 +299,7 @@
         let page: Vec<ListedMachine> = listed_machines
             .by_ref()
             .take(MAX_PAGE_LENGTH)
-            .map(|machine| machine.listed_at(as_of))
+            .map(|machine| machine.list_entry_at(as_of))
             .collect();
         let is_truncated = listed_machines.next().is_some();
         JsonReply::new(200, json!({"stacks": page, "truncated": is_truncated}))
--- a/crates/basaltrail-testbed/src/state_service/mod.rs
+++ b/crates/basaltrail-testbed/src/state_service/mod.rs
@@ -183,7 +183,7 @@
         Some(JsonReply::new(200, body))
     }
 
-    /// Deletes expired leases periodically.
+    /// Removes expired leases periodically.
     async fn expire_leases(self) {
         loop {
             tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
--- a/crates/basaltrail-testbed/src/users/user.rs
+++ b/crates/basaltrail-testbed/src/users/user.rs
@@ -209,7 +209,7 @@
 
     /// Sends a request to a controller.
     async fn call(&self, controller: usize, request: UserRequest) -> Option<Response> {
-        let target = self.users.context.controllers[controller];
+        let address = self.users.context.controllers[controller];
         let path = match request {
             UserRequest::Submit => "/api/jobs".to_string(),
             UserRequest::Poll => format!("/api/jobs/job-{:06}", self.job),
@@ -217,10 +217,10 @@
         };
         let request = match request {
             UserRequest::Submit => {
-                Request::post(target, &path, self.body.to_string(), WRITE_TIMEOUT)
+                Request::post(address, &path, self.body.to_string(), WRITE_TIMEOUT)
             }
-            UserRequest::Poll => Request::get(target, &path, QUERY_TIMEOUT),
-            UserRequest::Cancel => Request::post(target, &path, String::new(), WRITE_TIMEOUT),
+            UserRequest::Poll => Request::get(address, &path, QUERY_TIMEOUT),
+            UserRequest::Cancel => Request::post(address, &path, String::new(), WRITE_TIMEOUT),
         };
         self.client.call(request).await
     }
--- a/crates/basaltrail-testbed/src/worker/mod.rs
+++ b/crates/basaltrail-testbed/src/worker/mod.rs
@@ -193,8 +193,8 @@
         self.agent.rng.random_range(interval_ms * 3 / 4..=interval_ms * 5 / 4)
     }
 
-    /// Switches to the leader that a controller named, or to the next controller if it named no other
-    /// known one.
+    /// Switches to the leader that a controller named, or to the next controller if it named none, an
+    /// unknown one or itself.
     fn redirect(&mut self, now: Ms, response: Response) {
         let leader = parse::<NotLeaderAnswer>(response).leader;
         let named_leader = leader.and_then(|name| {
