--- a/crates/basaltrail/tests/try_out.rs
+++ b/crates/basaltrail/tests/try_out.rs
@@ -42,7 +42,7 @@
 
 async fn send(address: SocketAddr, request: &Request) -> (u16, Value) {
     let request = http::Request {
-        to: address,
+        address,
         method: request.method,
         path: &request.path,
         body: request.body.clone(),
@@ -71,8 +71,9 @@
 
 /// Stops the testbed and checks that no controller accepts connections any more.
 async fn stop_and_check_processes(testbed: &Testbed) {
-    let addresses: Vec<SocketAddr> =
-        (0..testbed.controllers.count()).map(|index| testbed.controllers.listen(index)).collect();
+    let addresses: Vec<SocketAddr> = (0..testbed.controllers.count())
+        .map(|index| testbed.controllers.listen_address(index))
+        .collect();
     testbed.stop().await;
     for address in addresses {
         let connection = tokio::net::TcpStream::connect(address).await;
@@ -83,7 +84,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_requests_of_the_readme_work_as_written() {
     let (testbed, directory) = common::start_one_controller("try-out", PolicySource::None).await;
-    let controller = testbed.controllers.listen(0);
+    let controller = testbed.controllers.listen_address(0);
     let requests = readme_requests();
     let [submit, poll, cancel] = requests.as_slice() else {
         panic!("expected 3 requests in the README, found {}", requests.len());
