--- a/crates/basaltrail-core/src/controller/admission_tests.rs
+++ b/crates/basaltrail-core/src/controller/admission_tests.rs
@@ -43,17 +43,17 @@
     job: u64,
     spec: JobSpec,
 ) -> (Option<(CallId, StoreRequest)>, Vec<Effect>) {
-    let input = Input::Submit { req: RequestId(job), job: JobId(job), spec: Box::new(spec) };
+    let input = Input::Submit { request_id: RequestId(job), job: JobId(job), spec: Box::new(spec) };
     let effects = controller.step(1_000 + job, 0, input);
     let accepts = |effect: &Effect| match effect {
         Effect::Store {
-            op,
-            call: StoreRequest::Transaction { preconditions, puts, deletes },
+            call_id,
+            request: StoreRequest::Transaction { preconditions, puts, deletes },
             ..
         } if puts.iter().any(|put| put.key.starts_with(ACTIVE_JOBS_PREFIX)) => {
             let (preconditions, puts, deletes) =
                 (preconditions.clone(), puts.clone(), deletes.clone());
-            Some((*op, StoreRequest::Transaction { preconditions, puts, deletes }))
+            Some((*call_id, StoreRequest::Transaction { preconditions, puts, deletes }))
         }
         _ => None,
     };
@@ -89,13 +89,13 @@
     let (txn, _) = submit(&mut controller, 7, a_job(1, true));
     let failed = vec![quota_key("t", "n0")];
     let reply = StoreReply::Conflict { failed };
-    let effects = controller.step(1_100, 0, Input::Store { op: txn.unwrap().0, reply });
+    let effects = controller.step(1_100, 0, Input::Store { call_id: txn.unwrap().0, reply });
     assert!(!effects.iter().any(|e| matches!(e, Effect::Answer { .. })), "{effects:?}");
     assert_eq!(controller.requests.awaiting_quota.len(), 1);
     controller.apply_unordered(&KeyValue { mod_revision: Revision(12), ..quota(1, 9) });
     let effects = controller.step(1_200, 0, Input::Tick);
     let uses_new_quota = |e: &Effect| match e {
-        Effect::Store { call: StoreRequest::Transaction { preconditions, .. }, .. } => {
+        Effect::Store { request: StoreRequest::Transaction { preconditions, .. }, .. } => {
             preconditions.contains(&Precondition::new(quota_key("t", "n0"), Revision(12)))
         }
         _ => false,
@@ -129,29 +129,30 @@
         assert!(txn.is_none());
         effects.extend(controller.step(1_500, 0, Input::Tick));
         let answered = |effects: &[Effect]| {
-            effects.iter().any(|e| matches!(e, Effect::Answer { req: RequestId(7), .. }))
+            effects.iter().any(|e| matches!(e, Effect::Answer { request_id: RequestId(7), .. }))
         };
         assert!(!answered(&effects), "answered before the job was looked up");
         let confirmation = effects.iter().find_map(|e| match e {
             Effect::Store {
-                op,
-                call: StoreRequest::Transaction { preconditions, puts, .. },
+                call_id,
+                request: StoreRequest::Transaction { preconditions, puts, .. },
                 ..
             } if puts.is_empty()
                 && preconditions.iter().any(|p| p.key == active_job_key(JobId(7))) =>
             {
-                Some(*op)
+                Some(*call_id)
             }
             _ => None,
         });
         let failed = vec![active_job_key(JobId(7))];
         let reply = StoreReply::Conflict { failed };
-        let effects = controller.step(1_600, 0, Input::Store { op: confirmation.unwrap(), reply });
+        let effects =
+            controller.step(1_600, 0, Input::Store { call_id: confirmation.unwrap(), reply });
         let lookup = effects.iter().find_map(|e| match e {
-            Effect::Store { op, call: StoreRequest::Get(key), .. }
+            Effect::Store { call_id, request: StoreRequest::Get(key), .. }
                 if *key == active_job_key(JobId(7)) =>
             {
-                Some(*op)
+                Some(*call_id)
             }
             _ => None,
         });
@@ -159,9 +160,9 @@
         let key = active_job_key(JobId(7));
         let item = KeyValue { key, value, mod_revision: ACTIVE_REVISION, lease_id: None };
         let reply = StoreReply::KeyValue(item);
-        let effects = controller.step(1_700, 0, Input::Store { op: lookup.unwrap(), reply });
+        let effects = controller.step(1_700, 0, Input::Store { call_id: lookup.unwrap(), reply });
         let is_job_answer = |e: &Effect| {
-            matches!(e, Effect::Answer { req: RequestId(7), answer: Answer::Job { .. } })
+            matches!(e, Effect::Answer { request_id: RequestId(7), answer: Answer::Job { .. } })
         };
         assert!(effects.iter().any(is_job_answer), "{effects:?}");
     }
@@ -176,12 +177,14 @@
     controller.job_cache.quotas.put_controller("n0", 1, Revision(2));
     controller.apply_unordered(&quota(1, 1));
     let (txn, _) = submit(&mut controller, 7, a_job(1, true));
-    let lost_reply = Input::Store { op: txn.unwrap().0, reply: StoreReply::Unknown };
+    let lost_reply = Input::Store { call_id: txn.unwrap().0, reply: StoreReply::Unknown };
     controller.step(1_100, 0, lost_reply);
     let (txn, effects) = submit(&mut controller, 200, a_job(1, true));
     assert!(txn.is_none(), "the quota is used up");
     let writes_controller_record = |e: &Effect| match e {
-        Effect::Store { call: StoreRequest::Transaction { preconditions, puts, .. }, .. } => {
+        Effect::Store {
+            request: StoreRequest::Transaction { preconditions, puts, .. }, ..
+        } => {
             preconditions.contains(&Precondition::new(controller_key("n0"), Revision(2)))
                 && puts.iter().any(|p| p.key == controller_key("n0"))
         }
--- a/crates/basaltrail-core/src/controller/cloud_replies.rs
+++ b/crates/basaltrail-core/src/controller/cloud_replies.rs
@@ -11,9 +11,9 @@
         let Some(purpose) = self.calls.finish_cloud_call(call) else { return };
         match purpose {
             CloudPurpose::MachineTypes => self.handle_cloud_machine_types(reply),
-            CloudPurpose::Provision { token, requisition } => {
+            CloudPurpose::Provision { token, request_name } => {
                 self.with_leader_of_term(token, |leader, ctx, calls| {
-                    leader.apply_provisioning_reply(ctx, calls, &requisition, reply);
+                    leader.apply_provisioning_reply(ctx, calls, &request_name, reply);
                 });
             }
             CloudPurpose::Terminate { token, machines } => {
--- a/crates/basaltrail-core/src/controller/machine_types.rs
+++ b/crates/basaltrail-core/src/controller/machine_types.rs
@@ -37,7 +37,7 @@
             MachineTypesCall::RequestFromCloud => {
                 if self.calls.cloud_rate.try_acquire(self.now, 1.0, CallPriority::Lease) {
                     self.machine_types.record_sent();
-                    let request = CloudRequest::Types;
+                    let request = CloudRequest::MachineTypes;
                     self.calls.send_to_cloud(CloudPurpose::MachineTypes, request, timeout_ms);
                 }
             }
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -159,14 +159,22 @@
         self.wall = wall;
         match input {
             Input::Tick => {}
-            Input::Submit { req, job, spec } => self.handle_submission(req, job, spec),
-            Input::Poll { req, job } => self.handle_poll_or_cancel(req, job, RequestKind::Poll),
-            Input::Cancel { req, job } => self.handle_poll_or_cancel(req, job, RequestKind::Cancel),
-            Input::Inspect { req } => self.answer_inspection(req),
-            Input::Heartbeat { req, heartbeat } => self.handle_heartbeat(req, &heartbeat),
-            Input::Store { op, reply } => self.handle_store_reply(op, reply),
-            Input::Cloud { op, reply } => self.handle_cloud_reply(op, reply),
-            Input::Peer { progress } => {
+            Input::Submit { request_id, job, spec } => {
+                self.handle_submission(request_id, job, spec)
+            }
+            Input::Poll { request_id, job } => {
+                self.handle_poll_or_cancel(request_id, job, RequestKind::Poll)
+            }
+            Input::Cancel { request_id, job } => {
+                self.handle_poll_or_cancel(request_id, job, RequestKind::Cancel)
+            }
+            Input::Inspect { request_id } => self.answer_inspection(request_id),
+            Input::Heartbeat { request_id, heartbeat } => {
+                self.handle_heartbeat(request_id, &heartbeat)
+            }
+            Input::Store { call_id, reply } => self.handle_store_reply(call_id, reply),
+            Input::Cloud { call_id, reply } => self.handle_cloud_reply(call_id, reply),
+            Input::PeerProgress { progress } => {
                 self.last_peer_progress_at = self.now;
                 if self.leader.is_none() {
                     self.requests.update_progress(&self.job_cache, &progress);
@@ -334,7 +342,7 @@
         let progress = leader.progress();
         let counts = progress.iter().map(|progress| (progress.job, progress.into()));
         self.requests.task_counts = counts.collect();
-        self.calls.effects.push(Effect::Peers { progress });
+        self.calls.effects.push(Effect::BroadcastProgress { progress });
     }
 }
 
--- a/crates/basaltrail-core/src/election.rs
+++ b/crates/basaltrail-core/src/election.rs
@@ -462,7 +462,7 @@
     fn handle_keep_alive_reply(&mut self, now: Ms, sent_at: Ms, reply: StoreReply) {
         self.in_flight.keep_alive = false;
         match reply {
-            StoreReply::Ok => {
+            StoreReply::LeaseUpdated => {
                 self.next_keep_alive = sent_at + self.settings.lease_ttl_ms / KEEP_ALIVES_PER_TTL;
                 let valid_until = sent_at + self.settings.lease_validity_ms;
                 if let Role::Leading(term) = &mut self.role {
@@ -480,7 +480,7 @@
 
     fn handle_revoke_reply(&mut self, now: Ms, reply: StoreReply) {
         self.in_flight.campaign = false;
-        if matches!(reply, StoreReply::Ok | StoreReply::NotFound) {
+        if matches!(reply, StoreReply::LeaseUpdated | StoreReply::NotFound) {
             self.view = None;
             self.next_read = now;
         }
--- a/crates/basaltrail-core/src/io.rs
+++ b/crates/basaltrail-core/src/io.rs
@@ -157,7 +157,7 @@
         lease_id: LeaseId,
     },
     /// A lease was extended or revoked.
-    Ok,
+    LeaseUpdated,
     /// All changes since the revision of a watch.
     Events {
         /// The revision up to which changes are reported.
@@ -179,12 +179,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudRequest {
     /// Reads the machine types and their prices.
-    Types,
+    MachineTypes,
     /// Provisions machines.
     Provision {
         /// The idempotency key: a repeated request provisions no further machines. A key must never
         /// be reused for another request.
-        requisition: String,
+        request_name: String,
         /// The machine type.
         machine_type: String,
         /// The zone.
@@ -207,7 +207,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
     /// The machine types.
-    Types(Vec<MachineType>),
+    MachineTypes(Vec<MachineType>),
     /// The machines that were provisioned, at most as many as were requested.
     Provisioned(Vec<MachineId>),
     /// The cloud has no machines of this type, zone and kind.
@@ -222,7 +222,7 @@
         more: bool,
     },
     /// There is no reply, or the reply does not tell whether the request was executed.
-    Failed,
+    Unknown,
 }
 
 /// Task counts of a job, which the leader sends to its peers for display.
@@ -244,7 +244,7 @@
     /// A user submits a job.
     Submit {
         /// The request to answer.
-        req: RequestId,
+        request_id: RequestId,
         /// The ID of the job, chosen by its user.
         job: JobId,
         /// The specification of the job.
@@ -253,45 +253,45 @@
     /// A user requests the status of a job.
     Poll {
         /// The request to answer.
-        req: RequestId,
+        request_id: RequestId,
         /// The job.
         job: JobId,
     },
     /// A user cancels a job.
     Cancel {
         /// The request to answer.
-        req: RequestId,
+        request_id: RequestId,
         /// The job.
         job: JobId,
     },
     /// An operator requests limits, usage and quotas.
     Inspect {
         /// The request to answer.
-        req: RequestId,
+        request_id: RequestId,
     },
     /// A worker sends a heartbeat.
     Heartbeat {
         /// The request to answer.
-        req: RequestId,
+        request_id: RequestId,
         /// The heartbeat.
         heartbeat: Box<Heartbeat>,
     },
     /// The store replied to a call, or the call timed out.
     Store {
         /// The call.
-        op: CallId,
+        call_id: CallId,
         /// The reply.
         reply: StoreReply,
     },
     /// The cloud replied to a call, or the call timed out.
     Cloud {
         /// The call.
-        op: CallId,
+        call_id: CallId,
         /// The reply.
         reply: CloudReply,
     },
     /// A peer that considers itself the leader reports the progress of jobs. Only used for display.
-    Peer {
+    PeerProgress {
         /// Task counts by job.
         progress: Vec<Progress>,
     },
@@ -303,30 +303,30 @@
     /// Answers a request.
     Answer {
         /// The request to answer.
-        req: RequestId,
+        request_id: RequestId,
         /// The answer.
         answer: Answer,
     },
     /// Calls the store.
     Store {
         /// The call; the [`Input`] with the reply names it.
-        op: CallId,
+        call_id: CallId,
         /// The request.
-        call: StoreRequest,
+        request: StoreRequest,
         /// Timeout of the call, in milliseconds.
         timeout_ms: u64,
     },
     /// Calls the cloud.
     Cloud {
         /// The call; the [`Input`] with the reply names it.
-        op: CallId,
+        call_id: CallId,
         /// The request.
-        call: CloudRequest,
+        request: CloudRequest,
         /// Timeout of the call, in milliseconds.
         timeout_ms: u64,
     },
     /// Sends the progress of jobs to all peers.
-    Peers {
+    BroadcastProgress {
         /// Task counts by job.
         progress: Vec<Progress>,
     },
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -135,10 +135,10 @@
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
-        requisition: &str,
+        request_name: &str,
         reply: CloudReply,
     ) {
-        let provisioned = self.autoscaler.apply_provisioning_reply(ctx, requisition, reply, calls);
+        let provisioned = self.autoscaler.apply_provisioning_reply(ctx, request_name, reply, calls);
         for machine in provisioned {
             if !self.cluster.machines.contains_key(&machine.id) {
                 self.add_machine(ctx, machine);
--- a/crates/basaltrail-core/src/leader/autoscaler/provisioning.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning.rs
@@ -14,12 +14,12 @@
 
 /// A request whose outcome is not known yet.
 ///
-/// It is repeated under the same requisition until the outcome is known, so that no machine is
+/// It is repeated under the same request name until the outcome is known, so that no machine is
 /// provisioned twice (PROTOCOL, `POST /rentals`).
 #[derive(Clone, Debug)]
 pub struct ProvisioningRequest {
     /// Idempotency key of the request; no other request of any leader has the same.
-    pub requisition: String,
+    pub request_name: String,
     /// Requested kind of machine.
     pub kind: MachineKind,
     /// Number of machines requested.
@@ -54,7 +54,7 @@
         self.requests_added += 1;
         self.pending.push(ProvisioningRequest {
             // Unique: only this leader has the token.
-            requisition: format!("r-{}-{}", token.0, self.requests_added),
+            request_name: format!("r-{}-{}", token.0, self.requests_added),
             kind,
             count: max_machines.min(MAX_MACHINES_PER_REQUEST) as u32,
             attempts: 0,
@@ -63,9 +63,9 @@
         });
     }
 
-    /// Removes and returns the request with this requisition.
-    pub fn remove(&mut self, requisition: &str) -> Option<ProvisioningRequest> {
-        let index = self.pending.iter().position(|r| r.requisition == requisition)?;
+    /// Removes and returns the request with this name.
+    pub fn remove(&mut self, request_name: &str) -> Option<ProvisioningRequest> {
+        let index = self.pending.iter().position(|r| r.request_name == request_name)?;
         Some(self.pending.remove(index))
     }
 
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -150,16 +150,16 @@
                 break;
             }
             request.in_flight = true;
-            let requisition = request.requisition.clone();
+            let request_name = request.request_name.clone();
             let call = CloudRequest::Provision {
-                requisition: requisition.clone(),
+                request_name: request_name.clone(),
                 machine_type: request.kind.machine_type.clone(),
                 zone: request.kind.zone.clone(),
                 spot: request.kind.spot,
                 count: request.count,
             };
             calls.send_to_cloud(
-                CloudPurpose::Provision { token, requisition },
+                CloudPurpose::Provision { token, request_name },
                 call,
                 ctx.cfg.lease_ms / 2,
             );
@@ -170,11 +170,11 @@
     pub(in crate::leader) fn apply_provisioning_reply(
         &mut self,
         ctx: &Context,
-        requisition: &str,
+        request_name: &str,
         reply: CloudReply,
         calls: &mut Calls,
     ) -> Vec<Machine> {
-        let Some(request) = self.provisioning.remove(requisition) else { return Vec::new() };
+        let Some(request) = self.provisioning.remove(request_name) else { return Vec::new() };
         let refused_until = ctx.now + ctx.cfg.lease_ms;
         let ids = match reply {
             CloudReply::Provisioned(ids) => ids,
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out_tests.rs
@@ -22,10 +22,10 @@
     leader.plan_fleet(&test.context(500), calls);
     assert_eq!(leader.autoscaler.provisioning.requested_machines(|_| true), 5);
     let zone = leader.autoscaler.provisioning.pending[0].kind.zone.clone();
-    let requisition = leader.autoscaler.provisioning.pending[0].requisition.clone();
+    let request_name = leader.autoscaler.provisioning.pending[0].request_name.clone();
     let ids = (0..5).map(|i| MachineId(format!("m-{i}").into())).collect();
     let provisioned = CloudReply::Provisioned(ids);
-    leader.apply_provisioning_reply(&test.context(500), calls, &requisition, provisioned);
+    leader.apply_provisioning_reply(&test.context(500), calls, &request_name, provisioned);
     leader.plan_fleet(&test.context(45_000), calls);
     assert_eq!(
         leader.autoscaler.provisioning.requested_machines(|_| true),
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -44,7 +44,9 @@
         calls.store_rate.set_rate(1e6);
         leader.flush(ctx, &mut calls);
         let Some(Effect::Store {
-            op, call: StoreRequest::Transaction { puts, deletes, .. }, ..
+            call_id,
+            request: StoreRequest::Transaction { puts, deletes, .. },
+            ..
         }) = calls.effects.pop()
         else {
             return false;
@@ -60,7 +62,8 @@
             );
             self.segments.insert(put.key, put.value);
         }
-        let Some(StorePurpose::LeaderTransaction { pending, .. }) = calls.finish_store_call(op)
+        let Some(StorePurpose::LeaderTransaction { pending, .. }) =
+            calls.finish_store_call(call_id)
         else {
             panic!("the call is not a transaction of the leader")
         };
--- a/crates/basaltrail-core/src/machines/types.rs
+++ b/crates/basaltrail-core/src/machines/types.rs
@@ -116,7 +116,7 @@
     pub fn apply_cloud_reply(&mut self, reply: CloudReply, retry_at: Ms, next_at: Ms) {
         self.in_flight = false;
         self.next_call_at = retry_at;
-        let CloudReply::Types(types) = reply else { return };
+        let CloudReply::MachineTypes(types) = reply else { return };
         self.next_call_at = next_at;
         if types.is_empty() {
             return;
--- a/crates/basaltrail-core/src/machines/types_tests.rs
+++ b/crates/basaltrail-core/src/machines/types_tests.rs
@@ -37,11 +37,11 @@
     let mut types = MachineTypes::default();
     types.apply_read_reply(stored(&[a_type()]), 0);
     let dearer = MachineType { price: 9.0, ..a_type() };
-    types.apply_cloud_reply(CloudReply::Types(vec![dearer]), 10, 60);
+    types.apply_cloud_reply(CloudReply::MachineTypes(vec![dearer]), 10, 60);
     assert_eq!((types.call_due(59, VALUE_BYTES, true), types.known()[0].price), (None, 9.0));
     assert_eq!(types.call_due(60, VALUE_BYTES, true), Some(MachineTypesCall::RequestFromCloud));
     let wider = MachineType { cpus: 64.0, ..a_type() };
-    types.apply_cloud_reply(CloudReply::Types(vec![wider]), 70, 80);
+    types.apply_cloud_reply(CloudReply::MachineTypes(vec![wider]), 70, 80);
     let due = types.call_due(80, VALUE_BYTES, true);
     assert!(
         matches!(due, Some(MachineTypesCall::Write { mod_revision: Revision(3), .. })),
@@ -50,9 +50,9 @@
     types.apply_write_reply(&StoreReply::Conflict { failed: vec![MACHINE_TYPES_KEY.into()] });
     assert_eq!(types.call_due(80, VALUE_BYTES, true), Some(MachineTypesCall::Read));
     types.apply_read_reply(StoreReply::NotFound, 0);
-    types.apply_cloud_reply(CloudReply::Types(vec![a_type()]), 90, 90);
+    types.apply_cloud_reply(CloudReply::MachineTypes(vec![a_type()]), 90, 90);
     assert_eq!(types.call_due(90, 8, true), None, "too long to store");
     assert_eq!(types.call_due(90, 8, true), Some(MachineTypesCall::RequestFromCloud));
-    types.apply_cloud_reply(CloudReply::Failed, 95, 200);
+    types.apply_cloud_reply(CloudReply::Unknown, 95, 200);
     assert_eq!(types.call_due(95, VALUE_BYTES, true), Some(MachineTypesCall::RequestFromCloud));
 }
--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -124,7 +124,7 @@
         token: FencingToken,
         /// The name of the request, under which it can be repeated without provisioning more
         /// machines.
-        requisition: String,
+        request_name: String,
     },
     /// Terminates machines.
     Terminate {
@@ -175,17 +175,17 @@
     }
 
     /// Sends a call to the store. The caller must check the rate limiters first.
-    pub fn send_to_store(&mut self, purpose: StorePurpose, call: StoreRequest, timeout_ms: Ms) {
-        let op = self.next_id();
-        self.store_calls.insert(op, purpose);
-        self.effects.push(Effect::Store { op, call, timeout_ms });
+    pub fn send_to_store(&mut self, purpose: StorePurpose, request: StoreRequest, timeout_ms: Ms) {
+        let call_id = self.next_id();
+        self.store_calls.insert(call_id, purpose);
+        self.effects.push(Effect::Store { call_id, request, timeout_ms });
     }
 
     /// Sends a call to the cloud. The caller must check the rate limiter first.
-    pub fn send_to_cloud(&mut self, purpose: CloudPurpose, call: CloudRequest, timeout_ms: Ms) {
-        let op = self.next_id();
-        self.cloud_calls.insert(op, purpose);
-        self.effects.push(Effect::Cloud { op, call, timeout_ms });
+    pub fn send_to_cloud(&mut self, purpose: CloudPurpose, request: CloudRequest, timeout_ms: Ms) {
+        let call_id = self.next_id();
+        self.cloud_calls.insert(call_id, purpose);
+        self.effects.push(Effect::Cloud { call_id, request, timeout_ms });
     }
 
     /// Acquires one call to the store and returns whether it may be sent now.
@@ -201,8 +201,8 @@
     }
 
     /// Answers a request.
-    pub fn answer(&mut self, req: RequestId, answer: Answer) {
-        self.effects.push(Effect::Answer { req, answer });
+    pub fn answer(&mut self, request_id: RequestId, answer: Answer) {
+        self.effects.push(Effect::Answer { request_id, answer });
     }
 
     /// Logs an event.
--- a/crates/basaltrail-core/tests/scale.rs
+++ b/crates/basaltrail-core/tests/scale.rs
@@ -152,9 +152,13 @@
         self.counts.inputs += 1;
         for effect in self.controller.step(self.now, self.now as i64, input) {
             match effect {
-                Effect::Answer { req, answer } => self.handle_answer(req, answer),
-                Effect::Store { op, call, .. } => self.execute_store_request(op, call),
-                Effect::Cloud { op, call, .. } => self.execute_cloud_request(op, call),
+                Effect::Answer { request_id, answer } => self.handle_answer(request_id, answer),
+                Effect::Store { call_id, request, .. } => {
+                    self.execute_store_request(call_id, request)
+                }
+                Effect::Cloud { call_id, request, .. } => {
+                    self.execute_cloud_request(call_id, request)
+                }
                 Effect::Log(LogEvent::Heartbeat(
                     violation @ HeartbeatEvent::RenewalViolation { .. },
                 )) => {
@@ -166,8 +170,8 @@
     }
 
     /// Executes the commands in an answer and sets the time of the worker's next heartbeat.
-    fn handle_answer(&mut self, req: RequestId, answer: Answer) {
-        let Some(machine) = self.unanswered_heartbeats.remove(&req) else { return };
+    fn handle_answer(&mut self, request_id: RequestId, answer: Answer) {
+        let Some(machine) = self.unanswered_heartbeats.remove(&request_id) else { return };
         let now = self.now;
         let interval_ms = self.scale.heartbeat_interval_ms;
         let worker = &mut self.workers[machine];
@@ -225,9 +229,9 @@
     }
 
     /// Executes a store request and sends the reply, except for watches, which stay open.
-    fn execute_store_request(&mut self, op: CallId, call: StoreRequest) {
+    fn execute_store_request(&mut self, call_id: CallId, request: StoreRequest) {
         self.counts.store_requests += 1;
-        let reply = match call {
+        let reply = match request {
             StoreRequest::Get(key) => {
                 self.read(&key).map_or(StoreReply::NotFound, StoreReply::KeyValue)
             }
@@ -278,34 +282,34 @@
                     self.keys.remove(records::LEADER_KEY);
                     self.change_log.push((records::LEADER_KEY.into(), self.revision));
                 }
-                StoreReply::Ok
+                StoreReply::LeaseUpdated
             }
-            StoreRequest::KeepAlive { .. } => StoreReply::Ok,
+            StoreRequest::KeepAlive { .. } => StoreReply::LeaseUpdated,
             StoreRequest::Watch { prefix, after, wait_ms } => {
-                return self.watches.push((op, prefix, after.0, self.now + wait_ms));
+                return self.watches.push((call_id, prefix, after.0, self.now + wait_ms));
             }
         };
-        self.send_reply(10, Input::Store { op, reply });
+        self.send_reply(10, Input::Store { call_id, reply });
     }
 
     /// Replies to the open watches that have events or whose wait ends.
     fn reply_to_watches(&mut self) {
-        for (op, prefix, after, wait_ends_at) in std::mem::take(&mut self.watches) {
+        for (call_id, prefix, after, wait_ends_at) in std::mem::take(&mut self.watches) {
             let events = self.events_after(&prefix, after);
             if events.is_empty() && self.now < wait_ends_at {
-                self.watches.push((op, prefix, after, wait_ends_at));
+                self.watches.push((call_id, prefix, after, wait_ends_at));
             } else {
                 let reply = StoreReply::Events { revision: Revision(self.revision), events };
-                self.send_reply(5, Input::Store { op, reply });
+                self.send_reply(5, Input::Store { call_id, reply });
             }
         }
     }
 
-    fn execute_cloud_request(&mut self, op: CallId, call: CloudRequest) {
+    fn execute_cloud_request(&mut self, call_id: CallId, request: CloudRequest) {
         self.counts.cloud_requests += 1;
         let machine_id = |machine: usize| MachineId(format!("m-{machine:06}").into());
-        let reply = match call {
-            CloudRequest::Types => CloudReply::Types(vec![MachineType {
+        let reply = match request {
+            CloudRequest::MachineTypes => CloudReply::MachineTypes(vec![MachineType {
                 name: "x".into(),
                 cpus: 8.0,
                 gpus: 0.0,
@@ -348,7 +352,7 @@
                 CloudReply::Listed { machines: machines.collect(), more: end < self.workers.len() }
             }
         };
-        self.send_reply(150, Input::Cloud { op, reply });
+        self.send_reply(150, Input::Cloud { call_id, reply });
     }
 
     /// Sends the heartbeat of a worker.
@@ -376,10 +380,10 @@
             tasks: tasks.collect(),
         };
         self.last_id += 1;
-        let req = RequestId(self.last_id);
-        self.unanswered_heartbeats.insert(req, machine);
+        let request_id = RequestId(self.last_id);
+        self.unanswered_heartbeats.insert(request_id, machine);
         self.counts.heartbeats += 1;
-        self.feed(Input::Heartbeat { req, heartbeat: Box::new(heartbeat) });
+        self.feed(Input::Heartbeat { request_id, heartbeat: Box::new(heartbeat) });
     }
 
     fn submit(&mut self, job: u64) {
@@ -406,8 +410,8 @@
             deadline_s: None,
         };
         self.last_id += 1;
-        let req = RequestId(self.last_id);
-        self.feed(Input::Submit { req, job: JobId(job), spec: Box::new(spec) });
+        let request_id = RequestId(self.last_id);
+        self.feed(Input::Submit { request_id, job: JobId(job), spec: Box::new(spec) });
     }
 
     /// Advances the time in steps of 10 ms.
--- a/crates/basaltrail-core/tests/simulation/simulated/cloud.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/cloud.rs
@@ -15,24 +15,30 @@
         &mut self,
         controller: usize,
         epoch: u64,
-        op: CallId,
-        call: CloudRequest,
+        call_id: CallId,
+        request: CloudRequest,
     ) {
-        let reply = match call {
-            CloudRequest::Types => CloudReply::Types(vec![machine_type()]),
-            CloudRequest::Provision { requisition, zone, spot, count, .. } => {
-                self.provision(requisition, &zone, spot, count)
+        let reply = match request {
+            CloudRequest::MachineTypes => CloudReply::MachineTypes(vec![machine_type()]),
+            CloudRequest::Provision { request_name, zone, spot, count, .. } => {
+                self.provision(request_name, &zone, spot, count)
             }
             CloudRequest::Terminate(ids) => self.terminate(&ids),
             CloudRequest::List { .. } => self.list_machines(),
         };
         let at = self.now + LATENCY_MS + self.network_delay();
-        self.send(at, controller, epoch, Message::Input(Input::Cloud { op, reply }));
+        self.send(at, controller, epoch, Message::Input(Input::Cloud { call_id, reply }));
     }
 
-    /// Provisions machines once for each requisition; a repeated request gets the same machines.
-    fn provision(&mut self, requisition: String, zone: &str, spot: bool, count: u32) -> CloudReply {
-        if let Some(machines) = self.provisioned.get(&requisition) {
+    /// Provisions machines once for each request name; a repeated request gets the same machines.
+    fn provision(
+        &mut self,
+        request_name: String,
+        zone: &str,
+        spot: bool,
+        count: u32,
+    ) -> CloudReply {
+        if let Some(machines) = self.provisioned.get(&request_name) {
             return CloudReply::Provisioned(machines.clone());
         }
         let zone = ZONES.iter().position(|name| *name == zone).expect("the zone is known");
@@ -48,7 +54,7 @@
             let worker = self.new_worker(zone, spot);
             self.workers.push(worker);
         }
-        self.provisioned.insert(requisition, machines.clone());
+        self.provisioned.insert(request_name, machines.clone());
         CloudReply::Provisioned(machines)
     }
 
--- a/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
@@ -40,14 +40,14 @@
 
     fn apply_effect(&mut self, step: Step, effect: Effect) {
         match effect {
-            Effect::Answer { req, answer } => self.send_answer(step, req, answer),
-            Effect::Store { op, call, timeout_ms } => {
-                self.send_store_request(step, op, call, timeout_ms);
+            Effect::Answer { request_id, answer } => self.send_answer(step, request_id, answer),
+            Effect::Store { call_id, request, timeout_ms } => {
+                self.send_store_request(step, call_id, request, timeout_ms);
             }
-            Effect::Cloud { op, call, timeout_ms } => {
-                self.send_cloud_request(step, op, call, timeout_ms);
+            Effect::Cloud { call_id, request, timeout_ms } => {
+                self.send_cloud_request(step, call_id, request, timeout_ms);
             }
-            Effect::Peers { progress } => {
+            Effect::BroadcastProgress { progress } => {
                 self.send_to_peers(step.controller, step.sent_at, &progress)
             }
             Effect::Log(LogEvent::Heartbeat(HeartbeatEvent::RenewalViolation {
@@ -64,8 +64,8 @@
         }
     }
 
-    fn send_answer(&mut self, step: Step, req: RequestId, answer: Answer) {
-        let Some(requester) = self.requesters.remove(&req) else { return };
+    fn send_answer(&mut self, step: Step, request_id: RequestId, answer: Answer) {
+        let Some(requester) = self.requesters.remove(&request_id) else { return };
         let at = step.sent_at + self.network_delay();
         let isolated = step.sent_at < self.controllers[step.controller].isolated_until;
         match requester {
@@ -84,20 +84,26 @@
         }
     }
 
-    fn send_store_request(&mut self, step: Step, op: CallId, call: StoreRequest, timeout_ms: u64) {
+    fn send_store_request(
+        &mut self,
+        step: Step,
+        call_id: CallId,
+        request: StoreRequest,
+        timeout_ms: u64,
+    ) {
         let Step { controller, epoch, sent_at } = step;
-        let unknown = Input::Store { op, reply: StoreReply::Unknown };
+        let unknown = Input::Store { call_id, reply: StoreReply::Unknown };
         self.send(self.now + timeout_ms, controller, epoch, Message::Input(unknown));
         let mut at = sent_at + self.network_delay();
-        if !fits_limits(&call, self.controllers[controller].configuration.store_limits) {
+        if !fits_limits(&request, self.controllers[controller].configuration.store_limits) {
             self.record_violation(format!(
-                "controller {controller} wrote beyond its limits: {call:?}"
+                "controller {controller} wrote beyond its limits: {request:?}"
             ));
         }
         // A duplicate transaction is applied later and gets no reply.
-        if matches!(call, StoreRequest::Transaction { .. }) && self.is_duplicated() {
+        if matches!(request, StoreRequest::Transaction { .. }) && self.is_duplicated() {
             let at = self.now + self.rng.random_range(5..30_000);
-            self.send(at, controller, epoch, Message::Store(DUPLICATE_CALL, call.clone()));
+            self.send(at, controller, epoch, Message::Store(DUPLICATE_CALL, request.clone()));
         }
         if let Some((until, delayed)) = self.controllers[controller].store_partition {
             if !delayed {
@@ -105,22 +111,28 @@
             }
             at = at.max(until + self.network_delay());
         }
-        self.send(at, controller, epoch, Message::Store(op, call));
+        self.send(at, controller, epoch, Message::Store(call_id, request));
     }
 
-    fn send_cloud_request(&mut self, step: Step, op: CallId, call: CloudRequest, timeout_ms: u64) {
+    fn send_cloud_request(
+        &mut self,
+        step: Step,
+        call_id: CallId,
+        request: CloudRequest,
+        timeout_ms: u64,
+    ) {
         let Step { controller, epoch, sent_at } = step;
-        let failed = Input::Cloud { op, reply: CloudReply::Failed };
-        self.send(self.now + timeout_ms, controller, epoch, Message::Input(failed));
+        let unknown = Input::Cloud { call_id, reply: CloudReply::Unknown };
+        self.send(self.now + timeout_ms, controller, epoch, Message::Input(unknown));
         let is_late = self.now < FAULTS_END_MS && self.rng.random_bool(0.05);
         let late_ms = if is_late { CLOUD_LATE_MS } else { 0 };
         if self.is_duplicated() {
             let at = self.now + self.rng.random_range(5..30_000);
-            self.send(at, controller, epoch, Message::Cloud(DUPLICATE_CALL, call.clone()));
+            self.send(at, controller, epoch, Message::Cloud(DUPLICATE_CALL, request.clone()));
         }
         let isolated_until = self.controllers[controller].isolated_until;
         let at = sent_at.max(isolated_until) + CLOUD_LATENCY_MS + self.network_delay() + late_ms;
-        self.send(at, controller, epoch, Message::Cloud(op, call));
+        self.send(at, controller, epoch, Message::Cloud(call_id, request));
     }
 
     /// Sends a leader's progress to the peers that no partition separates from it.
@@ -137,7 +149,7 @@
                 continue;
             }
             let epoch = self.controllers[to].epoch;
-            let input = Input::Peer { progress: progress.to_vec() };
+            let input = Input::PeerProgress { progress: progress.to_vec() };
             self.send(at + 5, to, epoch, Message::Input(input));
         }
     }
--- a/crates/basaltrail-core/tests/simulation/simulated/faults.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/faults.rs
@@ -205,7 +205,7 @@
                     at,
                     controller,
                     0,
-                    Message::Input(Input::Heartbeat { req: RequestId(0), heartbeat }),
+                    Message::Input(Input::Heartbeat { request_id: RequestId(0), heartbeat }),
                 );
             }
         }
--- a/crates/basaltrail-core/tests/simulation/simulated/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/mod.rs
@@ -261,7 +261,7 @@
 struct OpenWatch {
     controller: usize,
     epoch: u64,
-    op: CallId,
+    call_id: CallId,
     prefix: String,
     after: Revision,
     /// When the store answers even if nothing has changed.
@@ -313,7 +313,7 @@
     controllers: Vec<SimulatedController>,
     store: Store,
     workers: Vec<Worker>,
-    /// Machines provisioned for each requisition.
+    /// Machines provisioned for each request name.
     provisioned: BTreeMap<String, Vec<MachineId>>,
     users: Vec<User>,
     requesters: BTreeMap<RequestId, Requester>,
--- a/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
@@ -342,12 +342,20 @@
                 }
             }
             // A request is processed even if its process has ended since.
-            Message::Store(op, call) => self.handle_store_request(controller, epoch, op, call),
-            Message::Cloud(op, call) => self.handle_cloud_request(controller, epoch, op, call),
-            Message::Heartbeat(machine, req, heartbeat) => {
+            Message::Store(call_id, request) => {
+                self.handle_store_request(controller, epoch, call_id, request)
+            }
+            Message::Cloud(call_id, request) => {
+                self.handle_cloud_request(controller, epoch, call_id, request)
+            }
+            Message::Heartbeat(machine, request_id, heartbeat) => {
                 if self.controllers[controller].process.is_some() {
-                    self.requesters.insert(req, Requester::Worker(machine, heartbeat.sequence));
-                    self.step(controller, Input::Heartbeat { req, heartbeat: Box::new(heartbeat) });
+                    self.requesters
+                        .insert(request_id, Requester::Worker(machine, heartbeat.sequence));
+                    self.step(
+                        controller,
+                        Input::Heartbeat { request_id, heartbeat: Box::new(heartbeat) },
+                    );
                 }
             }
             Message::Commands(machine, agent_epoch, sequence, answer) => {
--- a/crates/basaltrail-core/tests/simulation/simulated/store.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store.rs
@@ -83,7 +83,7 @@
             StoreRequest::KeepAlive { lease_id } => match self.leases.get_mut(lease_id) {
                 Some((ttl_ms, expires_at)) => {
                     *expires_at = now + *ttl_ms;
-                    StoreReply::Ok
+                    StoreReply::LeaseUpdated
                 }
                 None => StoreReply::NotFound,
             },
@@ -91,7 +91,7 @@
                 let known = self.leases.contains_key(lease_id);
                 self.revoke_lease(*lease_id);
                 if known {
-                    StoreReply::Ok
+                    StoreReply::LeaseUpdated
                 } else {
                     StoreReply::NotFound
                 }
--- a/crates/basaltrail-core/tests/simulation/simulated/store_requests.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store_requests.rs
@@ -5,8 +5,8 @@
 
 /// Returns whether a request is within limits on the bytes of a value and the operations of a
 /// transaction.
-pub(super) fn fits_limits(call: &StoreRequest, (value_bytes, ops): (usize, usize)) -> bool {
-    let StoreRequest::Transaction { preconditions, puts, deletes } = call else { return true };
+pub(super) fn fits_limits(request: &StoreRequest, (value_bytes, ops): (usize, usize)) -> bool {
+    let StoreRequest::Transaction { preconditions, puts, deletes } = request else { return true };
     let values_fit = puts.iter().all(|put| put.value.len() <= value_bytes);
     values_fit && puts.len() + deletes.len() <= ops && preconditions.len() <= ops * 4
 }
@@ -20,34 +20,35 @@
         &mut self,
         controller: usize,
         epoch: u64,
-        op: CallId,
-        call: StoreRequest,
+        call_id: CallId,
+        request: StoreRequest,
     ) {
         let refused = self.now < self.controllers[controller].store_refuses_until;
         let down = self.now < self.store.down_until || refused;
-        if let StoreRequest::Watch { prefix, after, wait_ms } = call {
+        if let StoreRequest::Watch { prefix, after, wait_ms } = request {
             let until = self.now + wait_ms;
-            let watch = OpenWatch { controller, epoch, op, prefix, after, until };
+            let watch = OpenWatch { controller, epoch, call_id, prefix, after, until };
             return self.open_watch(watch, down);
         }
         let unreachable = down
-            || (self.controllers[controller].store_partition.is_some() && op != DUPLICATE_CALL);
+            || (self.controllers[controller].store_partition.is_some()
+                && call_id != DUPLICATE_CALL);
         let changes = matches!(
-            &call,
+            &request,
             StoreRequest::Transaction { puts, deletes, .. } if puts.len() + deletes.len() > 0
         );
         let fault = self.unanswered_writes;
         let may_go_unanswered =
-            changes && !unreachable && op != DUPLICATE_CALL && self.now < fault.until;
+            changes && !unreachable && call_id != DUPLICATE_CALL && self.now < fault.until;
         if may_go_unanswered && self.rng.random_bool(fault.share) {
-            return self.apply_without_reply(controller, epoch, call, fault);
+            return self.apply_without_reply(controller, epoch, request, fault);
         }
-        let reply = if down { StoreReply::Refused } else { self.store.apply(self.now, &call) };
-        self.check_reply(op, &call, &reply);
+        let reply = if down { StoreReply::Refused } else { self.store.apply(self.now, &request) };
+        self.check_reply(call_id, &request, &reply);
         let at = self.now + self.network_delay() + self.store_delay_ms;
         let lost = self.now < FAULTS_END_MS && self.rng.random_bool(0.01);
         if !lost && self.controllers[controller].store_partition.is_none() {
-            self.send(at, controller, epoch, Message::Input(Input::Store { op, reply }));
+            self.send(at, controller, epoch, Message::Input(Input::Store { call_id, reply }));
         }
         self.answer_watches();
     }
@@ -56,7 +57,7 @@
     fn open_watch(&mut self, watch: OpenWatch, down: bool) {
         let controller = watch.controller;
         if down {
-            let input = Input::Store { op: watch.op, reply: StoreReply::Refused };
+            let input = Input::Store { call_id: watch.call_id, reply: StoreReply::Refused };
             return self.send(self.now + 2, controller, watch.epoch, Message::Input(input));
         }
         let lost = self.now < self.controllers[controller].watches_lost_until;
@@ -72,30 +73,30 @@
         &mut self,
         controller: usize,
         epoch: u64,
-        call: StoreRequest,
+        request: StoreRequest,
         fault: UnansweredWrites,
     ) {
         if !fault.only_reply_lost {
             let at = self.now + self.rng.random_range(2_000..12_000);
-            return self.send(at, controller, epoch, Message::Store(DUPLICATE_CALL, call));
+            return self.send(at, controller, epoch, Message::Store(DUPLICATE_CALL, request));
         }
-        if matches!(self.store.apply(self.now, &call), StoreReply::Committed { .. }) {
+        if matches!(self.store.apply(self.now, &request), StoreReply::Committed { .. }) {
             self.record_situation("reply of a committed write lost");
         }
         self.answer_watches();
     }
 
-    fn check_reply(&mut self, op: CallId, call: &StoreRequest, reply: &StoreReply) {
+    fn check_reply(&mut self, call_id: CallId, request: &StoreRequest, reply: &StoreReply) {
         // A duplicate of a write of an earlier version may arrive after the limits were lowered.
-        let is_outdated = op == DUPLICATE_CALL && fits_limits(call, STORE_LIMITS);
+        let is_outdated = call_id == DUPLICATE_CALL && fits_limits(request, STORE_LIMITS);
         if *reply == StoreReply::Rejected && !is_outdated {
-            self.record_violation(format!("wrote beyond the limits of the store: {call:?}"));
+            self.record_violation(format!("wrote beyond the limits of the store: {request:?}"));
         }
         match reply {
-            StoreReply::Committed { .. } if op == DUPLICATE_CALL => {
+            StoreReply::Committed { .. } if call_id == DUPLICATE_CALL => {
                 self.record_situation("late write committed")
             }
-            StoreReply::Conflict { .. } if op == DUPLICATE_CALL => {
+            StoreReply::Conflict { .. } if call_id == DUPLICATE_CALL => {
                 self.record_situation("late write conflicted")
             }
             _ => {}
@@ -121,7 +122,7 @@
             }
             let reply = StoreReply::Events { revision: self.store.revision, events };
             let at = now + self.network_delay();
-            let input = Input::Store { op: watch.op, reply };
+            let input = Input::Store { call_id: watch.call_id, reply };
             self.send(at, watch.controller, watch.epoch, Message::Input(input));
         }
     }
--- a/crates/basaltrail-core/tests/simulation/simulated/users.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/users.rs
@@ -29,8 +29,13 @@
         self.send_request(i, controller, kind, 0, true);
         // Poll of a job that was never submitted.
         if self.rng.random_bool(0.05) {
-            let req = self.register_request(Requester::UnknownJob);
-            self.send(now + 1, controller, 0, Message::Input(Input::Poll { req, job: JobId(77) }));
+            let request_id = self.register_request(Requester::UnknownJob);
+            self.send(
+                now + 1,
+                controller,
+                0,
+                Message::Input(Input::Poll { request_id, job: JobId(77) }),
+            );
         }
         if now < self.invalid_requests_until {
             self.send_invalid_requests(i, controller);
@@ -60,13 +65,13 @@
         }
         let (observed_before, deadline) =
             (self.users[i].observed, now + delay_ms + kind.timeout_ms());
-        let req = self.register_request(Requester::User(
+        let request_id = self.register_request(Requester::User(
             i,
             PendingRequest { deadline, observed_before, exclusive },
         ));
         let user = &mut self.users[i];
         user.cancel_requested |= kind == RequestKind::Cancel;
-        let input = kind.input(req, user);
+        let input = kind.input(request_id, user);
         if self.is_duplicated() && kind != RequestKind::Poll {
             let at = now + self.rng.random_range(50..30_000);
             let duplicate = kind.input(RequestId(0), &self.users[i]);
@@ -116,9 +121,9 @@
             3 => spec.team = "nobody".into(),
             _ => (spec.team, spec.cpus) = ("t0".into(), CPUS_MAX[0] + 1.0),
         }
-        let req = self.register_request(Requester::InvalidJob);
-        let job = JobId(500_000 + req.0);
-        let input = Input::Submit { req, job, spec: Box::new(spec) };
+        let request_id = self.register_request(Requester::InvalidJob);
+        let job = JobId(500_000 + request_id.0);
+        let input = Input::Submit { request_id, job, spec: Box::new(spec) };
         self.send(self.now + 1, controller, 0, Message::Input(input));
     }
 
@@ -278,13 +283,13 @@
         }
     }
 
-    fn input(self, req: RequestId, user: &User) -> Input {
+    fn input(self, request_id: RequestId, user: &User) -> Input {
         match self {
             RequestKind::Submit => {
-                Input::Submit { req, job: user.job, spec: Box::new(user.spec.clone()) }
+                Input::Submit { request_id, job: user.job, spec: Box::new(user.spec.clone()) }
             }
-            RequestKind::Poll => Input::Poll { req, job: user.job },
-            RequestKind::Cancel => Input::Cancel { req, job: user.job },
+            RequestKind::Poll => Input::Poll { request_id, job: user.job },
+            RequestKind::Cancel => Input::Cancel { request_id, job: user.job },
         }
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/workers.rs
@@ -124,7 +124,7 @@
         let to = worker.controller;
         let uplink_lost = now < worker.uplink_lost_until;
         self.last_request_id += 1;
-        let req = RequestId(self.last_request_id);
+        let request_id = RequestId(self.last_request_id);
         let at = now + self.network_delay();
         let at = self.arrival_at_worker(to, index, at);
         if self.is_duplicated() {
@@ -142,13 +142,13 @@
             }
         }
         if !uplink_lost {
-            self.send(at, to, 0, Message::Heartbeat(index, req, heartbeat));
+            self.send(at, to, 0, Message::Heartbeat(index, request_id, heartbeat));
         }
     }
 
     fn send_duplicate_heartbeat(&mut self, to: usize, delay_ms: u64, heartbeat: &Heartbeat) {
         let heartbeat = Box::new(heartbeat.clone());
-        let input = Input::Heartbeat { req: RequestId(0), heartbeat };
+        let input = Input::Heartbeat { request_id: RequestId(0), heartbeat };
         self.send(self.now + delay_ms, to, 0, Message::Input(input));
     }
 
--- a/crates/basaltrail-core/tests/trace_player/mod.rs
+++ b/crates/basaltrail-core/tests/trace_player/mod.rs
@@ -155,14 +155,14 @@
     fn execute(&mut self, effect: Effect) -> Option<Input> {
         match effect {
             Effect::Store {
-                op,
-                call: StoreRequest::Watch { prefix, after, wait_ms },
+                call_id,
+                request: StoreRequest::Watch { prefix, after, wait_ms },
                 timeout_ms,
             } => {
                 let wait_ends_at = self.now + wait_ms;
                 let times_out_at = self.now + timeout_ms;
                 self.store.watches.push(OpenWatch {
-                    op,
+                    call_id,
                     prefix,
                     after,
                     wait_ends_at,
@@ -170,10 +170,12 @@
                 });
                 None
             }
-            Effect::Store { op, call, .. } => {
-                Some(Input::Store { op, reply: self.store.handle_request(call) })
+            Effect::Store { call_id, request, .. } => {
+                Some(Input::Store { call_id, reply: self.store.handle_request(request) })
+            }
+            Effect::Cloud { call_id, request, .. } => {
+                Some(Input::Cloud { call_id, reply: cloud_reply(&request) })
             }
-            Effect::Cloud { op, call, .. } => Some(Input::Cloud { op, reply: cloud_reply(&call) }),
             Effect::Answer { answer, .. } => {
                 let text = self.describe_answer(&answer);
                 self.unchecked_answers.push_back(text);
@@ -225,7 +227,7 @@
             self.feed(Input::Tick);
             for watch in std::mem::take(&mut self.store.watches) {
                 match self.store.reply_to(&watch, self.now) {
-                    Some(reply) => self.feed(Input::Store { op: watch.op, reply }),
+                    Some(reply) => self.feed(Input::Store { call_id: watch.call_id, reply }),
                     None => self.store.watches.push(watch),
                 }
             }
@@ -234,9 +236,9 @@
 }
 
 /// Returns the reply of a cloud without capacity.
-fn cloud_reply(call: &CloudRequest) -> CloudReply {
-    match call {
-        CloudRequest::Types => CloudReply::Types(vec![machine_type()]),
+fn cloud_reply(request: &CloudRequest) -> CloudReply {
+    match request {
+        CloudRequest::MachineTypes => CloudReply::MachineTypes(vec![machine_type()]),
         CloudRequest::Provision { .. } => CloudReply::NoCapacity,
         CloudRequest::Terminate(_) => CloudReply::Terminated,
         CloudRequest::List { .. } => CloudReply::Listed { machines: Vec::new(), more: false },
--- a/crates/basaltrail-core/tests/trace_player/script.rs
+++ b/crates/basaltrail-core/tests/trace_player/script.rs
@@ -11,7 +11,7 @@
     /// Executes one line.
     pub(super) fn play_line(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let req = self.next_request();
+        let request_id = self.next_request();
         match words[0] {
             "wait" => self.run_for(words[1].parse().unwrap()),
             "store" => self.store.availability = availability(words[1]),
@@ -25,14 +25,14 @@
             "registry" => self.store.registry_unreadable = words[1] == "held",
             "watch" => self.hang_job_watches(),
             "late" => {
-                for call in std::mem::take(&mut self.store.unanswered_requests) {
-                    self.store.execute(&call);
+                for request in std::mem::take(&mut self.store.unanswered_requests) {
+                    self.store.execute(&request);
                 }
             }
             "other" => self.act_as_other_controller(&words[1..]),
-            "submit" => self.submit(req, &words[1..]),
-            "poll" => self.feed(Input::Poll { req, job: job(words[1]) }),
-            "cancel" => self.feed(Input::Cancel { req, job: job(words[1]) }),
+            "submit" => self.submit(request_id, &words[1..]),
+            "poll" => self.feed(Input::Poll { request_id, job: job(words[1]) }),
+            "cancel" => self.feed(Input::Cancel { request_id, job: job(words[1]) }),
             "heartbeat" => self.heartbeat(&words[1..]),
             unknown => panic!("unknown command {unknown}"),
         }
@@ -41,16 +41,16 @@
     fn hang_job_watches(&mut self) {
         let store = &mut self.store;
         let job_watches = store.watches.iter().filter(|watch| watch.prefix == records::JOBS_PREFIX);
-        store.hung_watches.extend(job_watches.map(|watch| watch.op));
+        store.hung_watches.extend(job_watches.map(|watch| watch.call_id));
         assert!(!store.hung_watches.is_empty(), "no watch of the jobs is open");
     }
 
-    fn submit(&mut self, req: RequestId, words: &[&str]) {
+    fn submit(&mut self, request_id: RequestId, words: &[&str]) {
         let mut spec = spec(words[1]);
         if words.get(2) == Some(&"service") {
             (spec.kind, spec.estimate_s) = (JobKind::Service, 0.0);
         }
-        self.feed(Input::Submit { req, job: job(words[0]), spec: Box::new(spec) });
+        self.feed(Input::Submit { request_id, job: job(words[0]), spec: Box::new(spec) });
     }
 
     /// Writes the changes of another controller to the store.
@@ -96,7 +96,7 @@
     fn heartbeat(&mut self, words: &[&str]) {
         let number = |word: &str| word[1..].parse::<u64>().unwrap();
         let tasks = words[4..].iter().map(|word| self.task_status(word)).collect();
-        let req = self.next_request();
+        let request_id = self.next_request();
         let heartbeat = Heartbeat {
             machine: MachineId(words[0].into()),
             endpoint: "e".into(),
@@ -109,7 +109,7 @@
             reclaim_notice_s: None,
             tasks,
         };
-        self.feed(Input::Heartbeat { req, heartbeat: Box::new(heartbeat) });
+        self.feed(Input::Heartbeat { request_id, heartbeat: Box::new(heartbeat) });
     }
 
     fn task_status(&self, word: &str) -> TaskStatus {
--- a/crates/basaltrail-core/tests/trace_player/store.rs
+++ b/crates/basaltrail-core/tests/trace_player/store.rs
@@ -17,7 +17,7 @@
 
 /// A watch without a reply so far.
 pub struct OpenWatch {
-    pub op: CallId,
+    pub call_id: CallId,
     pub prefix: String,
     pub after: Revision,
     /// Time at which the store replies even if there are no events.
@@ -82,12 +82,12 @@
     }
 
     /// Handles a request according to the current availability, and returns the reply.
-    pub fn handle_request(&mut self, call: StoreRequest) -> StoreReply {
+    pub fn handle_request(&mut self, request: StoreRequest) -> StoreReply {
         match self.availability {
-            Availability::Up => self.execute(&call),
+            Availability::Up => self.execute(&request),
             Availability::Refusing => StoreReply::Refused,
             Availability::Silent => {
-                self.unanswered_requests.push(call);
+                self.unanswered_requests.push(request);
                 StoreReply::Unknown
             }
         }
@@ -96,7 +96,9 @@
     /// Returns the reply to an open watch, or `None` if the watch stays open.
     pub fn reply_to(&self, watch: &OpenWatch, now: u64) -> Option<StoreReply> {
         let is_held = self.job_events_held && watch.prefix == records::JOBS_PREFIX;
-        if self.availability != Availability::Up || is_held || self.hung_watches.contains(&watch.op)
+        if self.availability != Availability::Up
+            || is_held
+            || self.hung_watches.contains(&watch.call_id)
         {
             return (now >= watch.times_out_at).then_some(StoreReply::Unknown);
         }
@@ -112,8 +114,8 @@
     }
 
     /// Executes a request regardless of the availability.
-    pub fn execute(&mut self, call: &StoreRequest) -> StoreReply {
-        match call {
+    pub fn execute(&mut self, request: &StoreRequest) -> StoreReply {
+        match request {
             StoreRequest::Get(key) => match self.keys.get(key) {
                 Some(stored) => StoreReply::KeyValue(stored.key_value(key)),
                 None => StoreReply::NotFound,
@@ -127,7 +129,7 @@
                 StoreReply::LeaseGranted { lease_id: LeaseId(self.last_lease_id) }
             }
             StoreRequest::KeepAlive { lease_id } => match self.holds_leader_key(*lease_id) {
-                true => StoreReply::Ok,
+                true => StoreReply::LeaseUpdated,
                 false => StoreReply::NotFound,
             },
             StoreRequest::RevokeLease { lease_id } => {
@@ -135,7 +137,7 @@
                     self.revision += 1;
                     self.delete(records::LEADER_KEY);
                 }
-                StoreReply::Ok
+                StoreReply::LeaseUpdated
             }
             StoreRequest::Watch { .. } => unreachable!("watches stay open"),
         }
--- a/crates/basaltrail-protocol/src/cloud.rs
+++ b/crates/basaltrail-protocol/src/cloud.rs
@@ -57,7 +57,8 @@
 
 #[derive(Serialize)]
 struct ProvisionBody<'a> {
-    requisition: &'a str,
+    #[serde(rename = "requisition")]
+    request_name: &'a str,
     #[serde(rename = "format")]
     machine_type: &'a str,
     #[serde(rename = "room")]
@@ -136,10 +137,10 @@
 /// Returns the HTTP request for a request to the cloud.
 pub fn http_request(request: &CloudRequest) -> HttpRequest {
     match request {
-        CloudRequest::Types => HttpRequest::get("/machine_types".into()),
-        CloudRequest::Provision { requisition, machine_type, zone, spot, count } => {
+        CloudRequest::MachineTypes => HttpRequest::get("/machine_types".into()),
+        CloudRequest::Provision { request_name, machine_type, zone, spot, count } => {
             let (spot, count) = (*spot, *count);
-            let body = ProvisionBody { requisition, machine_type, zone, spot, count };
+            let body = ProvisionBody { request_name, machine_type, zone, spot, count };
             HttpRequest::post("/rentals", serde_json::to_string(&body).unwrap_or_default())
         }
         CloudRequest::Terminate(machines) => {
@@ -153,7 +154,7 @@
     }
 }
 
-/// Parses the reply to a request. Any status other than 200 yields [`CloudReply::Failed`], except
+/// Parses the reply to a request. Any status other than 200 yields [`CloudReply::Unknown`], except
 /// for a provision request that fails for lack of capacity.
 ///
 /// # Errors
@@ -168,10 +169,10 @@
         return Ok(failure_reply(request, status, body));
     }
     match request {
-        CloudRequest::Types => {
+        CloudRequest::MachineTypes => {
             let body: TypesBody = serde_json::from_slice(body)?;
             let types = body.types.into_iter().map(MachineType::from);
-            Ok(CloudReply::Types(types.filter(is_usable).collect()))
+            Ok(CloudReply::MachineTypes(types.filter(is_usable).collect()))
         }
         CloudRequest::Provision { .. } => {
             let body: ProvisionedBody = serde_json::from_slice(body)?;
@@ -193,7 +194,7 @@
     let is_no_capacity = status == 503 && error.is_some_and(|body| body.error == NO_CAPACITY_ERROR);
     match request {
         CloudRequest::Provision { .. } if is_no_capacity => CloudReply::NoCapacity,
-        _ => CloudReply::Failed,
+        _ => CloudReply::Unknown,
     }
 }
 
--- a/crates/basaltrail-protocol/src/store.rs
+++ b/crates/basaltrail-protocol/src/store.rs
@@ -230,7 +230,9 @@
             let LeaseBody { lease_id } = serde_json::from_slice(body)?;
             StoreReply::LeaseGranted { lease_id: LeaseId(lease_id) }
         }
-        StoreRequest::KeepAlive { .. } | StoreRequest::RevokeLease { .. } => StoreReply::Ok,
+        StoreRequest::KeepAlive { .. } | StoreRequest::RevokeLease { .. } => {
+            StoreReply::LeaseUpdated
+        }
         StoreRequest::Watch { .. } => {
             let EventsBody { revision, events } = serde_json::from_slice(body)?;
             let events: Result<Vec<WatchEvent>, Malformed> =
--- a/crates/basaltrail-protocol/tests/fuzz.rs
+++ b/crates/basaltrail-protocol/tests/fuzz.rs
@@ -59,9 +59,9 @@
 
 fn cloud_requests() -> [CloudRequest; 4] {
     [
-        CloudRequest::Types,
+        CloudRequest::MachineTypes,
         CloudRequest::Provision {
-            requisition: "r".into(),
+            request_name: "r".into(),
             machine_type: "x".into(),
             zone: "a".into(),
             spot: true,
@@ -105,13 +105,13 @@
     for request in &cloud_requests() {
         let reply = cloud::parse_reply(request, status, body);
         if status != 200 {
-            assert!(matches!(reply, Ok(CloudReply::Failed | CloudReply::NoCapacity)));
+            assert!(matches!(reply, Ok(CloudReply::Unknown | CloudReply::NoCapacity)));
         }
     }
     for request in &store_requests() {
         let reply = store::parse_reply(request, status, body);
         if status != 200 {
-            assert!(!matches!(reply, Ok(StoreReply::Committed { .. } | StoreReply::Ok)));
+            assert!(!matches!(reply, Ok(StoreReply::Committed { .. } | StoreReply::LeaseUpdated)));
         }
     }
 }
--- a/crates/basaltrail/src/clients.rs
+++ b/crates/basaltrail/src/clients.rs
@@ -120,10 +120,10 @@
         timeout_ms: u64,
     ) -> CloudReply {
         let response = self.call(address, cloud::http_request(request), timeout_ms).await;
-        let Ok((status, body)) = response else { return CloudReply::Failed };
+        let Ok((status, body)) = response else { return CloudReply::Unknown };
         cloud::parse_reply(request, status, &body).unwrap_or_else(|error| {
             tracing::error!(event = %"cloud_reply_malformed", status, reason = %error);
-            CloudReply::Failed
+            CloudReply::Unknown
         })
     }
 
--- a/crates/basaltrail/src/driver.rs
+++ b/crates/basaltrail/src/driver.rs
@@ -126,7 +126,7 @@
                 // Ticks and replies renew leases, so they take precedence over new requests.
                 _ = tick.tick() => Input::Tick,
                 Some(input) = inputs.replies.recv() => input,
-                Some(progress) = inputs.peers.recv() => Input::Peer { progress },
+                Some(progress) = inputs.peers.recv() => Input::PeerProgress { progress },
                 Some(PendingRequest { id, input, answer }) = inputs.requests.recv() => {
                     self.pending_answers.insert(id, answer);
                     input
@@ -148,29 +148,29 @@
 
     fn execute(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer { req, answer } => {
-                if let Some(sender) = self.pending_answers.remove(&req) {
+            Effect::Answer { request_id, answer } => {
+                if let Some(sender) = self.pending_answers.remove(&request_id) {
                     // Sending fails if the client has disconnected.
                     let _ = sender.send(answer);
                 }
             }
-            Effect::Store { op, call, timeout_ms } => {
+            Effect::Store { call_id, request, timeout_ms } => {
                 let (client, replies) = (self.client.clone(), self.replies.clone());
                 let address = self.store;
                 tokio::spawn(async move {
-                    let reply = client.call_store(address, &call, timeout_ms).await;
-                    let _ = replies.send(Input::Store { op, reply }).await;
+                    let reply = client.call_store(address, &request, timeout_ms).await;
+                    let _ = replies.send(Input::Store { call_id, reply }).await;
                 });
             }
-            Effect::Cloud { op, call, timeout_ms } => {
+            Effect::Cloud { call_id, request, timeout_ms } => {
                 let (client, replies) = (self.client.clone(), self.replies.clone());
                 let address = self.cloud;
                 tokio::spawn(async move {
-                    let reply = client.call_cloud(address, &call, timeout_ms).await;
-                    let _ = replies.send(Input::Cloud { op, reply }).await;
+                    let reply = client.call_cloud(address, &request, timeout_ms).await;
+                    let _ = replies.send(Input::Cloud { call_id, reply }).await;
                 });
             }
-            Effect::Peers { progress } => {
+            Effect::BroadcastProgress { progress } => {
                 self.latest_frame.send_replace(frames::encode(&progress));
             }
             Effect::Log(event) => logging::write(&event),
--- a/crates/basaltrail/src/server/routes.rs
+++ b/crates/basaltrail/src/server/routes.rs
@@ -109,17 +109,17 @@
         Err(error) => return respond_bad_request(&error),
     };
     let spec = Box::new(spec);
-    respond_to_user(&core.request(|req| Input::Submit { req, job, spec }).await)
+    respond_to_user(&core.request(|request_id| Input::Submit { request_id, job, spec }).await)
 }
 
 async fn poll(name: String, core: CoreHandle) -> HttpResponse {
     let Some(job) = names::parse_job(&name) else { return respond_to_user(&Answer::NotFound) };
-    respond_to_user(&core.request(|req| Input::Poll { req, job }).await)
+    respond_to_user(&core.request(|request_id| Input::Poll { request_id, job }).await)
 }
 
 async fn cancel(name: String, core: CoreHandle) -> HttpResponse {
     let Some(job) = names::parse_job(&name) else { return respond_to_user(&Answer::NotFound) };
-    respond_to_user(&core.request(|req| Input::Cancel { req, job }).await)
+    respond_to_user(&core.request(|request_id| Input::Cancel { request_id, job }).await)
 }
 
 async fn heartbeat<B: Buf>(
@@ -133,7 +133,7 @@
             return respond_bad_request(&error);
         }
     };
-    match core.request(|req| Input::Heartbeat { req, heartbeat }).await {
+    match core.request(|request_id| Input::Heartbeat { request_id, heartbeat }).await {
         Answer::Commands { token, commands } => {
             respond(200, heartbeats::commands_body(token, &commands), None)
         }
@@ -145,7 +145,7 @@
 }
 
 async fn inspect_limits(core: CoreHandle) -> HttpResponse {
-    match core.request(|req| Input::Inspect { req }).await {
+    match core.request(|request_id| Input::Inspect { request_id }).await {
         Answer::Limits(report) => {
             let limits = Limits::from(report.as_ref());
             respond(200, serde_json::to_string(&limits).unwrap_or_default(), None)
--- a/tests/mixed-versions/tests/versions/convert.rs
+++ b/tests/mixed-versions/tests/versions/convert.rs
@@ -68,28 +68,28 @@
                 match input {
                     // No test inspects the limits of an earlier version.
                     new::Input::Tick | new::Input::Inspect { .. } => old::Input::Tick,
-                    new::Input::Submit { req, job, spec } => old::Input::Submit {
-                        req: old::ReqId(req.0),
+                    new::Input::Submit { request_id, job, spec } => old::Input::Submit {
+                        req: old::ReqId(request_id.0),
                         job: old::JobId(job.0),
                         spec: Box::new(stored(&*spec)),
                     },
-                    new::Input::Poll { req, job } => {
-                        old::Input::Poll { req: old::ReqId(req.0), job: old::JobId(job.0) }
+                    new::Input::Poll { request_id, job } => {
+                        old::Input::Poll { req: old::ReqId(request_id.0), job: old::JobId(job.0) }
                     }
-                    new::Input::Cancel { req, job } => {
-                        old::Input::Cancel { req: old::ReqId(req.0), job: old::JobId(job.0) }
+                    new::Input::Cancel { request_id, job } => {
+                        old::Input::Cancel { req: old::ReqId(request_id.0), job: old::JobId(job.0) }
                     }
-                    new::Input::Heartbeat { req, heartbeat } => old::Input::Checkin {
-                        req: old::ReqId(req.0),
+                    new::Input::Heartbeat { request_id, heartbeat } => old::Input::Checkin {
+                        req: old::ReqId(request_id.0),
                         report: Box::new(report(*heartbeat)),
                     },
-                    new::Input::Store { op, reply } => {
-                        old::Input::State { op: old::OpId(op.0), reply: store_reply(reply) }
+                    new::Input::Store { call_id, reply } => {
+                        old::Input::State { op: old::OpId(call_id.0), reply: store_reply(reply) }
                     }
-                    new::Input::Cloud { op, reply } => {
-                        old::Input::Cloud { op: old::OpId(op.0), reply: cloud_reply(reply) }
+                    new::Input::Cloud { call_id, reply } => {
+                        old::Input::Cloud { op: old::OpId(call_id.0), reply: cloud_reply(reply) }
                     }
-                    new::Input::Peer { progress } => {
+                    new::Input::PeerProgress { progress } => {
                         let progress = progress.into_iter().map(|p| old::Progress {
                             job: old::JobId(p.job.0),
                             done: p.done,
@@ -160,7 +160,7 @@
                     new::StoreReply::LeaseGranted { lease_id } => {
                         old::StateReply::Granted { loan: lease_id.0 }
                     }
-                    new::StoreReply::Ok => old::StateReply::Ok,
+                    new::StoreReply::LeaseUpdated => old::StateReply::Ok,
                     new::StoreReply::Events { revision, events } => old::StateReply::Events {
                         revision: revision.0,
                         events: events
@@ -185,7 +185,7 @@
                     ids.into_iter().map(|id| old::MachineId(id.0)).collect()
                 };
                 match reply {
-                    new::CloudReply::Types(types) => old::CloudReply::Types(stored(&types)),
+                    new::CloudReply::MachineTypes(types) => old::CloudReply::Types(stored(&types)),
                     new::CloudReply::Provisioned(machines) => {
                         old::CloudReply::Rented(ids(machines))
                     }
@@ -195,7 +195,7 @@
                         machines: machines.into_iter().map(listed).collect(),
                         more,
                     },
-                    new::CloudReply::Failed => old::CloudReply::Failed,
+                    new::CloudReply::Unknown => old::CloudReply::Failed,
                 }
             }
 
@@ -218,20 +218,20 @@
             pub fn effect(effect: old::Effect) -> Option<new::Effect> {
                 Some(match effect {
                     old::Effect::Answer { req, answer: old_answer } => new::Effect::Answer {
-                        req: new::RequestId(req.0),
+                        request_id: new::RequestId(req.0),
                         answer: answer(old_answer),
                     },
                     old::Effect::State { op, call, timeout_ms } => new::Effect::Store {
-                        op: new::CallId(op.0),
-                        call: store_request(call),
+                        call_id: new::CallId(op.0),
+                        request: store_request(call),
                         timeout_ms,
                     },
                     old::Effect::Cloud { op, call, timeout_ms } => new::Effect::Cloud {
-                        op: new::CallId(op.0),
-                        call: cloud_request(call),
+                        call_id: new::CallId(op.0),
+                        request: cloud_request(call),
                         timeout_ms,
                     },
-                    old::Effect::Peers { progress } => new::Effect::Peers {
+                    old::Effect::Peers { progress } => new::Effect::BroadcastProgress {
                         progress: progress
                             .into_iter()
                             .map(|p| new::Progress {
@@ -334,10 +334,10 @@
 
             fn cloud_request(op: old::CloudOp) -> new::CloudRequest {
                 match op {
-                    old::CloudOp::Types => new::CloudRequest::Types,
+                    old::CloudOp::Types => new::CloudRequest::MachineTypes,
                     old::CloudOp::Rent { requisition, machine_type, zone, spot, count } => {
                         new::CloudRequest::Provision {
-                            requisition,
+                            request_name: requisition,
                             machine_type,
                             zone,
                             spot,
