--- a/crates/basaltrail-core/src/controller/client_requests.rs
+++ b/crates/basaltrail-core/src/controller/client_requests.rs
@@ -37,7 +37,10 @@
     {
         return Some(UnschedulableReason::OverTeamLimit);
     }
-    if !machine_types.iter().any(|machine| machine.allowed(spec) && machine.holds(spec) > 0) {
+    if !machine_types
+        .iter()
+        .any(|machine| machine.is_allowed_by(spec) && machine.task_capacity(spec) > 0)
+    {
         return Some(UnschedulableReason::NoMachineType);
     }
     None
--- a/crates/basaltrail-core/src/leader/autoscaler/demand.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/demand.rs
@@ -5,7 +5,7 @@
 use crate::leader::scheduler::capacity::machine_type;
 use crate::leader::Context;
 use crate::machines::{Machine, MachineKind};
-use crate::model::{fits, JobSpec, MachineType};
+use crate::model::{fitting_tasks, JobSpec, MachineType};
 use crate::resources::Resources;
 
 /// Demand of the unfinished arrays for one machine type. Services are counted separately, see
@@ -28,9 +28,10 @@
     for job in cluster.jobs.values().filter(is_unfinished_array) {
         let Some((index, machine_type)) = cheapest_type(ctx.types, &job.spec) else { continue };
         let cpus = job.spec.cpus;
-        let tasks = job.desired_placements().min(fits(remaining_limit_cpus[job.team], cpus));
+        let tasks =
+            job.desired_placements().min(fitting_tasks(remaining_limit_cpus[job.team], cpus));
         remaining_limit_cpus[job.team] -= tasks as f64 * cpus;
-        demand[index].machines += tasks as f64 / machine_type.holds(&job.spec) as f64;
+        demand[index].machines += tasks as f64 / machine_type.task_capacity(&job.spec) as f64;
         // A running task is half done on average.
         let unfinished = job.desired_placements() as f64 - job.placed.len() as f64 / 2.0;
         let work_cpus = (unfinished * cpus).min(ctx.cfg.teams[job.team].cpus_max);
@@ -41,11 +42,11 @@
 
 /// Returns the type that runs tasks of a job at the lowest price, with its index.
 fn cheapest_type<'a>(types: &'a [MachineType], spec: &JobSpec) -> Option<(usize, &'a MachineType)> {
-    let price_per_task = |t: &MachineType| t.price / t.holds(spec) as f64;
+    let price_per_task = |t: &MachineType| t.price / t.task_capacity(spec) as f64;
     types
         .iter()
         .enumerate()
-        .filter(|(_, t)| t.allowed(spec) && t.holds(spec) > 0)
+        .filter(|(_, t)| t.is_allowed_by(spec) && t.task_capacity(spec) > 0)
         .min_by(|a, b| price_per_task(a.1).total_cmp(&price_per_task(b.1)))
 }
 
@@ -72,7 +73,7 @@
         // of its team would stay idle, be terminated and be provisioned again.
         let limit = ctx.cfg.teams[job.team].tasks_within_limit(Resources::default(), &job.spec);
         let tasks = job.desired_placements().min(limit);
-        let needed = tasks.div_ceil(wanted_type.holds(&job.spec)) as usize;
+        let needed = tasks.div_ceil(wanted_type.task_capacity(&job.spec)) as usize;
         let is_suitable = |machine: &&&Machine| {
             machine_type(ctx.types, &machine.machine_type)
                 .is_some_and(|t| can_run_on(&job.spec, t, &machine.zone, machine.spot))
@@ -87,8 +88,8 @@
 fn can_run_on(spec: &JobSpec, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
     (spec.spot || !spot)
         && spec.zone.as_deref().is_none_or(|allowed| allowed == zone)
-        && machine_type.allowed(spec)
-        && machine_type.holds(spec) > 0
+        && machine_type.is_allowed_by(spec)
+        && machine_type.task_capacity(spec) > 0
 }
 
 #[cfg(test)]
--- a/crates/basaltrail-core/src/leader/scheduler/bin_packing.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/bin_packing.rs
@@ -105,7 +105,7 @@
     request: &PlacementRequest,
 ) -> Option<(f64, Placement)> {
     let machine_type = &types[capacity.type_index];
-    if capacity.spot && !request.job.spot || !machine_type.allowed(request.job) {
+    if capacity.spot && !request.job.spot || !machine_type.is_allowed_by(request.job) {
         return None;
     }
     let tasks = capacity
--- a/crates/basaltrail-core/src/leader/scheduler/capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/capacity.rs
@@ -46,7 +46,7 @@
 
     /// Returns how many tasks of a job fit into the free resources.
     pub fn fitting_tasks(&self, job: &JobSpec) -> u32 {
-        self.free.fits(&Resources::of_task(job))
+        self.free.fitting_tasks(&Resources::of_task(job))
     }
 
     /// Deducts the resources of `tasks` tasks of a job.
@@ -59,7 +59,7 @@
     pub(in crate::leader) fn permitted_by(&self, job: &JobSpec, types: &[MachineType]) -> bool {
         (job.spot || !self.spot)
             && job.zone.as_deref().is_none_or(|zone| zone == self.zone)
-            && types[self.type_index].allowed(job)
+            && types[self.type_index].is_allowed_by(job)
     }
 }
 
--- a/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
@@ -9,7 +9,7 @@
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
 use crate::machines::MachineKind;
-use crate::model::{fits, JobSpec, MachineId, MachineType, Ms};
+use crate::model::{fitting_tasks, JobSpec, MachineId, MachineType, Ms};
 use crate::resources::Resources;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -181,7 +181,7 @@
             let Some(team) = ctx.cfg.team(&spec.team) else { continue };
             let replicas = size
                 .reserved_replicas_per_zone(ctx.cfg.zones.len())
-                .min(fits(unused_guarantee_cpus[team], spec.cpus));
+                .min(fitting_tasks(unused_guarantee_cpus[team], spec.cpus));
             unused_guarantee_cpus[team] -= f64::from(replicas) * spec.cpus;
             reserved.reserve_in_zone(ctx.types, free, zone, spec, replicas);
         }
@@ -207,7 +207,7 @@
         zone_allowed && is_cheapest_type(ctx.types, machine_type, spec)
     };
     let machines_for =
-        |spec: &JobSpec, replicas: f64| replicas / f64::from(machine_type.holds(spec));
+        |spec: &JobSpec, replicas: f64| replicas / f64::from(machine_type.task_capacity(spec));
     let running = cluster
         .jobs
         .values()
@@ -228,10 +228,10 @@
 /// Returns whether a type has the lowest on-demand price per task among the types that the job
 /// allows.
 fn is_cheapest_type(types: &[MachineType], machine_type: &MachineType, spec: &JobSpec) -> bool {
-    let price_per_task = |t: &&MachineType| t.price / f64::from(t.holds(spec));
+    let price_per_task = |t: &&MachineType| t.price / f64::from(t.task_capacity(spec));
     types
         .iter()
-        .filter(|t| t.allowed(spec) && t.holds(spec) > 0)
+        .filter(|t| t.is_allowed_by(spec) && t.task_capacity(spec) > 0)
         .min_by(|a, b| price_per_task(a).total_cmp(&price_per_task(b)))
         .is_some_and(|cheapest| cheapest.name == machine_type.name)
 }
--- a/crates/basaltrail-core/src/lib.rs
+++ b/crates/basaltrail-core/src/lib.rs
@@ -28,9 +28,10 @@
     StoreReply, StoreRequest, WatchEvent,
 };
 pub use model::{
-    fits, AgentEpoch, Attempt, CallId, ExitReason, FencingToken, Heartbeat, JobId, JobKind,
-    JobOutcome, JobSpec, JobStatus, LeaseId, ListedMachine, ListedState, MachineId, MachineType,
-    Ms, Priority, RequestId, Revision, TaskCommand, TaskId, TaskState, TaskStatus, WallMs,
+    fitting_tasks, AgentEpoch, Attempt, CallId, ExitReason, FencingToken, Heartbeat, JobId,
+    JobKind, JobOutcome, JobSpec, JobStatus, LeaseId, ListedMachine, ListedState, MachineId,
+    MachineType, Ms, Priority, RequestId, Revision, TaskCommand, TaskId, TaskState, TaskStatus,
+    WallMs,
 };
 pub use resources::Resources;
 pub use settings::{AdmissionPolicy, Objective, Policy, Settings, Team};
--- a/crates/basaltrail-core/src/model.rs
+++ b/crates/basaltrail-core/src/model.rs
@@ -341,7 +341,7 @@
 
 impl MachineType {
     /// Returns whether a job allows this type in at least one of the zones that offer it.
-    pub fn allowed(&self, job: &JobSpec) -> bool {
+    pub fn is_allowed_by(&self, job: &JobSpec) -> bool {
         job.types.as_ref().is_none_or(|types| types.contains(&self.name))
             && job.zone.as_ref().is_none_or(|zone| self.zones.contains(zone))
     }
@@ -349,12 +349,12 @@
 
 /// Rounding error that is tolerated when a demand is compared with the available amount.
 const FIT_TOLERANCE: f64 = 1e-6;
-/// Upper bound of [`fits`]; no job has as many tasks.
-const MAX_FIT_COUNT: f64 = 1e9;
+/// Upper bound of [`fitting_tasks`]; no job has as many tasks.
+const MAX_FITTING_TASKS: f64 = 1e9;
 
-/// Returns how often `demand` fits into `available`, with a tolerance for rounding errors;
-/// `u32::MAX` if the demand is zero.
-pub fn fits(available: f64, demand: f64) -> u32 {
+/// Returns how many tasks with this demand fit into `available`, with a tolerance for rounding
+/// errors; `u32::MAX` if the demand is zero.
+pub fn fitting_tasks(available: f64, demand: f64) -> u32 {
     if demand <= 0.0 {
         return u32::MAX;
     }
@@ -362,7 +362,7 @@
     if count.is_nan() || count <= 0.0 {
         return 0;
     }
-    count.min(MAX_FIT_COUNT) as u32
+    count.min(MAX_FITTING_TASKS) as u32
 }
 
 /// The state of a machine in the cloud's inventory.
--- a/crates/basaltrail-core/src/resources.rs
+++ b/crates/basaltrail-core/src/resources.rs
@@ -1,6 +1,6 @@
 //! Amounts of CPUs, GPUs and memory, with arithmetic.
 
-use crate::model::{fits, JobSpec, MachineType};
+use crate::model::{fitting_tasks, JobSpec, MachineType};
 use std::ops::{Add, AddAssign, Mul, Sub, SubAssign};
 
 /// An amount of each resource. Amounts may be infinite: a task of an unknown job occupies its whole
@@ -30,18 +30,18 @@
         }
     }
 
-    /// Returns how many times `demand` fits into this amount, with a tolerance for rounding.
-    pub fn fits(&self, demand: &Resources) -> u32 {
-        fits(self.cpus, demand.cpus)
-            .min(fits(self.memory_gb, demand.memory_gb))
-            .min(fits(self.gpus, demand.gpus))
+    /// Returns how many tasks with this demand fit into this amount, with a tolerance for rounding.
+    pub fn fitting_tasks(&self, demand: &Resources) -> u32 {
+        fitting_tasks(self.cpus, demand.cpus)
+            .min(fitting_tasks(self.memory_gb, demand.memory_gb))
+            .min(fitting_tasks(self.gpus, demand.gpus))
     }
 }
 
 impl MachineType {
     /// Returns the number of tasks of a job that fit on an empty machine of this type.
-    pub fn holds(&self, job: &JobSpec) -> u32 {
-        Resources::of_machine_type(self).fits(&Resources::of_task(job))
+    pub fn task_capacity(&self, job: &JobSpec) -> u32 {
+        Resources::of_machine_type(self).fitting_tasks(&Resources::of_task(job))
     }
 }
 
--- a/crates/basaltrail-core/src/resources_tests.rs
+++ b/crates/basaltrail-core/src/resources_tests.rs
@@ -7,10 +7,10 @@
 #[test]
 fn scarcest_resource_determines_how_many_times_a_demand_fits() {
     let machine = amount(8.0, 1.0, 64.0);
-    assert_eq!(machine.fits(&amount(2.0, 0.0, 8.0)), 4);
-    assert_eq!(machine.fits(&amount(2.0, 0.0, 30.0)), 2);
-    assert_eq!(machine.fits(&amount(2.0, 1.0, 8.0)), 1);
-    assert_eq!(machine.fits(&amount(16.0, 0.0, 8.0)), 0);
+    assert_eq!(machine.fitting_tasks(&amount(2.0, 0.0, 8.0)), 4);
+    assert_eq!(machine.fitting_tasks(&amount(2.0, 0.0, 30.0)), 2);
+    assert_eq!(machine.fitting_tasks(&amount(2.0, 1.0, 8.0)), 1);
+    assert_eq!(machine.fitting_tasks(&amount(16.0, 0.0, 8.0)), 0);
 }
 
 #[test]
@@ -21,5 +21,5 @@
     free += amount(1.0, 0.0, 4.0);
     assert_eq!(free, amount(3.0, 1.0, 44.0));
     // A task of an unknown job has an infinite demand, so that nothing else fits.
-    assert_eq!((free - amount(f64::INFINITY, 0.0, 0.0)).fits(&amount(1.0, 0.0, 1.0)), 0);
+    assert_eq!((free - amount(f64::INFINITY, 0.0, 0.0)).fitting_tasks(&amount(1.0, 0.0, 1.0)), 0);
 }
--- a/crates/basaltrail-core/src/settings.rs
+++ b/crates/basaltrail-core/src/settings.rs
@@ -2,7 +2,7 @@
 //!
 //! Other times in the core are derived as ratios of these, since deployments differ widely in them.
 
-use crate::model::{fits, JobSpec, Ms};
+use crate::model::{fitting_tasks, JobSpec, Ms};
 use crate::resources::Resources;
 use basaltrail_admission::BacklogBounds;
 
@@ -33,7 +33,7 @@
         // is not a number: no use counts against an infinite limit.
         let count = |limit: f64, used: f64, demand: f64| match limit.is_infinite() {
             true => u32::MAX,
-            false => fits(limit - used, demand),
+            false => fitting_tasks(limit - used, demand),
         };
         count(self.cpus_max, used.cpus, job.cpus).min(count(self.gpus_max, used.gpus, job.gpus))
     }
