--- a/crates/basaltrail-core/src/controller/admission_tests.rs
+++ b/crates/basaltrail-core/src/controller/admission_tests.rs
@@ -2,7 +2,7 @@
 use crate::io::{Effect, Input, StoreReply};
 use crate::machines::types::MachineTypes;
 use crate::model::{CallId, JobId, RequestId};
-use crate::settings::sample::{a_job, a_type, settings};
+use crate::settings::fixtures::{job_spec, machine_type, settings};
 use crate::settings::{AdmissionPolicy, Policy, Team};
 use crate::store::records::{active_job_key, JobRecord, ACTIVE_JOBS_PREFIX};
 use basaltrail_admission::QuotaEntry;
@@ -12,15 +12,20 @@
 const QUOTA_REVISION: Revision = Revision(5);
 
 fn controller(policy: Option<AdmissionPolicy>) -> Controller {
-    let team =
-        Team { name: "t".into(), cpus: 100.0, cpus_max: 100.0, gpus: 0.0, gpus_max: f64::INFINITY };
+    let team = Team {
+        name: "t".into(),
+        guaranteed_cpus: 100.0,
+        max_cpus: 100.0,
+        guaranteed_gpus: 0.0,
+        max_gpus: f64::INFINITY,
+    };
     let base = settings();
     let policy = Policy { admission: policy, ..base.policy.clone() };
     let cfg = Settings { teams: vec![team], policy, ..base };
     let mut controller = Controller::new(Arc::new(cfg), 1);
     controller.job_watch.page_read(Revision(1));
     controller.job_watch.list_completed(0);
-    controller.machine_types = MachineTypes::with_known(vec![a_type()]);
+    controller.machine_types = MachineTypes::with_known(vec![machine_type()]);
     controller
 }
 
@@ -66,7 +71,7 @@
 fn an_acceptance_is_conditional_on_the_revision_of_its_quota() {
     let mut controller = controller(Some(AdmissionPolicy::default()));
     controller.apply_unordered(&quota(1, 9));
-    let (txn, _) = submit(&mut controller, 7, a_job(1, true));
+    let (txn, _) = submit(&mut controller, 7, job_spec(1, true));
     let Some((_, StoreRequest::Transaction { preconditions, puts, .. })) = txn else {
         panic!("no transaction was sent")
     };
@@ -86,7 +91,7 @@
 fn a_submission_whose_quota_was_replaced_waits_for_the_next_one() {
     let mut controller = controller(Some(AdmissionPolicy::default()));
     controller.apply_unordered(&quota(1, 9));
-    let (txn, _) = submit(&mut controller, 7, a_job(1, true));
+    let (txn, _) = submit(&mut controller, 7, job_spec(1, true));
     let failed = vec![quota_key("t", "n0")];
     let reply = StoreReply::Conflict { failed };
     let effects = controller.step(1_100, 0, Input::Store { call_id: txn.unwrap().0, reply });
@@ -110,10 +115,10 @@
     for item in [None, Some(quota(2, 9)), Some(quota(1, 0)), Some(unreadable)] {
         let mut controller = controller(Some(AdmissionPolicy::default()));
         item.iter().for_each(|item| controller.apply_unordered(item));
-        let (txn, _) = submit(&mut controller, 7, a_job(1, true));
+        let (txn, _) = submit(&mut controller, 7, job_spec(1, true));
         assert!(txn.is_none(), "{item:?}");
     }
-    let (txn, _) = submit(&mut controller(None), 7, a_job(1, true));
+    let (txn, _) = submit(&mut controller(None), 7, job_spec(1, true));
     assert!(txn.is_some(), "everything is accepted without the policy");
 }
 
@@ -122,8 +127,9 @@
 /// backlog is full.
 #[test]
 fn a_repeated_submission_of_a_job_accepted_elsewhere_is_not_rejected() {
-    let too_wide = JobSpec { cpus: 101.0, ..a_job(1, true) };
-    for (policy, spec) in [(None, too_wide), (Some(AdmissionPolicy::default()), a_job(1, true))] {
+    let too_wide = JobSpec { cpus: 101.0, ..job_spec(1, true) };
+    for (policy, spec) in [(None, too_wide), (Some(AdmissionPolicy::default()), job_spec(1, true))]
+    {
         let mut controller = controller(policy);
         let (txn, mut effects) = submit(&mut controller, 7, spec.clone());
         assert!(txn.is_none());
@@ -176,10 +182,10 @@
     let mut controller = controller(Some(AdmissionPolicy::default()));
     controller.job_cache.quotas.put_controller("n0", 1, Revision(2));
     controller.apply_unordered(&quota(1, 1));
-    let (txn, _) = submit(&mut controller, 7, a_job(1, true));
+    let (txn, _) = submit(&mut controller, 7, job_spec(1, true));
     let lost_reply = Input::Store { call_id: txn.unwrap().0, reply: StoreReply::Unknown };
     controller.step(1_100, 0, lost_reply);
-    let (txn, effects) = submit(&mut controller, 200, a_job(1, true));
+    let (txn, effects) = submit(&mut controller, 200, job_spec(1, true));
     assert!(txn.is_none(), "the quota is used up");
     let writes_controller_record = |e: &Effect| match e {
         Effect::Store {
--- a/crates/basaltrail-core/src/controller/client_requests.rs
+++ b/crates/basaltrail-core/src/controller/client_requests.rs
@@ -32,8 +32,8 @@
     let team = &settings.teams[team];
     // All replicas of a service run concurrently and without end.
     let concurrent_tasks = if spec.is_service() { f64::from(spec.tasks) } else { 1.0 };
-    if spec.cpus * concurrent_tasks > team.cpus_max + LIMIT_TOLERANCE
-        || spec.gpus * concurrent_tasks > team.gpus_max + LIMIT_TOLERANCE
+    if spec.cpus * concurrent_tasks > team.max_cpus + LIMIT_TOLERANCE
+        || spec.gpus * concurrent_tasks > team.max_gpus + LIMIT_TOLERANCE
     {
         return Some(UnschedulableReason::OverTeamLimit);
     }
@@ -104,7 +104,7 @@
         }
         let accepted_by = Some(self.cfg.controller.clone());
         let record = JobRecord { accepted_at: self.wall, spec: spec.clone(), accepted_by };
-        let too_long = encode(&record).len() > self.cfg.value_bytes;
+        let too_long = encode(&record).len() > self.cfg.max_value_bytes;
         too_long.then_some(Rejection::Invalid(InvalidReason::DescriptionTooLong))
     }
 
--- a/crates/basaltrail-core/src/controller/inspection.rs
+++ b/crates/basaltrail-core/src/controller/inspection.rs
@@ -50,8 +50,8 @@
         let other_classes = classes.remove(OTHER_CLASSES);
         TeamReport {
             team: team.name.clone(),
-            guaranteed: team.cpus,
-            limit: team.cpus_max.is_finite().then_some(team.cpus_max),
+            guaranteed: team.guaranteed_cpus,
+            limit: team.max_cpus.is_finite().then_some(team.max_cpus),
             used: used.map(|used| used[index]),
             refused: self.admission.rejected_count(index),
             classes: classes.into_values().chain(other_classes).collect(),
--- a/crates/basaltrail-core/src/controller/job_lookups.rs
+++ b/crates/basaltrail-core/src/controller/job_lookups.rs
@@ -34,7 +34,7 @@
     /// Sends a confirmation if the rate limit allows it. Requests are collected for a short time
     /// and confirmed together.
     pub(super) fn send_confirmations(&mut self) {
-        let max_preconditions = self.cfg.transaction_ops * 4;
+        let max_preconditions = self.cfg.max_transaction_ops * 4;
         let unconfirmed = self.requests.unconfirmed_count();
         if unconfirmed == 0 || self.requests.confirmations_in_flight >= MAX_CONFIRMATIONS_IN_FLIGHT
         {
--- a/crates/basaltrail-core/src/controller/machine_types.rs
+++ b/crates/basaltrail-core/src/controller/machine_types.rs
@@ -14,10 +14,11 @@
     /// the rate limits allow it.
     pub(super) fn update_machine_types(&mut self) {
         let leads = self.leader.is_some();
-        let Some(call) = self.machine_types.call_due(self.now, self.cfg.value_bytes, leads) else {
+        let Some(call) = self.machine_types.call_due(self.now, self.cfg.max_value_bytes, leads)
+        else {
             return;
         };
-        let timeout_ms = self.cfg.lease_ms / 3;
+        let timeout_ms = self.cfg.worker_lease_ms / 3;
         match call {
             MachineTypesCall::Read => {
                 if self.calls.try_acquire(self.now, CallPriority::Request) {
@@ -60,8 +61,8 @@
 
     /// Handles the cloud's reply to the request for machine types.
     pub(super) fn handle_cloud_machine_types(&mut self, reply: CloudReply) {
-        let retry_at = self.now + self.cfg.lease_ms / 8;
-        let refresh_at = self.now + self.cfg.lease_ms * 6;
+        let retry_at = self.now + self.cfg.worker_lease_ms / 8;
+        let refresh_at = self.now + self.cfg.worker_lease_ms * 6;
         self.machine_types.apply_cloud_reply(reply, retry_at, refresh_at);
     }
 }
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -132,7 +132,7 @@
             self.now <= self.last_peer_progress_at + self.cfg.heartbeat_interval_ms * 2;
         let max_silence_ms = match leader_is_active && !self.is_leading() {
             true => self.cfg.leader_lease_ms(),
-            false => self.cfg.lease_ms,
+            false => self.cfg.worker_lease_ms,
         };
         self.job_watch.is_loaded()
             && !self.machine_types.known().is_empty()
--- a/crates/basaltrail-core/src/controller/request_queue_tests.rs
+++ b/crates/basaltrail-core/src/controller/request_queue_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::model::Revision;
-use crate::settings::sample::a_job;
+use crate::settings::fixtures::job_spec;
 use crate::store::records::JobRecord;
 
 /// If jobs were confirmed by ascending id, steady requests for low ids would starve the others.
@@ -27,7 +27,7 @@
 fn progress_in_several_messages_is_merged() {
     let mut job_cache = JobCache::new(10);
     for job in [1, 2] {
-        let record = JobRecord::new(0, a_job(4, false));
+        let record = JobRecord::new(0, job_spec(4, false));
         job_cache.put_active(JobId(job), Revision(job), record);
     }
     let mut queue = RequestQueue::default();
--- a/crates/basaltrail-core/src/controller/submissions.rs
+++ b/crates/basaltrail-core/src/controller/submissions.rs
@@ -41,7 +41,7 @@
         if waiting == 0 || self.requests.submissions_in_flight >= MAX_BATCHES_IN_FLIGHT {
             return;
         }
-        let max_jobs = self.cfg.transaction_ops.max(1);
+        let max_jobs = self.cfg.max_transaction_ops.max(1);
         let jobs = waiting.min(max_jobs);
         if self.calls.try_acquire_write(self.now, jobs, CallPriority::Request) {
             self.send_batch(jobs);
--- a/crates/basaltrail-core/src/controller/tests.rs
+++ b/crates/basaltrail-core/src/controller/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::model::Revision;
-use crate::settings::sample::{a_type, settings};
+use crate::settings::fixtures::{machine_type, settings};
 
 /// A controller that is the only one without the store answers its users 503, so it must become
 /// unready while others can serve them. In an outage of the store no controller can, so it stays
@@ -10,7 +10,7 @@
     let mut controller = Controller::new(Arc::new(settings()), 1);
     controller.job_watch.page_read(Revision(1));
     controller.job_watch.list_completed(0);
-    controller.machine_types = MachineTypes::with_known(vec![a_type()]);
+    controller.machine_types = MachineTypes::with_known(vec![machine_type()]);
     controller.last_store_reply_at = 10_000;
     let mut is_ready_at = |now, last_peer_progress_at| {
         (controller.now, controller.last_peer_progress_at) = (now, last_peer_progress_at);
--- a/crates/basaltrail-core/src/jobs/crash_loop.rs
+++ b/crates/basaltrail-core/src/jobs/crash_loop.rs
@@ -81,12 +81,12 @@
 
     /// Records that a task failed on a machine. Returns whether it is the job's first failure there
     /// since its last success.
-    pub fn record_failure(&mut self, machine: &MachineId, now: Ms, lease_ms: Ms) -> bool {
+    pub fn record_failure(&mut self, machine: &MachineId, now: Ms, worker_lease_ms: Ms) -> bool {
         if self.avoided.len() >= MAX_MACHINES {
             self.avoided.retain(|_, until| *until > now);
         }
         if self.avoided.len() < MAX_MACHINES {
-            self.avoided.insert(machine.clone(), now + AVOIDANCE_LEASES * lease_ms);
+            self.avoided.insert(machine.clone(), now + AVOIDANCE_LEASES * worker_lease_ms);
         }
         let is_first = self.failed_machines.len() < MAX_MACHINES
             && self.failed_machines.insert(machine.clone());
--- a/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
@@ -81,8 +81,8 @@
         return Vec::new();
     };
     let lowest_price = price(cheapest_type).max(1e-9);
-    let guaranteed_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.cpus).sum();
-    let limit_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.cpus_max).sum();
+    let guaranteed_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.guaranteed_cpus).sum();
+    let limit_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.max_cpus).sum();
     // The capacity held ready follows recent demand, so that no machines idle once the work ends.
     let peak_machines = peak.update(ctx, limit_cpus, demand[cheapest].machines);
     let mut targets = Vec::new();
--- a/crates/basaltrail-core/src/leader/autoscaler/demand.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/demand.rs
@@ -23,7 +23,7 @@
 pub(in crate::leader) fn demand_by_type(ctx: &Context, cluster: &Cluster) -> Vec<TypeDemand> {
     let mut demand = vec![TypeDemand::default(); ctx.types.len()];
     let mut remaining_limit_cpus: Vec<f64> =
-        ctx.cfg.teams.iter().map(|team| team.cpus_max).collect();
+        ctx.cfg.teams.iter().map(|team| team.max_cpus).collect();
     let is_unfinished_array = |job: &&JobState| job.ended.is_none() && !job.spec.is_service();
     for job in cluster.jobs.values().filter(is_unfinished_array) {
         let Some((index, machine_type)) = cheapest_type(ctx.types, &job.spec) else { continue };
@@ -34,7 +34,7 @@
         demand[index].machines += tasks as f64 / machine_type.task_capacity(&job.spec) as f64;
         // A running task is half done on average.
         let unfinished = job.desired_placements() as f64 - job.placed.len() as f64 / 2.0;
-        let work_cpus = (unfinished * cpus).min(ctx.cfg.teams[job.team].cpus_max);
+        let work_cpus = (unfinished * cpus).min(ctx.cfg.teams[job.team].max_cpus);
         demand[index].cpu_s += work_cpus * job.spec.estimate_s.max(1.0);
     }
     demand
--- a/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
@@ -53,7 +53,7 @@
         .filter(|m| {
             m.decommission == Decommission::No && !m.overdue && !m.has_reclaim_notice(ctx.now)
         })
-        .filter(|m| !m.is_quarantined(ctx.now, ctx.cfg.lease_ms))
+        .filter(|m| !m.is_quarantined(ctx.now, ctx.cfg.worker_lease_ms))
         .collect()
 }
 
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -62,7 +62,7 @@
         calls.send_to_cloud(
             CloudPurpose::List { token },
             CloudRequest::List { after },
-            ctx.cfg.lease_ms / 2,
+            ctx.cfg.worker_lease_ms / 2,
         );
     }
 
@@ -74,7 +74,7 @@
     ) -> Option<Listing> {
         self.in_flight = false;
         let CloudReply::Listed { machines: page, more } = reply else {
-            self.next_page_at = ctx.now + ctx.cfg.lease_ms / 10;
+            self.next_page_at = ctx.now + ctx.cfg.worker_lease_ms / 10;
             self.partial_list = None;
             return None;
         };
@@ -85,7 +85,7 @@
             self.next_page_at = ctx.now;
             return None;
         }
-        self.next_page_at = ctx.now + (ctx.cfg.list_lag_ms / 2).max(MIN_LIST_INTERVAL_MS);
+        self.next_page_at = ctx.now + (ctx.cfg.inventory_lag_ms / 2).max(MIN_LIST_INTERVAL_MS);
         Some(Listing { machines, complete: !more })
     }
 
@@ -99,7 +99,7 @@
         cluster: &Cluster,
         listed: &[ListedMachine],
     ) -> Vec<MachineId> {
-        let max_list_age_ms = ctx.cfg.list_lag_ms * 5 / 2 + LIST_AGE_MARGIN_MS;
+        let max_list_age_ms = ctx.cfg.inventory_lag_ms * 5 / 2 + LIST_AGE_MARGIN_MS;
         let listed: HashSet<&MachineId> = listed.iter().map(|listed| &listed.machine).collect();
         let was_listed_before = |machine: &Machine| {
             machine.first_listed_at.is_some_and(|at| self.requested_at > at + max_list_age_ms)
--- a/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
@@ -71,7 +71,7 @@
         let reporting = cluster.machines.values().filter(|m| m.last_heartbeat.is_some());
         for (zone, silence) in silence_by_zone(reporting, |machine| machine.lease_expired) {
             if silence.has_mostly_silent() {
-                self.until.insert(zone.to_string(), ctx.now + ctx.cfg.lease_ms);
+                self.until.insert(zone.to_string(), ctx.now + ctx.cfg.worker_lease_ms);
             }
         }
         self.until.retain(|_, until| *until > ctx.now);
@@ -156,7 +156,7 @@
     cluster: &Cluster,
     reachable_since: Ms,
 ) -> bool {
-    let silent_after = ctx.cfg.lease_ms * 2 / 5;
+    let silent_after = ctx.cfg.worker_lease_ms * 2 / 5;
     let (mut all, mut silent, mut in_zone, mut silent_in_zone) = (0, 0, 0, 0);
     for machine in cluster.machines.values().filter(|m| m.decommission == Decommission::No) {
         let Some(at) = machine.last_heartbeat else { continue };
--- a/crates/basaltrail-core/src/leader/autoscaler/provisioning_time_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning_time_tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::settings::sample::a_type;
+use crate::settings::fixtures::machine_type;
 
 /// Where machines were observed to come up late, the autoscaler waits longer, but not forever.
 #[test]
 fn overdue_and_abandoned_ages_follow_observed_boot_times() {
-    let t = a_type();
+    let t = machine_type();
     let mut times = ProvisioningTimes::default();
     assert_eq!(times.overdue_after(&t, "a", 0), 50_000);
     times.record_arrival(&t, "a", 1_000, 1_000);
@@ -24,14 +24,14 @@
     assert_eq!(times.abandoned_after(&t, "b", 2_000), 80_000);
     assert_eq!(times.overdue_after(&t, "a", 500_000), 50_000, "old observations do not count");
     let overdue_after_boot_of =
-        |boot_s| times.overdue_after(&MachineType { boot_s, ..a_type() }, "a", 0);
+        |boot_s| times.overdue_after(&MachineType { boot_s, ..machine_type() }, "a", 0);
     assert!(overdue_after_boot_of(0.0) > 0 && overdue_after_boot_of(f64::MAX) < Ms::MAX / 2);
 }
 
 /// In a zone where machines do not come up, only a few are tried until machines come up again.
 #[test]
 fn few_machines_are_requested_in_a_zone_where_most_are_overdue() {
-    let t = a_type();
+    let t = machine_type();
     let mut times = ProvisioningTimes::default();
     let booting = |overdue: usize, on_time: usize, t| {
         let machine = move |overdue| BootingMachine { machine_type: t, zone: "a", overdue };
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -73,7 +73,7 @@
         leader: LeaderState,
     ) -> Self {
         let LeaderState { elected_at, reachable_since, .. } = leader;
-        let is_settled = ctx.now > elected_at.max(reachable_since) + ctx.cfg.lease_ms / 2;
+        let is_settled = ctx.now > elected_at.max(reachable_since) + ctx.cfg.worker_lease_ms / 2;
         let boot_s = ctx.types.iter().map(|t| t.boot_s).fold(1.0, f64::max);
         TerminationCriteria {
             ctx,
@@ -127,7 +127,8 @@
     /// Returns whether the machine reports and can be used. An empty machine that does not receive
     /// our answers cannot.
     fn is_reachable(&self, machine: &Machine) -> bool {
-        let receives_answers = self.silence_ms(machine) <= self.ctx.cfg.lease_ms * SILENT_LEASES;
+        let receives_answers =
+            self.silence_ms(machine) <= self.ctx.cfg.worker_lease_ms * SILENT_LEASES;
         machine.last_heartbeat.is_some()
             && !machine.lease_expired
             && (receives_answers || !machine.is_empty())
@@ -141,33 +142,38 @@
         if machine.decommission != Decommission::No && !machine.has_reclaim_notice(now) {
             return Some(ReleaseReason::Drained);
         }
-        machine.is_quarantined(now, self.ctx.cfg.lease_ms).then_some(ReleaseReason::Quarantined)
+        machine
+            .is_quarantined(now, self.ctx.cfg.worker_lease_ms)
+            .then_some(ReleaseReason::Quarantined)
     }
 
     fn reason_if_unreachable(&self, machine: &Machine) -> Option<ReleaseReason> {
         let Context { now, cfg, .. } = *self.ctx;
         let silence_ms = self.silence_ms(machine);
         let age_ms = now - machine.known_since;
-        let listed_within_ms = cfg.list_lag_ms * LIST_LAGS + LIST_MARGIN_MS;
+        let listed_within_ms = cfg.inventory_lag_ms * LIST_LAGS + LIST_MARGIN_MS;
         let is_listed = machine.last_listed.is_some_and(|(_, at)| now <= at + listed_within_ms);
         let was_never_heard = machine.last_heartbeat.is_none();
         let is_partitioned = self.autoscaler.partitions.contains(&machine.zone);
         let max_boot_wait_ms =
-            self.boot_ms * ABANDONED_BOOT_TIMES + NEVER_HEARD_LEASES * cfg.lease_ms as f64;
+            self.boot_ms * ABANDONED_BOOT_TIMES + NEVER_HEARD_LEASES * cfg.worker_lease_ms as f64;
         if matches!(machine.last_listed, Some((ListedState::Failed, _))) {
             Some(ReleaseReason::Failed)
         } else if !is_listed
-            && silence_ms > cfg.lease_ms + listed_within_ms
+            && silence_ms > cfg.worker_lease_ms + listed_within_ms
             && age_ms > listed_within_ms
         {
             Some(ReleaseReason::NotListed)
-        } else if !was_never_heard && !is_partitioned && silence_ms > cfg.lease_ms * SILENT_LEASES {
+        } else if !was_never_heard
+            && !is_partitioned
+            && silence_ms > cfg.worker_lease_ms * SILENT_LEASES
+        {
             Some(ReleaseReason::Silent)
         } else if machine.overdue && machine.abandoned {
             Some(ReleaseReason::NeverUp)
         } else if was_never_heard && !is_partitioned && age_ms as f64 > max_boot_wait_ms {
             Some(ReleaseReason::NeverHeard)
-        } else if silence_ms > cfg.lease_ms * SILENT_FOR_LONG_LEASES {
+        } else if silence_ms > cfg.worker_lease_ms * SILENT_FOR_LONG_LEASES {
             Some(ReleaseReason::SilentForLong)
         } else {
             None
@@ -208,7 +214,11 @@
         let machines: Vec<MachineId> = selected.into_iter().map(|(id, _)| id).collect();
         self.termination.in_flight = true;
         let purpose = CloudPurpose::Terminate { token: leader.token, machines: machines.clone() };
-        calls.send_to_cloud(purpose, CloudRequest::Terminate(machines), ctx.cfg.lease_ms / 2);
+        calls.send_to_cloud(
+            purpose,
+            CloudRequest::Terminate(machines),
+            ctx.cfg.worker_lease_ms / 2,
+        );
     }
 
     /// Marks the machine as terminating. It must not be used again, whatever the cloud replies.
@@ -231,7 +241,7 @@
         self.termination.in_flight = false;
         let are_gone = *reply == CloudReply::Terminated;
         if !are_gone {
-            self.termination.next_call_at = ctx.now + ctx.cfg.lease_ms / 10;
+            self.termination.next_call_at = ctx.now + ctx.cfg.worker_lease_ms / 10;
         }
         are_gone
     }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -161,7 +161,7 @@
             calls.send_to_cloud(
                 CloudPurpose::Provision { token, request_name },
                 call,
-                ctx.cfg.lease_ms / 2,
+                ctx.cfg.worker_lease_ms / 2,
             );
         }
     }
@@ -175,7 +175,7 @@
         calls: &mut Calls,
     ) -> Vec<Machine> {
         let Some(request) = self.provisioning.remove(request_name) else { return Vec::new() };
-        let refused_until = ctx.now + ctx.cfg.lease_ms;
+        let refused_until = ctx.now + ctx.cfg.worker_lease_ms;
         let ids = match reply {
             CloudReply::Provisioned(ids) => ids,
             CloudReply::NoCapacity => {
@@ -185,7 +185,7 @@
             }
             _ => {
                 // The outcome is unknown.
-                self.provisioning.retry(request, ctx.now + ctx.cfg.lease_ms / 10);
+                self.provisioning.retry(request, ctx.now + ctx.cfg.worker_lease_ms / 10);
                 return Vec::new();
             }
         };
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out_tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::leader::scheduler::test_cluster::TestCluster;
-use crate::settings::sample::a_job;
+use crate::settings::fixtures::job_spec;
 
 /// An array of 100,000 tasks has work for more machines than can report to a leader.
 #[test]
 fn a_team_without_a_limit_gets_no_more_machines_than_can_report() {
-    let mut test = TestCluster::new(0.0, &[a_job(100_000, true)]);
+    let mut test = TestCluster::new(0.0, &[job_spec(100_000, true)]);
     test.settings.max_machines = 70;
     let mut leader = test.leader(500);
     leader.plan_fleet(&test.context(500), &mut Calls::default());
@@ -16,7 +16,7 @@
 /// while the tasks that it was requested for wait.
 #[test]
 fn overdue_machines_are_replaced_in_other_zones() {
-    let test = TestCluster::new(0.0, &[a_job(9, true)]);
+    let test = TestCluster::new(0.0, &[job_spec(9, true)]);
     let calls = &mut Calls::default();
     let mut leader = test.leader(500);
     leader.plan_fleet(&test.context(500), calls);
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -100,7 +100,7 @@
         let Some(machine) = machine else { return Err(RenewalRefusal::StaleHeartbeat) };
         let is_first = machine.last_heartbeat.is_none();
         let was_usable = machine.reconciled && !machine.lease_expired && machine.receives_answers;
-        let changes = machine.apply_heartbeat(ctx.now, heartbeat, ctx.cfg.lease_ms);
+        let changes = machine.apply_heartbeat(ctx.now, heartbeat, ctx.cfg.worker_lease_ms);
         if is_first {
             self.record_machine_up(ctx, calls, id);
         }
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -149,7 +149,7 @@
             return effects;
         };
         let is_service = job.spec.is_service();
-        let ran_long = ran_ms.is_some_and(|ran| ran >= ctx.cfg.lease_ms);
+        let ran_long = ran_ms.is_some_and(|ran| ran >= ctx.cfg.worker_lease_ms);
         let mut failed_on = BTreeSet::new();
         if reason == ExitReason::Done && !is_service {
             effects.job_with_completion = job.mark_done(task.index).then_some(task.job);
@@ -209,7 +209,7 @@
     machine: &mut Machine,
     exit: TaskExit,
 ) -> Option<JobEvent> {
-    let is_first = job.health.record_failure(&machine.id, ctx.now, ctx.cfg.lease_ms);
+    let is_first = job.health.record_failure(&machine.id, ctx.now, ctx.cfg.worker_lease_ms);
     if job.health.has_succeeded() {
         machine.health.record_failure(job.id, ctx.now);
     }
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -39,7 +39,7 @@
                     self.recover_registry_segment(ctx, calls, &item);
                 }
                 if !more {
-                    self.registry.repair(&mut self.cluster.machines, ctx.cfg.value_bytes);
+                    self.registry.repair(&mut self.cluster.machines, ctx.cfg.max_value_bytes);
                     self.failover.load_stage = LoadStage::Completions;
                 }
             }
--- a/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::leader::scheduler::test_cluster::TestCluster;
 use crate::model::{JobSpec, Revision};
-use crate::settings::sample::a_job;
+use crate::settings::fixtures::job_spec;
 use crate::store::records::{encode, LEDGER_KEY};
 
 /// Without the recorded crash loops, a new leader would start all tasks of a crash-looping job at
@@ -9,8 +9,8 @@
 /// the settings are kept in the store, and the jobs are not run.
 #[test]
 fn a_new_leader_recovers_crash_loops_and_ignores_a_removed_team() {
-    let job_of_removed_team = JobSpec { team: "gone".into(), ..a_job(9, true) };
-    let test = TestCluster::new(8.0, &[a_job(9, true), job_of_removed_team]);
+    let job_of_removed_team = JobSpec { team: "gone".into(), ..job_spec(9, true) };
+    let test = TestCluster::new(8.0, &[job_spec(9, true), job_of_removed_team]);
     let ctx = test.context(500);
     let max_new_tasks_after_failover = |value: &str| {
         let mut leader = test.leader(500);
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -177,7 +177,7 @@
     /// Expires worker leases that have certainly ended, and withdraws unsent assignments from
     /// silent machines.
     fn check_machines(&mut self, ctx: &Context, calls: &mut Calls) {
-        let lease_ms = ctx.cfg.plus_drift_margin(ctx.cfg.lease_ms);
+        let lease_ms = ctx.cfg.plus_drift_margin(ctx.cfg.worker_lease_ms);
         let silence_ms = ctx.cfg.heartbeat_interval_ms * SILENCE_INTERVALS;
         let reachable_since = self.liveness.reachable_since;
         let lease_has_ended =
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -63,7 +63,8 @@
     fn flush(&mut self, ctx: &Context, calls: &mut Calls, sources: WriteSources) {
         self.refresh_stale_keys(ctx, calls, sources.token);
         self.back_off.retain(|_, until| *until > ctx.now);
-        let max_changes = ctx.cfg.transaction_ops.max(MIN_TRANSACTION_OPS).min(self.max_changes);
+        let max_changes =
+            ctx.cfg.max_transaction_ops.max(MIN_TRANSACTION_OPS).min(self.max_changes);
         let precondition = Precondition::new(LEADER_KEY, sources.leader_revision);
         let mut transaction = TransactionBuilder::new(precondition, max_changes);
         let mut budget = WriteBudget { now: ctx.now, writes: &mut calls.write_rate };
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
@@ -91,9 +91,9 @@
         self.segment_bytes[segment] = encode(&self.segments[segment]).len();
     }
 
-    /// Adds a machine as free, unless the registry lists it already. `value_bytes` is the maximum
-    /// size of a value of the store.
-    fn add(&mut self, machine: &mut Machine, value_bytes: usize) {
+    /// Adds a machine as free, unless the registry lists it already. `max_value_bytes` is the
+    /// maximum size of a value of the store.
+    fn add(&mut self, machine: &mut Machine, max_value_bytes: usize) {
         if machine.registry_segment.is_some() {
             return;
         }
@@ -105,7 +105,7 @@
             free: false,
         };
         let record_bytes = max_record_bytes(&mut record);
-        let limit = max_segment_bytes(value_bytes);
+        let limit = max_segment_bytes(max_value_bytes);
         let segment =
             match self.segment_bytes.iter().position(|bytes| bytes + record_bytes <= limit) {
                 Some(segment) => segment,
@@ -144,20 +144,20 @@
     /// are split before records are added to them. The new segments are written before the old one
     /// is overwritten, so the store lists each machine at all times; a leader elected in between
     /// reads some machines twice.
-    pub(in crate::leader) fn repair(&mut self, machines: &mut Machines, value_bytes: usize) {
+    pub(in crate::leader) fn repair(&mut self, machines: &mut Machines, max_value_bytes: usize) {
         self.merge_duplicates(machines);
         for segment in 0..self.segments.len() {
-            if self.segment_bytes[segment] > value_bytes {
-                self.split(segment, machines, value_bytes);
+            if self.segment_bytes[segment] > max_value_bytes {
+                self.split(segment, machines, max_value_bytes);
             }
         }
     }
 
     /// Splits a segment; all chunks but the first go to new segments.
-    fn split(&mut self, segment: usize, machines: &mut Machines, value_bytes: usize) {
+    fn split(&mut self, segment: usize, machines: &mut Machines, max_value_bytes: usize) {
         let records = std::mem::take(&mut self.segments[segment]);
         for (n, chunk) in
-            split_records(records, max_segment_bytes(value_bytes)).into_iter().enumerate()
+            split_records(records, max_segment_bytes(max_value_bytes)).into_iter().enumerate()
         {
             let target = if n == 0 { segment } else { self.push_segment() };
             if n > 0 {
@@ -259,8 +259,8 @@
 
 /// Returns the size up to which segments are filled, in bytes. A tenth of a value is reserved for
 /// records that grow.
-fn max_segment_bytes(value_bytes: usize) -> usize {
-    value_bytes * 9 / 10
+fn max_segment_bytes(max_value_bytes: usize) -> usize {
+    max_value_bytes * 9 / 10
 }
 
 /// Returns the maximum encoded size of a record with its comma, in bytes. "false" is longer than
@@ -294,7 +294,7 @@
     /// Adds a machine to the registry as free, unless it is listed already.
     pub(in crate::leader) fn add_to_registry(&mut self, ctx: &Context, machine: &MachineId) {
         if let Some(machine) = self.cluster.machines.get_mut(machine) {
-            self.registry.add(machine, ctx.cfg.value_bytes);
+            self.registry.add(machine, ctx.cfg.max_value_bytes);
         }
     }
 
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -2,7 +2,7 @@
 use crate::io::{Effect, StoreReply, StoreRequest};
 use crate::leader::scheduler::test_cluster::TestCluster;
 use crate::model::{FencingToken, Revision};
-use crate::settings::sample::settings;
+use crate::settings::fixtures::settings;
 use crate::settings::Settings;
 use crate::store::calls::StorePurpose;
 use crate::store::records::machine_registry_key;
@@ -51,11 +51,11 @@
         else {
             return false;
         };
-        assert!(puts.len() + deletes.len() <= ctx.cfg.transaction_ops);
+        assert!(puts.len() + deletes.len() <= ctx.cfg.max_transaction_ops);
         self.revision.0 += 1;
         for put in puts.into_iter().filter(|put| put.key.starts_with(MACHINE_REGISTRY_PREFIX)) {
             assert!(
-                put.value.len() <= ctx.cfg.value_bytes,
+                put.value.len() <= ctx.cfg.max_value_bytes,
                 "{} holds {} bytes",
                 put.key,
                 put.value.len()
@@ -118,7 +118,7 @@
 /// Returns a cluster whose settings allow few records in a segment and two segments in a
 /// transaction.
 fn cluster_with_small_values() -> TestCluster {
-    let settings = Settings { value_bytes: 512, transaction_ops: 2, ..settings() };
+    let settings = Settings { max_value_bytes: 512, max_transaction_ops: 2, ..settings() };
     TestCluster { settings, ..TestCluster::new(0.0, &[]) }
 }
 
@@ -160,7 +160,7 @@
         }
         assert!(leader.registry.write_dependencies.is_empty() && leader.registry.dirty.is_empty());
         assert_eq!(stored.records().len(), 43, "each machine is listed once");
-        assert!(stored.segments.values().all(|v| v.len() <= ctx.cfg.value_bytes));
+        assert!(stored.segments.values().all(|v| v.len() <= ctx.cfg.max_value_bytes));
         assert!(
             reported.iter().all(|i| leader.cluster.machines[&id(*i)].registered_in_use),
             "no tasks can start on some machines"
--- a/crates/basaltrail-core/src/leader/persistence/replies.rs
+++ b/crates/basaltrail-core/src/leader/persistence/replies.rs
@@ -89,7 +89,7 @@
         self.writer.max_changes = (pending.changes / 2).max(1);
         let is_single_outcome = pending.complete_jobs.len() == 1 && pending.keys.is_empty();
         if pending.changes <= 1 || is_single_outcome {
-            let back_off_until = ctx.now + ctx.cfg.lease_ms * REJECTED_BACK_OFF_LEASES;
+            let back_off_until = ctx.now + ctx.cfg.worker_lease_ms * REJECTED_BACK_OFF_LEASES;
             let outcome_keys = pending.complete_jobs.iter().map(|job| active_job_key(*job));
             let keys: Vec<String> = pending.keys.iter().cloned().chain(outcome_keys).collect();
             outcome.rejected_keys = Some(keys.join(","));
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -79,7 +79,7 @@
         let team = &first.quota.team;
         let team_writes =
             self.unwritten.iter().take_while(|write| write.quota.team == *team).count();
-        let count = team_writes.min(ctx.cfg.transaction_ops.max(1));
+        let count = team_writes.min(ctx.cfg.max_transaction_ops.max(1));
         if !calls.try_acquire_write(ctx.now, count, CallPriority::Completion) {
             return;
         }
@@ -153,8 +153,8 @@
                 |(class, waiting): (&str, WorkAmount)| ClassLoad { class: class.into(), waiting };
             TeamLoad {
                 team: team.name.clone(),
-                guaranteed: team.cpus,
-                limit: team.cpus_max,
+                guaranteed: team.guaranteed_cpus,
+                limit: team.max_cpus,
                 share: ctx.cfg.weight_share(index),
                 served: self.quota_allocator.served_cpus.get(index).copied().unwrap_or(0.0),
                 classes: backlog.into_iter().map(class).collect(),
--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -192,13 +192,13 @@
             avoid: &avoid_replicas,
             has_image: &has_image,
         };
-        let sample = ctx.cfg.policy.sample;
-        let placement = choose_placement(&self.free, ctx.types, &separate, sample, rng);
+        let sample_size = ctx.cfg.policy.placement_sample_size;
+        let placement = choose_placement(&self.free, ctx.types, &separate, sample_size, rng);
         if placement.is_some() || machines_with_replica.is_empty() {
             return placement;
         }
         let shared = PlacementRequest { avoid: &avoid, ..separate };
-        choose_placement(&self.free, ctx.types, &shared, sample, rng)
+        choose_placement(&self.free, ctx.types, &shared, sample_size, rng)
     }
 
     /// Places tasks of a job on a machine. Returns the number of placed tasks.
@@ -221,7 +221,7 @@
         }
         if job.spec.is_service() && job.health.is_crash_looping() {
             // Delays the next attempt until the outcome of this one is known.
-            job.health.extend_back_off(ctx.now + ctx.cfg.lease_ms);
+            job.health.extend_back_off(ctx.now + ctx.cfg.worker_lease_ms);
         }
         machine.idle_since = None;
         self.used[job.team] += Resources::of_task(&job.spec) * placed as f64;
--- a/crates/basaltrail-core/src/leader/scheduler/backfill.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/backfill.rs
@@ -82,7 +82,7 @@
     /// since backfill runs on every heartbeat.
     fn assign_by_fair_share(&mut self, waiting: &[Vec<JobId>]) {
         let mut positions = vec![0; waiting.len()];
-        for _ in 0..self.assigner.inputs.ctx.cfg.policy.sample {
+        for _ in 0..self.assigner.inputs.ctx.cfg.policy.placement_sample_size {
             if self.assigner.free.is_empty() {
                 break;
             }
--- a/crates/basaltrail-core/src/leader/scheduler/bin_packing.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/bin_packing.rs
@@ -72,13 +72,13 @@
     pub tasks: u32,
 }
 
-/// Returns the placement with the highest score for a request. Of more than `sample` machines, only
-/// a random sample of that size is evaluated, unless no machine of the sample fits.
+/// Returns the placement with the highest score for a request. Of more than `sample_size` machines,
+/// only a random sample of that size is evaluated, unless no machine of the sample fits.
 pub fn choose_placement<R: Rng>(
     free: &[FreeCapacity],
     types: &[MachineType],
     request: &PlacementRequest,
-    sample: usize,
+    sample_size: usize,
     rng: &mut R,
 ) -> Option<Placement> {
     let best = |candidates: &mut dyn Iterator<Item = usize>| {
@@ -87,9 +87,9 @@
             .max_by(|(score, _), (other, _)| score.total_cmp(other))
             .map(|(_, placement)| placement)
     };
-    if free.len() > sample {
+    if free.len() > sample_size {
         let all: Vec<usize> = (0..free.len()).collect();
-        let mut sampled = all.choose_multiple(rng, sample).copied();
+        let mut sampled = all.choose_multiple(rng, sample_size).copied();
         if let Some(placement) = best(&mut sampled) {
             return Some(placement);
         }
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -79,7 +79,7 @@
         for job in blocked.iter().filter_map(|id| cluster.jobs.get(id)) {
             demands[job.team].blocked = true;
         }
-        let guaranteed = ctx.cfg.teams.iter().map(|team| team.cpus);
+        let guaranteed = ctx.cfg.teams.iter().map(|team| team.guaranteed_cpus);
         self.guarantee_waits.update(ctx.now, guaranteed.zip(demands));
     }
 
@@ -229,7 +229,7 @@
     /// work is submitted than the cluster can run.
     fn jobs_overdue_for_first_task(&self) -> Vec<(usize, JobId)> {
         let SchedulerInputs { ctx, cluster, .. } = &self.assigner.inputs;
-        let max_wait_ms = FIRST_TASK_WAIT_LEASES * ctx.cfg.lease_ms as WallMs;
+        let max_wait_ms = FIRST_TASK_WAIT_LEASES * ctx.cfg.worker_lease_ms as WallMs;
         let mut overdue: Vec<(WallMs, JobId, usize)> = self
             .waiting
             .by_team
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::leader::scheduler::test_cluster::{team, TestCluster};
-use crate::settings::sample::a_job;
+use crate::settings::fixtures::job_spec;
 use crate::settings::Objective;
 
 fn candidate(id: u64, pending_cpus: f64, slacks_s: &[f64]) -> Candidate {
@@ -37,9 +37,9 @@
 /// started first, and an array that could have met its deadline only started after them.
 #[test]
 fn feasibility_without_a_guarantee_is_measured_by_the_whole_fleet() {
-    let mut test = TestCluster::new(0.0, &[a_job(100, true)]);
+    let mut test = TestCluster::new(0.0, &[job_spec(100, true)]);
     test.settings.teams.push(team("u", 2_000.0));
-    test.settings.objectives = vec![Objective::Finished { class: "c".into(), within_s: 400.0 }];
+    test.settings.objectives = vec![Objective::Completed { class: "c".into(), within_s: 400.0 }];
     let (ctx, leader) = (test.context(0), test.leader(0));
     let feasible = |fleet_cpus| {
         find_feasible_slacks(&ctx, &leader.cluster, fleet_cpus, &[Resources::default(); 2])
--- a/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
@@ -111,8 +111,9 @@
         let TeamHead { team, job } = head;
         let job = &self.cluster.jobs[&job];
         let teams = &self.ctx.cfg.teams;
-        let borrows = |team: usize| used[team].cpus > teams[team].cpus + CPU_TOLERANCE;
-        let within_guarantee = used[team].cpus + job.spec.cpus <= teams[team].cpus + CPU_TOLERANCE;
+        let borrows = |team: usize| used[team].cpus > teams[team].guaranteed_cpus + CPU_TOLERANCE;
+        let within_guarantee =
+            used[team].cpus + job.spec.cpus <= teams[team].guaranteed_cpus + CPU_TOLERANCE;
         let others_borrow = (0..used.len()).any(|other| other != team && borrows(other));
         let may_preempt = (within_guarantee || others_borrow) && self.slack_s.contains_key(&job.id);
         let priority = if may_preempt { job.spec.priority } else { Priority::Low };
--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -150,7 +150,7 @@
         };
         for id in blocked {
             if preemption.preempt_for(self, *id) {
-                self.preemption_reservations.insert(*id, ctx.now + ctx.cfg.lease_ms);
+                self.preemption_reservations.insert(*id, ctx.now + ctx.cfg.worker_lease_ms);
             }
         }
         preemption.preempted_tasks
@@ -196,7 +196,8 @@
             spec: job.spec.clone(),
             spread: zone_spread(self.cluster, id),
             missing_cpus: job.spec.cpus * allowed as f64,
-            unused_guarantee_cpus: (ctx.cfg.teams[job.team].cpus - self.used[job.team].cpus)
+            unused_guarantee_cpus: (ctx.cfg.teams[job.team].guaranteed_cpus
+                - self.used[job.team].cpus)
                 .max(0.0),
             is_urgent: is_urgent(ctx, scheduler, job),
             is_guarantee_overdue: ctx.cfg.guarantee_wait_ms().is_some_and(|patience_ms| {
@@ -215,7 +216,7 @@
         let demand = &victim.demand;
         let borrowed_cpus = self.used[demand.team].cpus
             - self.freed_cpus.get(&demand.team).copied().unwrap_or(0.0)
-            - self.ctx.cfg.teams[demand.team].cpus;
+            - self.ctx.cfg.teams[demand.team].guaranteed_cpus;
         if !preemptor.may_preempt(demand, borrowed_cpus) {
             return;
         }
@@ -238,7 +239,7 @@
 
 /// Returns whether a job can meet an objective only if it does not wait for tasks to end.
 fn is_urgent(ctx: &Context, scheduler: &Scheduler, job: &JobState) -> bool {
-    let urgent_ms = URGENT_LEASES * ctx.cfg.lease_ms as f64;
+    let urgent_ms = URGENT_LEASES * ctx.cfg.worker_lease_ms as f64;
     let slack_s = scheduler.feasible_slack_s.get(&job.id);
     slack_s.is_some_and(|slack_s| slack_s * 1000.0 < urgent_ms)
 }
--- a/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
@@ -2,7 +2,7 @@
 use crate::leader::scheduler::test_cluster::{ready_machine, running_slot, service, TestCluster};
 use crate::leader::Leader;
 use crate::model::{Attempt, MachineId, Priority, TaskId, WallMs};
-use crate::settings::sample::a_job;
+use crate::settings::fixtures::job_spec;
 
 fn demand(priority: Priority, save_s: Option<f64>) -> TaskDemand {
     let resources = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 1.0 };
@@ -36,7 +36,7 @@
 /// machines counted as capacity for them.
 #[test]
 fn only_tasks_on_machines_that_the_job_may_use_are_preempted() {
-    let (array, service) = (a_job(99, true), service(2, 4.0));
+    let (array, service) = (job_spec(99, true), service(2, 4.0));
     let test = TestCluster::new(100.0, &[array.clone(), service.clone()]);
     let now = 60_000;
     let ctx = Context { wall: now as WallMs, ..test.context(now) };
--- a/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
@@ -57,7 +57,7 @@
         if !is_high_priority_service(spec) {
             return;
         }
-        let expires_at = ctx.now + RETENTION_LEASES * ctx.cfg.lease_ms;
+        let expires_at = ctx.now + RETENTION_LEASES * ctx.cfg.worker_lease_ms;
         let total_cpus = |spec: &JobSpec| spec.cpus * f64::from(spec.tasks);
         self.by_class.retain(|_, size| size.expires_at > ctx.now);
         if let Some(size) = self.by_class.get_mut(&spec.class) {
@@ -171,7 +171,7 @@
     let mut reserved = ReservedCapacity::default();
     let teams = ctx.cfg.teams.iter().zip(used);
     let mut unused_guarantee_cpus: Vec<f64> =
-        teams.map(|(team, used)| team.cpus - used.cpus).collect();
+        teams.map(|(team, used)| team.guaranteed_cpus - used.cpus).collect();
     for size in sizes.unexpired(ctx.now) {
         for zone in &ctx.cfg.zones {
             let spec = &size.spec;
--- a/crates/basaltrail-core/src/leader/scheduler/services.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services.rs
@@ -29,7 +29,7 @@
         let key = (TaskId { job: task.job, index: *index }, *attempt);
         let slot = cluster.machines.get(machine).and_then(|machine| machine.slots.get(&key));
         slot.and_then(|slot| slot.running_since)
-            .is_some_and(|since| ctx.now >= since + ctx.cfg.lease_ms / 2)
+            .is_some_and(|since| ctx.now >= since + ctx.cfg.worker_lease_ms / 2)
     })
 }
 
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -12,7 +12,7 @@
     AgentEpoch, FencingToken, Heartbeat, JobId, Ms, TaskCommand, TaskState, TaskStatus,
 };
 use crate::resources::Resources;
-use crate::settings::sample::a_job;
+use crate::settings::fixtures::job_spec;
 use crate::settings::Objective;
 use crate::store::calls::Calls;
 use rand::rngs::SmallRng;
@@ -63,7 +63,7 @@
 /// restarted would wait for the array's tasks to end.
 #[test]
 fn capacity_for_services_is_reserved_from_arrays_within_the_guarantee() {
-    let array = a_job(99, true);
+    let array = job_spec(99, true);
     for (guarantee, reserved) in [(100.0, 16.0), (20.0, 12.0), (8.0, 0.0)] {
         let test = TestCluster::new(guarantee, &[service(4, 2.0), array.clone()]);
         let mut leader = leader_with_machines(&test, 4);
@@ -81,7 +81,7 @@
 /// free.
 #[test]
 fn reserved_capacity_is_given_to_a_starved_job() {
-    let test = TestCluster::new(100.0, &[service(4, 2.0), a_job(2, false)]);
+    let test = TestCluster::new(100.0, &[service(4, 2.0), job_spec(2, false)]);
     let mut leader = leader_with_machines(&test, 1);
     schedule(&test, &mut leader, 100);
     assert!(machines_of(&leader, 2).is_empty(), "all free capacity is reserved");
@@ -150,7 +150,7 @@
     // times three: 18 CPUs.
     assert_eq!(machines(&test, &leader, &kind("a", false)), 3);
     assert_eq!(machines(&test, &leader, &kind("b", true)), 0);
-    let without_service = TestCluster::new(100.0, &[a_job(6, false)]);
+    let without_service = TestCluster::new(100.0, &[job_spec(6, false)]);
     assert_eq!(
         machines(&without_service, &leader_with_machines(&without_service, 1), &kind("a", false)),
         0
@@ -161,8 +161,8 @@
 /// infeasible.
 #[test]
 fn services_do_not_count_as_work_that_ends() {
-    let mut test = TestCluster::new(100.0, &[service(40, 1.0), a_job(10, true)]);
-    test.settings.objectives = vec![Objective::Finished { class: "c".into(), within_s: 200.0 }];
+    let mut test = TestCluster::new(100.0, &[service(40, 1.0), job_spec(10, true)]);
+    test.settings.objectives = vec![Objective::Completed { class: "c".into(), within_s: 200.0 }];
     let leader = leader_with_machines(&test, 8);
     let used = [Resources::default()];
     let feasible = find_feasible_slacks(&test.context(0), &leader.cluster, 128.0, &used);
@@ -174,7 +174,7 @@
 /// a task of an array, it cannot complete before.
 #[test]
 fn replicas_are_stopped_on_a_machine_with_a_reclaim_notice() {
-    let test = TestCluster::new(100.0, &[service(2, 2.0), a_job(1, true)]);
+    let test = TestCluster::new(100.0, &[service(2, 2.0), job_spec(1, true)]);
     let mut leader = leader_with_machines(&test, 2);
     schedule(&test, &mut leader, 100);
     let id = MachineId(machines_of(&leader, 1)[0].as_str().into());
--- a/crates/basaltrail-core/src/leader/scheduler/starvation.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/starvation.rs
@@ -10,7 +10,7 @@
 /// Returns the starved jobs, the longest wait first. Also updates the time since which each job
 /// has had no placed task.
 pub(in crate::leader) fn find_starved_jobs(ctx: &Context, cluster: &mut Cluster) -> Vec<JobId> {
-    let max_wait_ms = ctx.cfg.lease_ms * STARVED_LEASES;
+    let max_wait_ms = ctx.cfg.worker_lease_ms * STARVED_LEASES;
     let mut starved = Vec::new();
     for job in cluster.jobs.values_mut() {
         let is_unplaced = job.ended.is_none() && job.pending() > 0 && job.placed.is_empty();
--- a/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
@@ -7,7 +7,7 @@
     FencingToken, JobId, JobKind, JobSpec, MachineId, MachineType, Ms, Priority, Revision,
     TaskState,
 };
-use crate::settings::sample::{a_job, a_type, settings};
+use crate::settings::fixtures::{job_spec, machine_type, settings};
 use crate::settings::{Settings, Team};
 use crate::store::records::JobRecord;
 
@@ -28,7 +28,7 @@
             job_cache.put_active(JobId(id), Revision(id + 10), JobRecord::new(0, spec.clone()));
         }
         let settings = Settings { teams: vec![team("t", guaranteed_cpus)], ..settings() };
-        TestCluster { settings, types: vec![a_type()], job_cache }
+        TestCluster { settings, types: vec![machine_type()], job_cache }
     }
 
     /// Returns the context of a leader with a valid lease and a fresh job cache.
@@ -54,10 +54,10 @@
 pub(in crate::leader) fn team(name: &str, guaranteed_cpus: f64) -> Team {
     Team {
         name: name.into(),
-        cpus: guaranteed_cpus,
-        cpus_max: f64::INFINITY,
-        gpus: 0.0,
-        gpus_max: f64::INFINITY,
+        guaranteed_cpus,
+        max_cpus: f64::INFINITY,
+        guaranteed_gpus: 0.0,
+        max_gpus: f64::INFINITY,
     }
 }
 
@@ -69,7 +69,7 @@
         estimate_s: 0.0,
         cpus,
         spread: true,
-        ..a_job(replicas, false)
+        ..job_spec(replicas, false)
     }
 }
 
--- a/crates/basaltrail-core/src/lease_renewal_tests.rs
+++ b/crates/basaltrail-core/src/lease_renewal_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::model::{AgentEpoch, ExitReason, JobOutcome, MachineId, Revision};
-use crate::settings::sample::{a_job, settings};
+use crate::settings::fixtures::{job_spec, settings};
 use crate::store::records::JobRecord;
 
 const ACTIVE: JobId = JobId(1);
@@ -9,7 +9,7 @@
 
 fn job_cache() -> JobCache {
     let mut job_cache = JobCache::new(100);
-    job_cache.put_active(ACTIVE, Revision(1), JobRecord::new(0, a_job(4, true)));
+    job_cache.put_active(ACTIVE, Revision(1), JobRecord::new(0, job_spec(4, true)));
     job_cache.put_outcome(CANCELLED, JobOutcome::Cancelled);
     job_cache
 }
--- a/crates/basaltrail-core/src/machines/health.rs
+++ b/crates/basaltrail-core/src/machines/health.rs
@@ -35,9 +35,9 @@
     ///
     /// Where few jobs run, one failed job is enough once the machine has been idle for a lease: if
     /// the only job avoids the machine, no second job can confirm the fault.
-    pub fn is_quarantined(&self, idle_since: Option<Ms>, now: Ms, lease_ms: Ms) -> bool {
+    pub fn is_quarantined(&self, idle_since: Option<Ms>, now: Ms, worker_lease_ms: Ms) -> bool {
         let avoided =
-            || idle_since.is_some_and(|since| now > since.max(self.last_failure) + lease_ms);
+            || idle_since.is_some_and(|since| now > since.max(self.last_failure) + worker_lease_ms);
         self.failed_jobs.len() >= QUARANTINE_JOBS || (!self.failed_jobs.is_empty() && avoided())
     }
 }
--- a/crates/basaltrail-core/src/machines/machine.rs
+++ b/crates/basaltrail-core/src/machines/machine.rs
@@ -211,8 +211,8 @@
 
     /// Returns whether the machine gets no more tasks because jobs fail on it that succeed
     /// elsewhere.
-    pub fn is_quarantined(&self, now: Ms, lease_ms: Ms) -> bool {
-        self.health.is_quarantined(self.idle_since, now, lease_ms)
+    pub fn is_quarantined(&self, now: Ms, worker_lease_ms: Ms) -> bool {
+        self.health.is_quarantined(self.idle_since, now, worker_lease_ms)
     }
 
     /// Returns whether no task can hold resources on the machine.
@@ -282,7 +282,7 @@
         &mut self,
         now: Ms,
         heartbeat: &Heartbeat,
-        lease_ms: Ms,
+        worker_lease_ms: Ms,
     ) -> Vec<TaskChange> {
         self.receives_answers = self.received_previous_answer(now);
         self.reconciled = true;
@@ -293,7 +293,7 @@
         let reported: BTreeMap<(TaskId, Attempt), TaskState> =
             heartbeat.tasks.iter().map(|t| ((t.task, t.attempt), t.state)).collect();
         let delivery = self.remove_unreported(&reported, &mut changes);
-        self.detect_one_way_partition(now, lease_ms, delivery);
+        self.detect_one_way_partition(now, worker_lease_ms, delivery);
         for (key, state) in reported {
             changes.extend(self.confirm_slot(now, key, state));
         }
@@ -347,13 +347,13 @@
 
     /// Detects a one-way partition. Heartbeats that arrive do not prove that answers do, so a
     /// machine that receives none of its starts gets no more for a lease.
-    fn detect_one_way_partition(&mut self, now: Ms, lease_ms: Ms, delivery: StartDelivery) {
+    fn detect_one_way_partition(&mut self, now: Ms, worker_lease_ms: Ms, delivery: StartDelivery) {
         if delivery.any_delivered {
             self.consecutive_lost_starts = 0;
         } else if delivery.any_lost {
             self.consecutive_lost_starts += 1;
             if self.consecutive_lost_starts >= LOST_STARTS_BEFORE_PARTITION {
-                self.one_way_partition_until = now + lease_ms;
+                self.one_way_partition_until = now + worker_lease_ms;
             }
         }
         if self.receives_answers && now >= self.one_way_partition_until {
--- a/crates/basaltrail-core/src/machines/types.rs
+++ b/crates/basaltrail-core/src/machines/types.rs
@@ -51,13 +51,13 @@
 
     /// Returns the call to make now, if one is due.
     ///
-    /// Types whose encoding is longer than `value_bytes` are not stored, so every controller
+    /// Types whose encoding is longer than `max_value_bytes` are not stored, so every controller
     /// requests them from the cloud. Otherwise only the leader and controllers that know no types
     /// do.
     pub fn call_due(
         &mut self,
         now: Ms,
-        value_bytes: usize,
+        max_value_bytes: usize,
         is_leader: bool,
     ) -> Option<MachineTypesCall> {
         if self.in_flight || now < self.next_call_at {
@@ -68,7 +68,7 @@
         }
         if self.write_due {
             let value = encode(&self.known);
-            if value.len() <= value_bytes {
+            if value.len() <= max_value_bytes {
                 return Some(MachineTypesCall::Write { value, mod_revision: self.mod_revision });
             }
             self.write_due = false;
--- a/crates/basaltrail-core/src/machines/types_tests.rs
+++ b/crates/basaltrail-core/src/machines/types_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::io::KeyValue;
-use crate::settings::sample::a_type;
+use crate::settings::fixtures::machine_type;
 use crate::store::records::MACHINE_TYPES_KEY;
 
 const VALUE_BYTES: usize = 4_096;
@@ -24,7 +24,7 @@
     assert_eq!(types.call_due(0, VALUE_BYTES, false), None);
     types.apply_read_reply(StoreReply::Unknown, 50);
     assert_eq!((types.call_due(49, VALUE_BYTES, false), types.known().len()), (None, 0));
-    types.apply_read_reply(stored(&[a_type()]), 0);
+    types.apply_read_reply(stored(&[machine_type()]), 0);
     assert_eq!(types.known().len(), 1);
     assert_eq!(types.call_due(100, VALUE_BYTES, false), None);
     assert_eq!(types.call_due(100, VALUE_BYTES, true), Some(MachineTypesCall::RequestFromCloud));
@@ -35,12 +35,12 @@
 #[test]
 fn types_from_the_cloud_are_stored_if_they_matter_for_submissions() {
     let mut types = MachineTypes::default();
-    types.apply_read_reply(stored(&[a_type()]), 0);
-    let dearer = MachineType { price: 9.0, ..a_type() };
+    types.apply_read_reply(stored(&[machine_type()]), 0);
+    let dearer = MachineType { price: 9.0, ..machine_type() };
     types.apply_cloud_reply(CloudReply::MachineTypes(vec![dearer]), 10, 60);
     assert_eq!((types.call_due(59, VALUE_BYTES, true), types.known()[0].price), (None, 9.0));
     assert_eq!(types.call_due(60, VALUE_BYTES, true), Some(MachineTypesCall::RequestFromCloud));
-    let wider = MachineType { cpus: 64.0, ..a_type() };
+    let wider = MachineType { cpus: 64.0, ..machine_type() };
     types.apply_cloud_reply(CloudReply::MachineTypes(vec![wider]), 70, 80);
     let due = types.call_due(80, VALUE_BYTES, true);
     assert!(
@@ -50,7 +50,7 @@
     types.apply_write_reply(&StoreReply::Conflict { failed: vec![MACHINE_TYPES_KEY.into()] });
     assert_eq!(types.call_due(80, VALUE_BYTES, true), Some(MachineTypesCall::Read));
     types.apply_read_reply(StoreReply::NotFound, 0);
-    types.apply_cloud_reply(CloudReply::MachineTypes(vec![a_type()]), 90, 90);
+    types.apply_cloud_reply(CloudReply::MachineTypes(vec![machine_type()]), 90, 90);
     assert_eq!(types.call_due(90, 8, true), None, "too long to store");
     assert_eq!(types.call_due(90, 8, true), Some(MachineTypesCall::RequestFromCloud));
     types.apply_cloud_reply(CloudReply::Unknown, 95, 200);
--- a/crates/basaltrail-core/src/settings.rs
+++ b/crates/basaltrail-core/src/settings.rs
@@ -12,19 +12,19 @@
     /// The name of the team.
     pub name: String,
     /// Guaranteed CPUs; 0 without a guarantee.
-    pub cpus: f64,
+    pub guaranteed_cpus: f64,
     /// Limit of CPUs; infinite without a limit.
-    pub cpus_max: f64,
+    pub max_cpus: f64,
     /// Guaranteed GPUs.
-    pub gpus: f64,
+    pub guaranteed_gpus: f64,
     /// Limit of GPUs; infinite without a limit.
-    pub gpus_max: f64,
+    pub max_gpus: f64,
 }
 
 impl Team {
     /// Returns whether the team has no guarantee, so that it only runs on borrowed capacity.
     pub fn has_no_guarantee(&self) -> bool {
-        self.cpus <= 0.0
+        self.guaranteed_cpus <= 0.0
     }
 
     /// Returns how many more tasks of a job the limit allows, given what the team may be using.
@@ -35,7 +35,7 @@
             true => u32::MAX,
             false => fitting_tasks(limit - used, demand),
         };
-        count(self.cpus_max, used.cpus, job.cpus).min(count(self.gpus_max, used.gpus, job.gpus))
+        count(self.max_cpus, used.cpus, job.cpus).min(count(self.max_gpus, used.gpus, job.gpus))
     }
 }
 
@@ -47,17 +47,17 @@
         /// The class.
         class: String,
         /// Factor by which the time from the submission to the deadline is multiplied.
-        times: f64,
+        factor: f64,
     },
     /// Each job completes within a fixed time.
-    Finished {
+    Completed {
         /// The class.
         class: String,
         /// Seconds from the submission.
         within_s: f64,
     },
     /// All tasks of each job start within a fixed time.
-    Begun {
+    Started {
         /// The class.
         class: String,
         /// Seconds from the submission.
@@ -85,23 +85,23 @@
     /// Interval between heartbeats of a worker, in milliseconds.
     pub heartbeat_interval_ms: Ms,
     /// Duration of a worker lease, in milliseconds.
-    pub lease_ms: Ms,
+    pub worker_lease_ms: Ms,
     /// Maximum time from the answer to a cancellation until all tasks of the job are gone, in
     /// milliseconds.
-    pub cancel_ms: Ms,
+    pub max_cancellation_ms: Ms,
     /// Requests per second that the store accepts from all controllers together.
     pub store_rps: f64,
     /// Puts and deletes per second that the store accepts from all controllers together.
     pub write_rps: f64,
     /// Maximum size of a value in the store, in bytes.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Maximum number of puts and deletes in a transaction of the store. A transaction may have
     /// four times as many preconditions.
-    pub transaction_ops: usize,
+    pub max_transaction_ops: usize,
     /// Requests per second that the cloud accepts from all controllers together.
     pub cloud_rps: f64,
     /// Lag of the cloud's inventory, in milliseconds; at times it is twice as long.
-    pub list_lag_ms: Ms,
+    pub inventory_lag_ms: Ms,
     /// Memory of this process, in megabytes.
     pub memory_mb: f64,
     /// Maximum number of machines that can send heartbeats to one controller in addition to the
@@ -145,7 +145,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
     /// Duration of the leader lease, as a fraction of the duration of a worker lease.
-    pub leader_lease: f64,
+    pub leader_lease_fraction: f64,
     /// Duration of a round of the fairness ledger, in seconds.
     pub round_s: f64,
     /// Seconds of use that the fairness ledger charges in advance when a task is assigned.
@@ -157,11 +157,11 @@
     pub idle_s: f64,
     /// Maximum number of machines to evaluate for a placement. If there are more, a random sample
     /// of this size is evaluated. A backfill makes at most as many attempts to place a job.
-    pub sample: usize,
+    pub placement_sample_size: usize,
     /// Time that a team within its guarantee waits before tasks on borrowed capacity are preempted
     /// for it even if they cannot save their progress, as a multiple of the duration of a worker
     /// lease. Such tasks are never preempted if `None`.
-    pub guarantee_leases: Option<f64>,
+    pub guarantee_wait_leases: Option<f64>,
     /// Bounds of the backlogs, enforced by admission quotas; backlogs are unbounded if `None`.
     pub admission: Option<AdmissionPolicy>,
     /// Fair-share weights by team name. The default weight of a team is its guarantee in CPUs.
@@ -171,13 +171,13 @@
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            leader_lease: 0.35,
+            leader_lease_fraction: 0.35,
             round_s: 10.0,
             lease_term_s: 10.0,
             headroom: 1.0,
             idle_s: 20.0,
-            sample: 64,
-            guarantee_leases: None,
+            placement_sample_size: 64,
+            guarantee_wait_leases: None,
             admission: None,
             weights: Vec::new(),
         }
@@ -195,7 +195,7 @@
     /// Returns the duration of the leader lease, in milliseconds.
     pub fn leader_lease_ms(&self) -> Ms {
         let (min, max) = LEADER_LEASE_RANGE_MS;
-        ((self.lease_ms as f64 * self.policy.leader_lease) as Ms).clamp(min, max)
+        ((self.worker_lease_ms as f64 * self.policy.leader_lease_fraction) as Ms).clamp(min, max)
     }
 
     /// Returns the duration of a round of the fairness ledger, in milliseconds.
@@ -218,14 +218,16 @@
 
     /// Returns the maximum age of the leader's job cache at which it may renew worker leases, in
     /// milliseconds. A renewal keeps a task running for one more worker lease, and the tasks of a
-    /// cancelled job must be gone `cancel_ms` after the answer to the user.
+    /// cancelled job must be gone `max_cancellation_ms` after the answer to the user.
     pub fn max_job_cache_age_ms(&self) -> Ms {
-        self.cancel_ms.saturating_sub(self.plus_drift_margin(self.lease_ms)).max(self.cancel_ms / 4)
+        self.max_cancellation_ms
+            .saturating_sub(self.plus_drift_margin(self.worker_lease_ms))
+            .max(self.max_cancellation_ms / 4)
     }
 
     /// Returns the time for which a watch of the jobs waits for a change, in milliseconds.
     pub fn watch_timeout_ms(&self) -> Ms {
-        (self.cancel_ms / 6).min(self.max_job_cache_age_ms() / 3)
+        (self.max_cancellation_ms / 6).min(self.max_job_cache_age_ms() / 3)
     }
 
     /// Returns the maximum number of active jobs that the memory of a controller allows.
@@ -253,9 +255,9 @@
     }
 
     /// Returns the time that a team within its guarantee waits before tasks that cannot save their
-    /// progress are preempted for it, in milliseconds; see [`Policy::guarantee_leases`].
+    /// progress are preempted for it, in milliseconds; see [`Policy::guarantee_wait_leases`].
     pub fn guarantee_wait_ms(&self) -> Option<Ms> {
-        self.policy.guarantee_leases.map(|leases| (self.lease_ms as f64 * leases) as Ms)
+        self.policy.guarantee_wait_leases.map(|leases| (self.worker_lease_ms as f64 * leases) as Ms)
     }
 
     /// Returns the index of a team.
@@ -270,10 +272,10 @@
         job: &'a JobSpec,
     ) -> impl Iterator<Item = f64> + 'a {
         self.objectives.iter().filter_map(|objective| match objective {
-            Objective::Deadline { class, times } if *class == job.class => {
-                job.deadline_s.map(|deadline_s| deadline_s * times)
+            Objective::Deadline { class, factor } if *class == job.class => {
+                job.deadline_s.map(|deadline_s| deadline_s * factor)
             }
-            Objective::Finished { class, within_s } if *class == job.class => Some(*within_s),
+            Objective::Completed { class, within_s } if *class == job.class => Some(*within_s),
             _ => None,
         })
     }
@@ -282,7 +284,7 @@
     /// from its submission.
     pub fn start_objectives_s<'a>(&'a self, job: &'a JobSpec) -> impl Iterator<Item = f64> + 'a {
         self.objectives.iter().filter_map(|objective| match objective {
-            Objective::Begun { class, within_s } if *class == job.class => Some(*within_s),
+            Objective::Started { class, within_s } if *class == job.class => Some(*within_s),
             _ => None,
         })
     }
@@ -291,13 +293,13 @@
     pub fn weight(&self, team: usize) -> f64 {
         let team = &self.teams[team];
         let configured = self.policy.weights.iter().find(|(name, _)| *name == team.name);
-        configured.map_or(team.cpus.max(1.0), |(_, weight)| *weight)
+        configured.map_or(team.guaranteed_cpus.max(1.0), |(_, weight)| *weight)
     }
 }
 
 /// Settings, a job and a machine type for unit tests.
 #[cfg(test)]
-pub(crate) mod sample {
+pub(crate) mod fixtures {
     use super::{Policy, Settings};
     use crate::model::{JobKind, JobSpec, MachineType, Priority};
 
@@ -311,14 +313,14 @@
             teams: Vec::new(),
             objectives: Vec::new(),
             heartbeat_interval_ms: 1_000,
-            lease_ms: 10_000,
-            cancel_ms: 30_000,
+            worker_lease_ms: 10_000,
+            max_cancellation_ms: 30_000,
             store_rps: 100.0,
             write_rps: 100.0,
-            value_bytes: 4_096,
-            transaction_ops: 12,
+            max_value_bytes: 4_096,
+            max_transaction_ops: 12,
             cloud_rps: 5.0,
-            list_lag_ms: 3_000,
+            inventory_lag_ms: 3_000,
             memory_mb: 56.0,
             max_machines: 300,
             incarnation: 1,
@@ -326,7 +328,7 @@
         }
     }
 
-    pub(crate) fn a_job(tasks: u32, spot: bool) -> JobSpec {
+    pub(crate) fn job_spec(tasks: u32, spot: bool) -> JobSpec {
         JobSpec {
             kind: JobKind::Array,
             class: "c".into(),
@@ -350,7 +352,7 @@
         }
     }
 
-    pub(crate) fn a_type() -> MachineType {
+    pub(crate) fn machine_type() -> MachineType {
         MachineType {
             name: "x".into(),
             cpus: 8.0,
--- a/crates/basaltrail-core/tests/simulation/simulated/checks.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/checks.rs
@@ -40,7 +40,7 @@
         if too_many_in_zone || in_two_zones || in_wrong_zone || (worker.spot && !spec.spot) {
             violations.push(format!("wrong_place: {task:?} on {machine}"));
         }
-        for team in 0..CPUS_MAX.len() {
+        for team in 0..MAX_CPUS.len() {
             let max = self.limit_in_force(team);
             let used: f64 = self
                 .workers
@@ -73,7 +73,7 @@
                 .map(|(_, earlier)| earlier);
             earlier.chain([&controller.configuration])
         });
-        limits.map(|configuration| configuration.cpus_max[team]).fold(0.0, f64::max)
+        limits.map(|configuration| configuration.max_cpus[team]).fold(0.0, f64::max)
     }
 
     pub(super) fn check_cancelled_jobs_stopped(&mut self) {
@@ -141,7 +141,7 @@
 
 /// Placement of all tasks.
 struct Occupancy {
-    used_by_team: [f64; CPUS_MAX.len()],
+    used_by_team: [f64; MAX_CPUS.len()],
     tasks_of_job: BTreeMap<JobId, u32>,
     free: Vec<FreeMachine>,
 }
@@ -153,7 +153,7 @@
 impl Simulation {
     fn occupancy(&self) -> Occupancy {
         let now = self.now;
-        let mut used_by_team = [0.0; CPUS_MAX.len()];
+        let mut used_by_team = [0.0; MAX_CPUS.len()];
         let mut tasks_of_job: BTreeMap<JobId, u32> = BTreeMap::new();
         let mut free = Vec::new();
         let specs: BTreeMap<JobId, &JobSpec> =
@@ -213,7 +213,7 @@
         let waits = live_tasks.is_none_or(|tasks| spec.is_service() && *tasks < spec.tasks);
         let fits_any_zone = !(spec.one_zone || spec.spread) || live_tasks.is_none();
         let team = team_of(spec);
-        let within_limit = occupancy.used_by_team[team] + spec.cpus <= CPUS_MAX[team] + 1e-9;
+        let within_limit = occupancy.used_by_team[team] + spec.cpus <= MAX_CPUS[team] + 1e-9;
         let fits = |machine: &FreeMachine| {
             machine.cpus + 1e-9 >= spec.cpus
                 && (spec.spot || !machine.spot)
--- a/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/workers.rs
@@ -125,7 +125,7 @@
                 |key: &TaskId| &sim.users.iter().find(|user| user.job == key.job).unwrap().spec;
             live.map(|(key, _)| spec(&key.0)).filter(|s| s.team == team).map(|s| s.cpus).sum()
         };
-        for (team, max) in ["t0", "t1"].into_iter().zip(CPUS_MAX) {
+        for (team, max) in ["t0", "t1"].into_iter().zip(MAX_CPUS) {
             assert!(used(sim, team) > max - 4.0, "{team} is not at its limit: {}", used(sim, team));
         }
         sim.partition_zone(0, LEASE_MS * 3 / 2, true);
--- a/crates/basaltrail-core/tests/simulation/simulated/limits.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/limits.rs
@@ -44,7 +44,7 @@
         assert!(before > 30.0, "seed {seed}: {before} CPUs in use");
         let lowered = 12.0;
         for controller in 0..CONTROLLERS {
-            sim.controllers[controller].next_configuration.cpus_max[1] = lowered;
+            sim.controllers[controller].next_configuration.max_cpus[1] = lowered;
             sim.stop_controller(controller, 400);
             sim.run_until(sim.now + 6_000);
         }
@@ -75,7 +75,7 @@
         for (round, limits) in [[12.0, 30.0], [24.0, 16.0], [8.0, 40.0]].into_iter().enumerate() {
             for controller in 0..CONTROLLERS {
                 let next = &mut sim.controllers[controller].next_configuration;
-                (next.cpus_max[0], next.cpus_max[1]) = (limits[0], limits[1]);
+                (next.max_cpus[0], next.max_cpus[1]) = (limits[0], limits[1]);
                 sim.stop_controller(controller, [20, 400, 3_000][(controller + round) % 3]);
                 sim.inject_fault();
                 sim.run_until(sim.now + 9_000);
@@ -107,7 +107,7 @@
         let guaranteed = User::new(2000, unsaved(0, 6), SUBMITTED_AT_MS, None);
         let mut sim = simulation_with_long_tasks(seed, others.chain([guaranteed]).collect());
         for controller in 0..CONTROLLERS {
-            sim.controllers[controller].next_configuration.policy.guarantee_leases =
+            sim.controllers[controller].next_configuration.policy.guarantee_wait_leases =
                 Some(GUARANTEE_LEASES);
             sim.start_controller(controller);
         }
--- a/crates/basaltrail-core/tests/simulation/simulated/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/mod.rs
@@ -33,7 +33,7 @@
 const CONTROLLERS: usize = 3;
 const ZONES: [&str; 2] = ["a", "b"];
 /// Limit of each team. The last team has neither a guarantee nor a limit.
-const CPUS_MAX: [f64; 3] = [24.0, 40.0, f64::INFINITY];
+const MAX_CPUS: [f64; 3] = [24.0, 40.0, f64::INFINITY];
 /// After the faults have ended, a user gets an answer about each unfinished job within this time.
 const ANSWERED_WITHIN_MS: u64 = 75_000;
 /// Longest time for which a job may wait while a machine has room for it.
@@ -55,13 +55,13 @@
 #[derive(Clone)]
 struct Configuration {
     store_limits: (usize, usize),
-    cpus_max: [f64; CPUS_MAX.len()],
+    max_cpus: [f64; MAX_CPUS.len()],
     policy: Policy,
 }
 
 impl Default for Configuration {
     fn default() -> Self {
-        Configuration { store_limits: STORE_LIMITS, cpus_max: CPUS_MAX, policy: Policy::default() }
+        Configuration { store_limits: STORE_LIMITS, max_cpus: MAX_CPUS, policy: Policy::default() }
     }
 }
 
@@ -69,10 +69,10 @@
     let store_limits = configuration.store_limits;
     let team = |i: usize| Team {
         name: format!("t{i}"),
-        cpus: if CPUS_MAX[i].is_finite() { CPUS_MAX[i] / 2.0 } else { 0.0 },
-        cpus_max: configuration.cpus_max[i],
-        gpus: 0.0,
-        gpus_max: 0.0,
+        guaranteed_cpus: if MAX_CPUS[i].is_finite() { MAX_CPUS[i] / 2.0 } else { 0.0 },
+        max_cpus: configuration.max_cpus[i],
+        guaranteed_gpus: 0.0,
+        max_gpus: 0.0,
     };
     Settings {
         controller: format!("n{controller}"),
@@ -83,17 +83,17 @@
             .filter(|n| *n != controller)
             .map(|n| ZONES[n % 2].into())
             .collect(),
-        teams: (0..CPUS_MAX.len()).map(team).collect(),
-        objectives: vec![Objective::Finished { class: "c".into(), within_s: 60.0 }],
+        teams: (0..MAX_CPUS.len()).map(team).collect(),
+        objectives: vec![Objective::Completed { class: "c".into(), within_s: 60.0 }],
         heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
-        lease_ms: LEASE_MS,
-        cancel_ms: CANCEL_MS,
+        worker_lease_ms: LEASE_MS,
+        max_cancellation_ms: CANCEL_MS,
         store_rps: 120.0,
         write_rps: 40.0,
-        value_bytes: store_limits.0,
-        transaction_ops: store_limits.1,
+        max_value_bytes: store_limits.0,
+        max_transaction_ops: store_limits.1,
         cloud_rps: 5.0,
-        list_lag_ms: LIST_LAG_MS,
+        inventory_lag_ms: LIST_LAG_MS,
         memory_mb: 56.0,
         max_machines: 5_000,
         incarnation,
--- a/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
@@ -21,8 +21,8 @@
     let bounds = settings.admission_bounds().unwrap();
     let load = TeamLoad {
         team: settings.teams[team].name.clone(),
-        guaranteed: settings.teams[team].cpus,
-        limit: settings.teams[team].cpus_max,
+        guaranteed: settings.teams[team].guaranteed_cpus,
+        limit: settings.teams[team].max_cpus,
         share: settings.weight_share(team),
         served: 0.0,
         classes: Vec::new(),
@@ -40,8 +40,8 @@
     }
 
     /// Returns the number of active jobs in the store, by team.
-    fn active_jobs(&self) -> [usize; CPUS_MAX.len()] {
-        let mut count = [0; CPUS_MAX.len()];
+    fn active_jobs(&self) -> [usize; MAX_CPUS.len()] {
+        let mut count = [0; MAX_CPUS.len()];
         for (key, stored) in &self.store.keys {
             if key.starts_with(records::ACTIVE_JOBS_PREFIX) {
                 let record: records::JobRecord = records::decode(&stored.value).unwrap();
@@ -53,8 +53,8 @@
 
     /// Runs until `until` and checks the bounds ten times a second. Returns the maximum of active
     /// jobs of each team.
-    fn run_and_check_bounds(&mut self, until: u64) -> [usize; CPUS_MAX.len()] {
-        let mut max_active = [0; CPUS_MAX.len()];
+    fn run_and_check_bounds(&mut self, until: u64) -> [usize; MAX_CPUS.len()] {
+        let mut max_active = [0; MAX_CPUS.len()];
         while self.now < until {
             self.run_until(self.now + 100);
             for (team, active) in self.active_jobs().into_iter().enumerate() {
--- a/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
@@ -54,7 +54,7 @@
 /// Returns a user with a random job. The order of the random draws determines each seeded run.
 fn random_user(rng: &mut SmallRng, i: u64) -> User {
     let submit_at = rng.random_range(2_000..FAULTS_END_MS + 20_000);
-    let team = rng.random_range(0..CPUS_MAX.len());
+    let team = rng.random_range(0..MAX_CPUS.len());
     let spec = JobSpec {
         priority: if rng.random_bool(0.5) { Priority::Normal } else { Priority::Low },
         tasks: rng.random_range(1..14),
--- a/crates/basaltrail-core/tests/simulation/simulated/store.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store.rs
@@ -116,8 +116,8 @@
         puts: &[PutRequest],
         deletes: &[String],
     ) -> StoreReply {
-        let (value_bytes, max_ops) = self.limits;
-        let too_large = puts.iter().any(|put| put.value.len() > value_bytes);
+        let (max_value_bytes, max_ops) = self.limits;
+        let too_large = puts.iter().any(|put| put.value.len() > max_value_bytes);
         if too_large || puts.len() + deletes.len() > max_ops || preconditions.len() > max_ops * 4 {
             return StoreReply::Rejected;
         }
--- a/crates/basaltrail-core/tests/simulation/simulated/store_requests.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store_requests.rs
@@ -5,9 +5,9 @@
 
 /// Returns whether a request is within limits on the bytes of a value and the operations of a
 /// transaction.
-pub(super) fn fits_limits(request: &StoreRequest, (value_bytes, ops): (usize, usize)) -> bool {
+pub(super) fn fits_limits(request: &StoreRequest, (max_value_bytes, ops): (usize, usize)) -> bool {
     let StoreRequest::Transaction { preconditions, puts, deletes } = request else { return true };
-    let values_fit = puts.iter().all(|put| put.value.len() <= value_bytes);
+    let values_fit = puts.iter().all(|put| put.value.len() <= max_value_bytes);
     values_fit && puts.len() + deletes.len() <= ops && preconditions.len() <= ops * 4
 }
 
--- a/crates/basaltrail-core/tests/simulation/simulated/users.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/users.rs
@@ -119,7 +119,7 @@
             1 => spec.types = Some(vec!["y".into()]),
             2 => spec.zone = Some("q".into()),
             3 => spec.team = "nobody".into(),
-            _ => (spec.team, spec.cpus) = ("t0".into(), CPUS_MAX[0] + 1.0),
+            _ => (spec.team, spec.cpus) = ("t0".into(), MAX_CPUS[0] + 1.0),
         }
         let request_id = self.register_request(Requester::InvalidJob);
         let job = JobId(500_000 + request_id.0);
--- a/crates/basaltrail-core/tests/trace_player/mod.rs
+++ b/crates/basaltrail-core/tests/trace_player/mod.rs
@@ -16,12 +16,12 @@
 const TICK_MS: u64 = 50;
 
 fn settings() -> Settings {
-    let team = |name: &str, cpus_max: f64| Team {
+    let team = |name: &str, max_cpus: f64| Team {
         name: name.into(),
-        cpus: 8.0,
-        cpus_max,
-        gpus: 0.0,
-        gpus_max: 0.0,
+        guaranteed_cpus: 8.0,
+        max_cpus,
+        guaranteed_gpus: 0.0,
+        max_gpus: 0.0,
     };
     Settings {
         controller: "n0".into(),
@@ -32,18 +32,18 @@
         teams: vec![team("wide", 64.0), team("narrow", 8.0), team("tiny", 4.0)],
         objectives: Vec::new(),
         heartbeat_interval_ms: 1_000,
-        lease_ms: 10_000,
-        cancel_ms: 30_000,
+        worker_lease_ms: 10_000,
+        max_cancellation_ms: 30_000,
         store_rps: 1_000.0,
         write_rps: 1_000.0,
-        value_bytes: 4_096,
-        transaction_ops: 12,
+        max_value_bytes: 4_096,
+        max_transaction_ops: 12,
         cloud_rps: 100.0,
-        list_lag_ms: 3_000,
+        inventory_lag_ms: 3_000,
         memory_mb: 56.0,
         max_machines: 5_000,
         incarnation: 7,
-        policy: Policy { leader_lease: 0.5, ..Policy::default() },
+        policy: Policy { leader_lease_fraction: 0.5, ..Policy::default() },
     }
 }
 
--- a/crates/basaltrail/src/policy.rs
+++ b/crates/basaltrail/src/policy.rs
@@ -144,7 +144,9 @@
     ) -> Result<(), ConfigError> {
         let policy = &mut operator_settings.policy;
         match entry.key.as_str() {
-            "leader-lease" => policy.leader_lease = self.parse_number(entry, LEADER_LEASE_RANGE)?,
+            "leader-lease" => {
+                policy.leader_lease_fraction = self.parse_number(entry, LEADER_LEASE_RANGE)?
+            }
             "round-s" => policy.round_s = self.parse_number(entry, ROUND_S_RANGE)?,
             "lease-term-s" => policy.lease_term_s = self.parse_number(entry, LEASE_TERM_S_RANGE)?,
             "headroom" => policy.headroom = self.parse_number(entry, HEADROOM_RANGE)?,
@@ -152,9 +154,12 @@
             "administration" => operator_settings.administration = Some(self.parse_address(entry)?),
             "admission" => policy.admission = Some(self.parse_admission(entry)?),
             "guarantee-leases" => {
-                policy.guarantee_leases = Some(self.parse_number(entry, GUARANTEE_LEASES_RANGE)?);
+                policy.guarantee_wait_leases =
+                    Some(self.parse_number(entry, GUARANTEE_LEASES_RANGE)?);
+            }
+            "sample" => {
+                policy.placement_sample_size = self.parse_number(entry, SAMPLE_RANGE)? as usize
             }
-            "sample" => policy.sample = self.parse_number(entry, SAMPLE_RANGE)? as usize,
             "weights" => policy.weights = self.parse_weights(entry)?,
             _ => {
                 let key = entry.key.clone();
--- a/crates/basaltrail/src/policy_tests.rs
+++ b/crates/basaltrail/src/policy_tests.rs
@@ -13,14 +13,14 @@
     let policy =
         parse_policy("; ours\n(policy (leader-lease 0.4)\n (sample 8) (weights (buyers 3)))")
             .unwrap();
-    assert_eq!((policy.leader_lease, policy.sample), (0.4, 8));
+    assert_eq!((policy.leader_lease_fraction, policy.placement_sample_size), (0.4, 8));
     assert_eq!(policy.weights, [("buyers".to_string(), 3.0)]);
     assert_eq!(parse_policy("(policy)").unwrap(), Policy::default());
     let with_admission =
         parse_policy("(policy (admission (backlog-s 60)) (guarantee-leases 2))").unwrap();
     let expected = AdmissionPolicy { backlog_s: 60.0, ..AdmissionPolicy::default() };
     assert_eq!(
-        (with_admission.admission, with_admission.guarantee_leases),
+        (with_admission.admission, with_admission.guarantee_wait_leases),
         (Some(expected), Some(2.0))
     );
     assert_eq!(
--- a/crates/basaltrail/src/settings/mod.rs
+++ b/crates/basaltrail/src/settings/mod.rs
@@ -101,14 +101,14 @@
         teams,
         objectives: params.objectives.iter().filter_map(convert_objective).collect(),
         heartbeat_interval_ms: source.seconds_to_ms("workers.report_s", workers.report_s)?,
-        lease_ms: source.seconds_to_ms("workers.lease_s", workers.lease_s)?,
-        cancel_ms: source.seconds_to_ms("workers.cancel_s", workers.cancel_s)?,
+        worker_lease_ms: source.seconds_to_ms("workers.lease_s", workers.lease_s)?,
+        max_cancellation_ms: source.seconds_to_ms("workers.cancel_s", workers.cancel_s)?,
         store_rps: store_limits.rps,
         write_rps: store_limits.write_rps,
-        value_bytes: store_limits.value_bytes,
-        transaction_ops: store_limits.transaction_ops,
+        max_value_bytes: store_limits.max_value_bytes,
+        max_transaction_ops: store_limits.max_transaction_ops,
         cloud_rps: source.check_positive("cloud.rps", params.cloud.rps)?,
-        list_lag_ms: (params.cloud.list_lag_s.clamp(0.0, MAX_LIST_LAG_S) * 1000.0) as u64,
+        inventory_lag_ms: (params.cloud.list_lag_s.clamp(0.0, MAX_LIST_LAG_S) * 1000.0) as u64,
         memory_mb: source.check_positive("resources.mem_mb", params.resources.mem_mb)?,
         max_machines: params.resources.max_connections / CONNECTIONS_PER_MACHINE,
         incarnation: SmallRng::from_os_rng().random(),
@@ -130,9 +130,9 @@
 fn convert_objective(entry: &ObjectiveEntry) -> Option<Objective> {
     let class = entry.class.clone()?;
     match entry.kind.as_str() {
-        "deadline" => Some(Objective::Deadline { class, times: entry.times.unwrap_or(1.0) }),
-        "finished" => Some(Objective::Finished { class, within_s: entry.within_s? }),
-        "wait" => Some(Objective::Begun { class, within_s: entry.within_s? }),
+        "deadline" => Some(Objective::Deadline { class, factor: entry.times.unwrap_or(1.0) }),
+        "finished" => Some(Objective::Completed { class, within_s: entry.within_s? }),
+        "wait" => Some(Objective::Started { class, within_s: entry.within_s? }),
         _ => None,
     }
 }
--- a/crates/basaltrail/src/settings/store_limits.rs
+++ b/crates/basaltrail/src/settings/store_limits.rs
@@ -22,8 +22,8 @@
 pub(super) struct StoreLimits {
     pub(super) rps: f64,
     pub(super) write_rps: f64,
-    pub(super) value_bytes: usize,
-    pub(super) transaction_ops: usize,
+    pub(super) max_value_bytes: usize,
+    pub(super) max_transaction_ops: usize,
 }
 
 impl StoreLimits {
@@ -42,8 +42,8 @@
         Ok(StoreLimits {
             rps,
             write_rps,
-            value_bytes: (value_kb * BYTES_PER_KB) as usize,
-            transaction_ops: ops as usize,
+            max_value_bytes: (value_kb * BYTES_PER_KB) as usize,
+            max_transaction_ops: ops as usize,
         })
     }
 }
--- a/crates/basaltrail/src/settings/teams.rs
+++ b/crates/basaltrail/src/settings/teams.rs
@@ -39,10 +39,10 @@
 fn convert_team(entry: &TeamEntry) -> Team {
     Team {
         name: entry.name.clone(),
-        cpus: entry.cpus,
-        cpus_max: convert_limit(entry.cpus_max),
-        gpus: entry.gpus,
-        gpus_max: convert_limit(entry.gpus_max),
+        guaranteed_cpus: entry.cpus,
+        max_cpus: convert_limit(entry.cpus_max),
+        guaranteed_gpus: entry.gpus,
+        max_gpus: convert_limit(entry.gpus_max),
     }
 }
 
--- a/crates/basaltrail/src/settings/tests.rs
+++ b/crates/basaltrail/src/settings/tests.rs
@@ -9,11 +9,11 @@
 fn settings_are_parsed_and_unknown_keys_are_ignored() {
     let settings = parse("s.toml", &format!("later = 1\n{VALID}")).unwrap();
     assert_eq!(settings.core.teams.len(), 2);
-    assert_eq!(settings.core.lease_ms, 10_000);
+    assert_eq!(settings.core.worker_lease_ms, 10_000);
     assert_eq!(settings.peers.len(), 2);
-    let begun = Objective::Begun { class: "nightly-catalogue".into(), within_s: 40.0 };
+    let started = Objective::Started { class: "nightly-catalogue".into(), within_s: 40.0 };
     let objectives = &settings.core.objectives;
-    assert!(objectives.contains(&begun), "{objectives:?}");
+    assert!(objectives.contains(&started), "{objectives:?}");
 }
 
 /// A team without a guarantee and a limit has amounts of 0 or lacks the keys.
@@ -28,9 +28,12 @@
         );
         let core = parse("s.toml", &text).unwrap().core;
         let without_guarantee = &core.teams[2];
-        assert_eq!((without_guarantee.cpus, without_guarantee.cpus_max), (0.0, f64::INFINITY));
+        assert_eq!(
+            (without_guarantee.guaranteed_cpus, without_guarantee.max_cpus),
+            (0.0, f64::INFINITY)
+        );
         assert!(core.weight(2).is_finite() && core.weight(2) > 0.0);
-        assert_eq!(core.teams[0].cpus_max, 664.0);
+        assert_eq!(core.teams[0].max_cpus, 664.0);
     }
 }
 
@@ -44,7 +47,7 @@
     };
     let limits = |settings: ProcessSettings| {
         let core = settings.core;
-        (core.store_rps, core.write_rps, core.value_bytes, core.transaction_ops)
+        (core.store_rps, core.write_rps, core.max_value_bytes, core.max_transaction_ops)
     };
     let current = (120.0, 40.0, 16 * 1024, 24);
     assert_eq!(limits(parse("s.toml", VALID).unwrap()), current);
--- a/tests/mixed-versions/tests/versions/convert.rs
+++ b/tests/mixed-versions/tests/versions/convert.rs
@@ -19,14 +19,14 @@
                     teams: settings.teams.into_iter().map(team).collect(),
                     objectives: settings.objectives.into_iter().map(objective).collect(),
                     report_ms: settings.heartbeat_interval_ms,
-                    lease_ms: settings.lease_ms,
-                    cancel_ms: settings.cancel_ms,
+                    lease_ms: settings.worker_lease_ms,
+                    cancel_ms: settings.max_cancellation_ms,
                     state_rps: settings.store_rps,
                     write_rps: settings.write_rps,
-                    value_bytes: settings.value_bytes,
-                    txn_ops: settings.transaction_ops,
+                    value_bytes: settings.max_value_bytes,
+                    txn_ops: settings.max_transaction_ops,
                     cloud_rps: settings.cloud_rps,
-                    list_lag_ms: settings.list_lag_ms,
+                    list_lag_ms: settings.inventory_lag_ms,
                     memory_mb: settings.memory_mb,
                     machines_most: settings.max_machines,
                     incarnation: settings.incarnation,
@@ -37,22 +37,22 @@
             fn team(team: new::Team) -> old::Team {
                 old::Team {
                     name: team.name,
-                    cpus: team.cpus,
-                    cpus_max: team.cpus_max,
-                    gpus: team.gpus,
-                    gpus_max: team.gpus_max,
+                    cpus: team.guaranteed_cpus,
+                    cpus_max: team.max_cpus,
+                    gpus: team.guaranteed_gpus,
+                    gpus_max: team.max_gpus,
                 }
             }
 
             fn objective(objective: new::Objective) -> old::Objective {
                 match objective {
-                    new::Objective::Deadline { class, times } => {
-                        old::Objective::Deadline { class, times }
+                    new::Objective::Deadline { class, factor } => {
+                        old::Objective::Deadline { class, times: factor }
                     }
-                    new::Objective::Finished { class, within_s } => {
+                    new::Objective::Completed { class, within_s } => {
                         old::Objective::Finished { class, within_s }
                     }
-                    new::Objective::Begun { class, within_s } => {
+                    new::Objective::Started { class, within_s } => {
                         old::Objective::Begun { class, within_s }
                     }
                 }
