--- a/crates/basaltrail-core/src/controller/client_requests.rs
+++ b/crates/basaltrail-core/src/controller/client_requests.rs
@@ -103,7 +103,7 @@
             return Some(Rejection::Unschedulable(reason));
         }
         let accepted_by = Some(self.cfg.controller.clone());
-        let record = JobRecord { accepted_at: self.wall, spec: spec.clone(), accepted_by };
+        let record = JobRecord { accepted_at: self.wall_clock_ms, spec: spec.clone(), accepted_by };
         let too_long = encode(&record).len() > self.cfg.max_value_bytes;
         too_long.then_some(Rejection::Invalid(InvalidReason::DescriptionTooLong))
     }
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -53,7 +53,7 @@
     /// Steady clock at the current step, in milliseconds.
     now: Ms,
     /// Wall clock at the current step, in milliseconds.
-    wall: WallMs,
+    wall_clock_ms: WallMs,
     rng: SmallRng,
     calls: Calls,
     election: Election,
@@ -90,7 +90,7 @@
             (cfg.memory_mb * CACHED_OUTCOMES_PER_MB).max(MIN_CACHED_OUTCOMES) as usize;
         Controller {
             now: 0,
-            wall: 0,
+            wall_clock_ms: 0,
             rng: SmallRng::seed_from_u64(seed),
             calls: Calls::default(),
             election: Election::new(ElectionSettings {
@@ -153,10 +153,10 @@
     }
 
     /// Processes an input and all work that is due, and returns the effects in order. `now` is the
-    /// steady clock and `wall` the wall clock, both in milliseconds.
-    pub fn step(&mut self, now: Ms, wall: WallMs, input: Input) -> Vec<Effect> {
+    /// steady clock and `wall_clock_ms` the wall clock, both in milliseconds.
+    pub fn step(&mut self, now: Ms, wall_clock_ms: WallMs, input: Input) -> Vec<Effect> {
         self.now = self.now.max(now);
-        self.wall = wall;
+        self.wall_clock_ms = wall_clock_ms;
         match input {
             Input::Tick => {}
             Input::Submit { request_id, job, spec } => {
@@ -194,10 +194,10 @@
         let leader = self.leader.as_mut()?;
         let ctx = Context {
             cfg: &self.cfg,
-            types: self.machine_types.known(),
+            machine_types: self.machine_types.known(),
             job_cache: &self.job_cache,
             now: self.now,
-            wall: self.wall,
+            wall_clock_ms: self.wall_clock_ms,
             holds_valid_lease: self.election.holds_valid_lease(self.now),
             job_cache_is_fresh,
         };
@@ -294,10 +294,10 @@
         self.calls.log(LeadershipEvent::Elected { token: term.token });
         let ctx = Context {
             cfg: &self.cfg,
-            types: self.machine_types.known(),
+            machine_types: self.machine_types.known(),
             job_cache: &self.job_cache,
             now: self.now,
-            wall: self.wall,
+            wall_clock_ms: self.wall_clock_ms,
             holds_valid_lease: true,
             job_cache_is_fresh: false,
         };
--- a/crates/basaltrail-core/src/controller/submissions.rs
+++ b/crates/basaltrail-core/src/controller/submissions.rs
@@ -107,7 +107,7 @@
     fn job_record(&self, submission: &AdmittedSubmission) -> JobRecord {
         let accepted_by =
             self.admission.quota_precondition(submission).map(|_| self.cfg.controller.clone());
-        JobRecord { accepted_at: self.wall, spec: (*submission.spec).clone(), accepted_by }
+        JobRecord { accepted_at: self.wall_clock_ms, spec: (*submission.spec).clone(), accepted_by }
     }
 
     /// Handles the reply to a batch.
--- a/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
@@ -73,7 +73,7 @@
     demand: &[TypeDemand],
     peak: &mut DemandPeak,
 ) -> Vec<CapacityTarget> {
-    let candidates = ctx.types.iter().enumerate();
+    let candidates = ctx.machine_types.iter().enumerate();
     let price = |t: &MachineType| price_per_cpu(t, true);
     let Some((cheapest, cheapest_type)) =
         candidates.min_by(|a, b| price(a.1).total_cmp(&price(b.1)))
@@ -86,7 +86,7 @@
     // The capacity held ready follows recent demand, so that no machines idle once the work ends.
     let peak_machines = peak.update(ctx, limit_cpus, demand[cheapest].machines);
     let mut targets = Vec::new();
-    for (index, (demand, machine_type)) in demand.iter().zip(ctx.types).enumerate() {
+    for (index, (demand, machine_type)) in demand.iter().zip(ctx.machine_types).enumerate() {
         let cpus = machine_type.cpus.max(1e-9);
         let held_ready = match index == cheapest {
             true => guaranteed_cpus * ctx.cfg.policy.headroom / cpus,
--- a/crates/basaltrail-core/src/leader/autoscaler/demand.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/demand.rs
@@ -21,12 +21,14 @@
 /// Returns the demand for each type. A job counts towards the type that runs its tasks at the
 /// lowest price.
 pub(in crate::leader) fn demand_by_type(ctx: &Context, cluster: &Cluster) -> Vec<TypeDemand> {
-    let mut demand = vec![TypeDemand::default(); ctx.types.len()];
+    let mut demand = vec![TypeDemand::default(); ctx.machine_types.len()];
     let mut remaining_limit_cpus: Vec<f64> =
         ctx.cfg.teams.iter().map(|team| team.max_cpus).collect();
     let is_unfinished_array = |job: &&JobState| job.ended.is_none() && !job.spec.is_service();
     for job in cluster.jobs.values().filter(is_unfinished_array) {
-        let Some((index, machine_type)) = cheapest_type(ctx.types, &job.spec) else { continue };
+        let Some((index, machine_type)) = cheapest_type(ctx.machine_types, &job.spec) else {
+            continue;
+        };
         let cpus = job.spec.cpus;
         let tasks =
             job.desired_placements().min(fitting_tasks(remaining_limit_cpus[job.team], cpus));
@@ -58,7 +60,7 @@
     live: &[&Machine],
     kind: &MachineKind,
 ) -> usize {
-    let Some(wanted_type) = machine_type(ctx.types, &kind.machine_type) else { return 0 };
+    let Some(wanted_type) = machine_type(ctx.machine_types, &kind.machine_type) else { return 0 };
     let is_constrained = |spec: &JobSpec| !spec.spot || spec.zone.is_some() || spec.types.is_some();
     let is_pending_array = |job: &&JobState| job.pending() > 0 && !job.spec.is_service();
     let mut max_missing = 0;
@@ -75,7 +77,7 @@
         let tasks = job.desired_placements().min(limit);
         let needed = tasks.div_ceil(wanted_type.task_capacity(&job.spec)) as usize;
         let is_suitable = |machine: &&&Machine| {
-            machine_type(ctx.types, &machine.machine_type)
+            machine_type(ctx.machine_types, &machine.machine_type)
                 .is_some_and(|t| can_run_on(&job.spec, t, &machine.zone, machine.spot))
         };
         max_missing =
--- a/crates/basaltrail-core/src/leader/autoscaler/drain.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/drain.rs
@@ -110,7 +110,8 @@
     surplus_since: Ms,
 ) -> DrainBudget {
     let machines = fleet.of_type(&target.machine_type);
-    let boot_ms = machine_type(ctx.types, &target.machine_type).map_or(0.0, |t| t.boot_s) * 1000.0;
+    let boot_ms =
+        machine_type(ctx.machine_types, &target.machine_type).map_or(0.0, |t| t.boot_s) * 1000.0;
     let is_lasting = (ctx.now - surplus_since) as f64 >= boot_ms;
     DrainBudget {
         idle: machines.saturating_sub(target.usable),
--- a/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
@@ -74,7 +74,7 @@
         fleet: &Fleet,
     ) -> Self {
         let mut needs = KindNeeds { for_services: BTreeMap::new(), missing: BTreeMap::new() };
-        for kind in kinds_by_price(ctx.types, |_| 0) {
+        for kind in kinds_by_price(ctx.machine_types, |_| 0) {
             let for_services = machines_for_services(ctx, cluster, sizes, &kind);
             let missing = missing_for_constrained_jobs(ctx, cluster, live, &kind)
                 .max(for_services.saturating_sub(fleet.of_kind(&kind)));
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -97,7 +97,7 @@
     /// Sends the calls to the cloud that are due: the next page of the list of machines, and the
     /// provisioning requests of a new plan.
     pub(in crate::leader) fn call_cloud(&mut self, ctx: &Context, calls: &mut Calls) {
-        if !ctx.holds_valid_lease || ctx.types.is_empty() {
+        if !ctx.holds_valid_lease || ctx.machine_types.is_empty() {
             return;
         }
         self.autoscaler.inventory.request_page(ctx, self.token, calls);
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -74,7 +74,7 @@
     ) -> Self {
         let LeaderState { elected_at, reachable_since, .. } = leader;
         let is_settled = ctx.now > elected_at.max(reachable_since) + ctx.cfg.worker_lease_ms / 2;
-        let boot_s = ctx.types.iter().map(|t| t.boot_s).fold(1.0, f64::max);
+        let boot_s = ctx.machine_types.iter().map(|t| t.boot_s).fold(1.0, f64::max);
         TerminationCriteria {
             ctx,
             autoscaler,
@@ -190,7 +190,7 @@
         leader: LeaderState,
         calls: &mut Calls,
     ) {
-        let is_ready = ctx.holds_valid_lease && !ctx.types.is_empty();
+        let is_ready = ctx.holds_valid_lease && !ctx.machine_types.is_empty();
         if !is_ready || self.termination.in_flight || ctx.now < self.termination.next_call_at {
             return;
         }
@@ -226,7 +226,9 @@
         let Some(machine) = cluster.machines.get_mut(id) else { return };
         machine.decommission = Decommission::Terminating;
         let never_came_up = machine.abandoned && machine.last_heartbeat.is_none();
-        if let Some(t) = machine_type(ctx.types, &machine.machine_type).filter(|_| never_came_up) {
+        if let Some(t) =
+            machine_type(ctx.machine_types, &machine.machine_type).filter(|_| never_came_up)
+        {
             self.provisioning_times.record_abandonment(t, &machine.zone, ctx.now);
         }
     }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -83,8 +83,9 @@
         let is_reachable = |zone: &str| {
             !self.partitions.contains(zone) && !is_zone_unheard_since_failover(cluster, zone)
         };
-        let kinds =
-            kinds_by_price(ctx.types, |kind| plan.fleet.of_kind(kind) + requested_of_kind(kind));
+        let kinds = kinds_by_price(ctx.machine_types, |kind| {
+            plan.fleet.of_kind(kind) + requested_of_kind(kind)
+        });
         kinds
             .into_iter()
             .filter(|kind| queue.may_request(kind, ctx.now) && is_reachable(&kind.zone))
@@ -104,7 +105,7 @@
         let requested = self.provisioning.requested_machines(|other| {
             (&other.machine_type, &other.zone) == (&kind.machine_type, &kind.zone)
         });
-        machine_type(ctx.types, &kind.machine_type).map_or(0, |machine_type| {
+        machine_type(ctx.machine_types, &kind.machine_type).map_or(0, |machine_type| {
             self.provisioning_times.request_allowance(machine_type, &kind.zone, requested, ctx.now)
         })
     }
@@ -117,7 +118,7 @@
             let requested_at = machine
                 .requested_at
                 .filter(|_| machine.last_heartbeat.is_none() && machine.is_empty());
-            let known_type = machine_type(ctx.types, &machine.machine_type);
+            let known_type = machine_type(ctx.machine_types, &machine.machine_type);
             machine.overdue = false;
             if let (Some(at), Some(machine_type), Decommission::No) =
                 (requested_at, known_type, machine.decommission)
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -107,12 +107,12 @@
         self.apply_reclaim_notice(ctx, calls, id);
         self.reconcile_all(ctx, calls, id, changes);
         self.set_registered_free(id, false);
-        self.cluster.record_images(ctx.types, id);
+        self.cluster.record_images(ctx.machine_types, id);
         // Tasks can now be placed on a machine that was not usable before, and a waiting job may
         // fit into the free capacity of the machine.
         let machine = &self.cluster.machines[id];
-        let has_room = type_index(ctx.types, &machine.machine_type)
-            .is_some_and(|index| machine.used().cpus < ctx.types[index].cpus);
+        let has_room = type_index(ctx.machine_types, &machine.machine_type)
+            .is_some_and(|index| machine.used().cpus < ctx.machine_types[index].cpus);
         self.scheduler.changed |= !was_usable || (has_room && self.scheduler.short_of_capacity);
         Ok(())
     }
@@ -128,7 +128,7 @@
             spot: machine.spot,
             age_ms: ctx.now - machine.known_since,
         });
-        let machine_type = machine_type(ctx.types, &machine.machine_type);
+        let machine_type = machine_type(ctx.machine_types, &machine.machine_type);
         if let (Some(at), Some(machine_type)) = (machine.requested_at, machine_type) {
             let took_ms = ctx.now - at;
             let times = &mut self.autoscaler.provisioning_times;
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -39,13 +39,13 @@
     /// The controller's settings.
     pub cfg: &'a Settings,
     /// Machine types offered by the cloud.
-    pub types: &'a [MachineType],
+    pub machine_types: &'a [MachineType],
     /// Cache of the job records in the store.
     pub job_cache: &'a JobCache,
     /// Current time of the monotonic clock, in milliseconds.
     pub now: Ms,
     /// Current wall-clock time, in milliseconds.
-    pub wall: WallMs,
+    pub wall_clock_ms: WallMs,
     /// Whether this controller holds a valid leader lease.
     pub holds_valid_lease: bool,
     /// Whether the job cache contains every outcome from before the leader lease became valid.
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -165,7 +165,7 @@
         }
         self.ledger_due = false;
         transaction.pending.writes_ledger = true;
-        let leases_end = ctx.wall + (ctx.cfg.policy.lease_term_s * 1000.0) as WallMs;
+        let leases_end = ctx.wall_clock_ms + (ctx.cfg.policy.lease_term_s * 1000.0) as WallMs;
         let jobs = sources.cluster.jobs.values();
         let crash_loops = jobs
             .filter(|job| job.ended.is_none() && job.health.is_crash_looping())
--- a/crates/basaltrail-core/src/leader/scheduler/accounting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/accounting.rs
@@ -47,8 +47,8 @@
     let up_machines =
         cluster.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired);
     for machine in up_machines {
-        if let Some(index) = type_index(ctx.types, &machine.machine_type) {
-            fleet_cpus += ctx.types[index].cpus;
+        if let Some(index) = type_index(ctx.machine_types, &machine.machine_type) {
+            fleet_cpus += ctx.machine_types[index].cpus;
         }
         for ((task, _), slot) in machine.slots.iter().filter(|(_, slot)| slot.is_running()) {
             if let Some(demand) = slot.demand {
--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -131,7 +131,7 @@
     /// job. The demand of that task counts as used by the job's team.
     pub(in crate::leader) fn reserve_machine(&mut self, id: JobId) -> Option<MachineId> {
         let job = self.inputs.cluster.jobs.get(&id)?;
-        let types = self.inputs.ctx.types;
+        let types = self.inputs.ctx.machine_types;
         let best = (0..self.free.len())
             .filter(|index| self.free[*index].permitted_by(&job.spec, types))
             .max_by(|a, b| self.free[*a].free.cpus.total_cmp(&self.free[*b].free.cpus));
@@ -193,12 +193,13 @@
             has_image: &has_image,
         };
         let sample_size = ctx.cfg.policy.placement_sample_size;
-        let placement = choose_placement(&self.free, ctx.types, &separate, sample_size, rng);
+        let placement =
+            choose_placement(&self.free, ctx.machine_types, &separate, sample_size, rng);
         if placement.is_some() || machines_with_replica.is_empty() {
             return placement;
         }
         let shared = PlacementRequest { avoid: &avoid, ..separate };
-        choose_placement(&self.free, ctx.types, &shared, sample_size, rng)
+        choose_placement(&self.free, ctx.machine_types, &shared, sample_size, rng)
     }
 
     /// Places tasks of a job on a machine. Returns the number of placed tasks.
--- a/crates/basaltrail-core/src/leader/scheduler/backfill.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/backfill.rs
@@ -46,7 +46,9 @@
             self.assign(*id, u32::MAX);
         }
         if let Some(capacity) = self.assigner.free.first_mut() {
-            snapshot.reserved_capacity.deduct_reserved(self.assigner.inputs.ctx.types, capacity);
+            snapshot
+                .reserved_capacity
+                .deduct_reserved(self.assigner.inputs.ctx.machine_types, capacity);
         }
         self.assigner.free.retain(|capacity| capacity.free.cpus > CPU_TOLERANCE);
         for id in &snapshot.expedited_jobs {
--- a/crates/basaltrail-core/src/leader/scheduler/capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/capacity.rs
@@ -32,9 +32,9 @@
 impl FreeCapacity {
     /// Returns the free capacity of a machine, or `None` if it accepts no tasks or is full.
     pub(in crate::leader) fn of_machine(ctx: &Context, machine: &Machine) -> Option<Self> {
-        let type_index =
-            type_index(ctx.types, &machine.machine_type).filter(|_| accepts_tasks(ctx, machine))?;
-        let free = Resources::of_machine_type(&ctx.types[type_index]) - machine.used();
+        let type_index = type_index(ctx.machine_types, &machine.machine_type)
+            .filter(|_| accepts_tasks(ctx, machine))?;
+        let free = Resources::of_machine_type(&ctx.machine_types[type_index]) - machine.used();
         (free.cpus > CPU_TOLERANCE).then(|| FreeCapacity {
             machine: machine.id.clone(),
             type_index,
@@ -102,7 +102,7 @@
         };
         if !machine.reconciled || has_unknown_demand(machine) {
             // An earlier leader's tasks of any team may fill the machine.
-            let whole = machine_resources(ctx.types, &machine.machine_type);
+            let whole = machine_resources(ctx.machine_types, &machine.machine_type);
             used.iter_mut().for_each(|used| *used += whole);
             continue;
         }
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -54,7 +54,7 @@
     /// Runs a scheduling cycle if the minimum interval since the last one has passed.
     pub(in crate::leader) fn schedule(&mut self, inputs: SchedulerInputs) -> CycleOutcome {
         let ctx = inputs.ctx;
-        if ctx.now < self.earliest_cycle_at || ctx.types.is_empty() {
+        if ctx.now < self.earliest_cycle_at || ctx.machine_types.is_empty() {
             return CycleOutcome::default();
         }
         self.changed = false;
@@ -236,7 +236,7 @@
             .iter()
             .flatten()
             .filter_map(|id| cluster.jobs.get(id))
-            .filter(|job| !job.started && ctx.wall - job.accepted_at > max_wait_ms)
+            .filter(|job| !job.started && ctx.wall_clock_ms - job.accepted_at > max_wait_ms)
             .map(|job| (job.accepted_at, job.id, job.team))
             .collect();
         overdue.sort();
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
@@ -101,7 +101,7 @@
 
 /// Returns a job's slack in seconds for each objective that it may still meet, the nearest last.
 fn slacks_s(ctx: &Context, job: &JobState) -> Vec<f64> {
-    let age_s = (ctx.wall - job.accepted_at) as f64 / 1000.0;
+    let age_s = (ctx.wall_clock_ms - job.accepted_at) as f64 / 1000.0;
     let estimate_s = job.spec.estimate_s;
     let by_completion = ctx
         .cfg
--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -29,7 +29,7 @@
     fn collect(ctx: &Context, cluster: &Cluster, free: &[FreeCapacity]) -> Self {
         let mut upcoming = UpcomingCapacity::default();
         for capacity in free {
-            let machine_type = ctx.types[capacity.type_index].name.clone();
+            let machine_type = ctx.machine_types[capacity.type_index].name.clone();
             let (zone, spot) = (capacity.zone.clone(), capacity.spot);
             upcoming.add(MachineKind { machine_type, zone, spot }, capacity.free.cpus);
         }
--- a/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
@@ -39,7 +39,7 @@
     let (array, service) = (job_spec(99, true), service(2, 4.0));
     let test = TestCluster::new(100.0, &[array.clone(), service.clone()]);
     let now = 60_000;
-    let ctx = Context { wall: now as WallMs, ..test.context(now) };
+    let ctx = Context { wall_clock_ms: now as WallMs, ..test.context(now) };
     let mut leader = test.leader(now);
     // One replica runs in zone a, where the spread constraint allows no other.
     let machines =
--- a/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
@@ -183,7 +183,7 @@
                 .reserved_replicas_per_zone(ctx.cfg.zones.len())
                 .min(fitting_tasks(unused_guarantee_cpus[team], spec.cpus));
             unused_guarantee_cpus[team] -= f64::from(replicas) * spec.cpus;
-            reserved.reserve_in_zone(ctx.types, free, zone, spec, replicas);
+            reserved.reserve_in_zone(ctx.machine_types, free, zone, spec, replicas);
         }
     }
     free.retain(|capacity| capacity.free.cpus > CPU_TOLERANCE);
@@ -199,12 +199,12 @@
     sizes: &ReplicaSizes,
     kind: &MachineKind,
 ) -> usize {
-    let known_type = machine_type(ctx.types, &kind.machine_type);
+    let known_type = machine_type(ctx.machine_types, &kind.machine_type);
     let Some(machine_type) = known_type.filter(|_| !kind.spot) else { return 0 };
     let zones = machine_type.zones.len().max(1);
     let runs_on_kind = |spec: &JobSpec| {
         let zone_allowed = spec.zone.as_ref().is_none_or(|zone| *zone == kind.zone);
-        zone_allowed && is_cheapest_type(ctx.types, machine_type, spec)
+        zone_allowed && is_cheapest_type(ctx.machine_types, machine_type, spec)
     };
     let machines_for =
         |spec: &JobSpec, replicas: f64| replicas / f64::from(machine_type.task_capacity(spec));
--- a/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
@@ -35,10 +35,10 @@
     pub(in crate::leader) fn context(&self, now: Ms) -> Context<'_> {
         Context {
             cfg: &self.settings,
-            types: &self.types,
+            machine_types: &self.types,
             job_cache: &self.job_cache,
             now,
-            wall: 0,
+            wall_clock_ms: 0,
             holds_valid_lease: true,
             job_cache_is_fresh: true,
         }
--- a/crates/basaltrail-core/tests/simulation/versions.rs
+++ b/crates/basaltrail-core/tests/simulation/versions.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    pub fn step(&mut self, now: u64, wall: i64, input: Input) -> Vec<Effect> {
-        self.0.step(now, wall, input)
+    pub fn step(&mut self, now: u64, wall_clock_ms: i64, input: Input) -> Vec<Effect> {
+        self.0.step(now, wall_clock_ms, input)
     }
 
     pub fn is_leading(&self) -> bool {
--- a/tests/mixed-versions/tests/versions/mod.rs
+++ b/tests/mixed-versions/tests/versions/mod.rs
@@ -58,17 +58,17 @@
         }
     }
 
-    pub fn step(&mut self, now: u64, wall: i64, input: Input) -> Vec<Effect> {
+    pub fn step(&mut self, now: u64, wall_clock_ms: i64, input: Input) -> Vec<Effect> {
         match self {
             Process::E26460f(node) => {
-                let effects = node.step(now, wall, convert::e26460f::input(input));
+                let effects = node.step(now, wall_clock_ms, convert::e26460f::input(input));
                 effects.into_iter().filter_map(convert::e26460f::effect).collect()
             }
             Process::V9b39f4b(node) => {
-                let effects = node.step(now, wall, convert::v9b39f4b::input(input));
+                let effects = node.step(now, wall_clock_ms, convert::v9b39f4b::input(input));
                 effects.into_iter().filter_map(convert::v9b39f4b::effect).collect()
             }
-            Process::Current(controller) => controller.step(now, wall, input),
+            Process::Current(controller) => controller.step(now, wall_clock_ms, input),
         }
     }
 
