--- a/crates/basaltrail-core/src/controller/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -48,7 +48,7 @@
 
 impl ControllerAdmission {
     /// Creates the admission state. Until the controller has seen a leader, its own policy decides
-    /// whether quotas bind; if they do, it accepts nothing before it has a quota.
+    /// whether quotas are enforced; if they are, it accepts nothing before it has a quota.
     pub(super) fn new(cfg: &Settings) -> Self {
         let mode = match cfg.policy.admission {
             Some(_) => QuotaMode::Enforced,
@@ -70,7 +70,7 @@
     }
 
     /// Returns whether submissions need an admission quota.
-    pub(super) fn quotas_bind(&self) -> bool {
+    pub(super) fn quotas_enforced(&self) -> bool {
         self.limiter.mode() == QuotaMode::Enforced
     }
 
@@ -158,7 +158,7 @@
             true => self.replacement_needed && now >= self.next_replacement_request_at,
             false => now >= self.next_record_write_at,
         };
-        self.quotas_bind() && !self.record_write_in_flight && due
+        self.quotas_enforced() && !self.record_write_in_flight && due
     }
 
     /// Records that the write of this process's record has ended. The watch of the jobs shows
@@ -196,20 +196,21 @@
         self.log_rejections();
     }
 
-    /// Adopts the leader's decision whether quotas bind. A leader of an earlier version allocates
-    /// no quotas.
+    /// Adopts the leader's decision whether quotas are enforced. A leader of an earlier version
+    /// allocates no quotas.
     fn update_quota_mode(&mut self) {
-        let Some(quotas_bind) = self.election.leader_allocates_quotas() else { return };
-        let mode = if quotas_bind { QuotaMode::Enforced } else { QuotaMode::Unlimited };
+        let Some(quotas_enforced) = self.election.leader_allocates_quotas() else { return };
+        let mode = if quotas_enforced { QuotaMode::Enforced } else { QuotaMode::Unlimited };
         if mode == self.admission.limiter.mode() {
             return;
         }
         self.admission.limiter.set_mode(mode);
-        if quotas_bind {
-            // Quotas are part of the list only while they bind, so earlier ones were not read.
+        if quotas_enforced {
+            // Quotas are part of the list only while they are enforced, so earlier ones were not
+            // read.
             self.job_watch.restart_list();
         }
-        self.calls.log(AdmissionEvent::Mode { quotas_bind });
+        self.calls.log(AdmissionEvent::Mode { quotas_enforced });
     }
 
     /// Writes the record of this process.
--- a/crates/basaltrail-core/src/controller/inspection.rs
+++ b/crates/basaltrail-core/src/controller/inspection.rs
@@ -17,7 +17,7 @@
             controller: self.cfg.controller.clone(),
             leader: self.election.leader_hint().map(str::to_string),
             revision: self.job_watch.revision().unwrap_or(Revision::NONE),
-            allotted: self.admission.quotas_bind(),
+            allotted: self.admission.quotas_enforced(),
             teams: teams.collect(),
         };
         self.calls.answer(id, Answer::Limits(Box::new(report)));
@@ -36,7 +36,7 @@
         }
         let cached = self.job_cache.quotas.quota(&team.name, &self.cfg.controller);
         let remaining = self.admission.remaining(&self.job_cache, &team.name);
-        let quota_applies = self.admission.quotas_bind() && !remaining.is_empty();
+        let quota_applies = self.admission.quotas_enforced() && !remaining.is_empty();
         if let Some(cached) = cached.filter(|_| quota_applies) {
             let jobs_and_work = |amount: WorkAmount| Some((amount.jobs, amount.work));
             for (entry, remaining) in cached.quota.classes.iter().zip(remaining) {
--- a/crates/basaltrail-core/src/controller/job_watching.rs
+++ b/crates/basaltrail-core/src/controller/job_watching.rs
@@ -126,7 +126,7 @@
         if more {
             return self.send_list(part, items.last().map(|item| item.key.clone()), sent);
         }
-        if part == ListPart::Jobs && self.admission.quotas_bind() {
+        if part == ListPart::Jobs && self.admission.quotas_enforced() {
             return self.send_list(ListPart::Admission, None, sent);
         }
         self.job_watch.list_completed(sent);
--- a/crates/basaltrail-core/src/events.rs
+++ b/crates/basaltrail-core/src/events.rs
@@ -46,7 +46,7 @@
             LogEvent::Store(_)
             | LogEvent::Heartbeat(HeartbeatEvent::RenewalViolation { .. })
             | LogEvent::Admission(AdmissionEvent::QuotaUnreadable { .. }) => Level::Error,
-            LogEvent::Leadership(LeadershipEvent::Round(_))
+            LogEvent::Leadership(LeadershipEvent::FleetUsage(_))
             | LogEvent::Job(JobEvent::TasksPreempted { .. } | JobEvent::WatchAnswered { .. })
             | LogEvent::Heartbeat(HeartbeatEvent::Answered { .. }) => Level::Debug,
             _ => Level::Info,
@@ -118,13 +118,14 @@
         /// The store's revision at which the leader was read.
         revision: Revision,
     },
-    /// The use of the machines, once per round of the fairness ledger.
-    Round(RoundSummary),
+    /// The machines and their use, once per round of the fairness ledger.
+    FleetUsage(FleetUsage),
 }
 
-/// The use of the machines at the end of a round.
+/// Machines by state, and CPUs by task phase and by team, at the end of a round of the fairness
+/// ledger.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RoundSummary {
+pub struct FleetUsage {
     /// On-demand machines that are up.
     pub on_demand: usize,
     /// Spot machines that are up.
@@ -145,7 +146,7 @@
     pub teams: Vec<TeamSummary>,
 }
 
-/// The use of one team.
+/// Used and waiting CPUs of one team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamSummary {
     /// The name of the team.
@@ -159,7 +160,7 @@
 reasons! {
     /// The reason why a machine is drained.
     DrainReason {
-        /// The machine has been idle for longer than the operators allow.
+        /// The machine has been idle for longer than the idle time of the policy.
         Idle => "idle",
         /// The remaining work does not justify the price of the machine.
         TooExpensive => "too_expensive",
@@ -168,8 +169,8 @@
 
 reasons! {
     /// The reason why a machine is terminated.
-    ReleaseReason {
-        /// The time of its reclaim notice has passed.
+    TerminationReason {
+        /// The machine is silent, and the reclaim time that the cloud announced has passed.
         Reclaimed => "reclaimed",
         /// The machine runs replicas of a service and has gone silent.
         ReplicasSilent => "replicas_silent",
@@ -183,13 +184,15 @@
         Failed => "failed",
         /// The machine is silent and the cloud does not list it.
         NotListed => "not_listed",
-        /// The machine has been silent for several worker leases.
+        /// The machine has been silent for several worker leases, and its zone is not partitioned.
         Silent => "silent",
-        /// The machine has not come up in the time that machines of its kind take.
+        /// The machine did not come up within the time that machines of its kind take.
         NeverUp => "never_up",
-        /// The machine has never sent a heartbeat, for longer than any machine takes to come up.
+        /// The machine did not send a heartbeat within the longest time that machines take to come
+        /// up, and its zone is not partitioned.
         NeverHeard => "never_heard",
-        /// The machine has been silent for too long to be explained by a partition of its zone.
+        /// The machine has been silent for so long that it is terminated even if its zone is
+        /// partitioned.
         SilentForLong => "silent_for_long",
     }
 }
@@ -218,7 +221,8 @@
         /// The machine.
         machine: MachineId,
     },
-    /// The lease of a machine's worker has certainly expired, so its tasks have ended.
+    /// The worker lease of a machine has expired, including the margin for clock drift, so its
+    /// tasks have ended.
     LeaseExpired {
         /// The machine.
         machine: MachineId,
@@ -250,7 +254,7 @@
         /// The machine.
         machine: MachineId,
         /// The reason.
-        reason: ReleaseReason,
+        reason: TerminationReason,
     },
     /// The cloud's inventory lists a machine that this leader did not know.
     Discovered {
@@ -360,7 +364,8 @@
     Summary(HeartbeatSummary),
 }
 
-/// Counts of answers to heartbeats, and the state of knowledge on which the answers are based.
+/// Counts of answers to heartbeats, with the leader lease and the job cache that the answers are
+/// based on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeartbeatSummary {
     /// The fencing token of this leader; 0 if this controller does not lead.
@@ -381,7 +386,7 @@
     /// The enforcement of admission quotas was turned on or off.
     Mode {
         /// Whether quotas are enforced now.
-        quotas_bind: bool,
+        quotas_enforced: bool,
     },
     /// The leader planned a new admission quota for a controller.
     QuotaPlanned {
@@ -428,7 +433,8 @@
         /// The key of the record.
         key: String,
     },
-    /// The store rejected a transaction permanently. Its keys are not written again for a while.
+    /// The store rejected a transaction permanently. Its keys are not written again until a
+    /// back-off has ended.
     WriteRejected {
         /// The keys.
         keys: String,
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -3,7 +3,7 @@
 use super::partitions::{is_unheard, silent_machines_with_replicas, zones_with_few_unheard};
 use super::provisioning_time::ABANDONED_BOOT_TIMES;
 use super::Autoscaler;
-use crate::events::{MachineEvent, ReleaseReason};
+use crate::events::{MachineEvent, TerminationReason};
 use crate::io::{CloudReply, CloudRequest};
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::capacity::machine_type;
@@ -90,15 +90,15 @@
     }
 
     /// Returns the reason to terminate the machine, if there is one.
-    fn termination_reason(&self, machine: &Machine) -> Option<ReleaseReason> {
+    fn termination_reason(&self, machine: &Machine) -> Option<TerminationReason> {
         if self.is_reclaimed(machine) {
-            return Some(ReleaseReason::Reclaimed);
+            return Some(TerminationReason::Reclaimed);
         }
         if self.silent_with_replicas.contains(&machine.id) {
-            return Some(ReleaseReason::ReplicasSilent);
+            return Some(TerminationReason::ReplicasSilent);
         }
         if is_unheard(machine) && self.zones_with_few_unheard.contains(machine.zone.as_str()) {
-            return Some(ReleaseReason::SilentSinceFailover);
+            return Some(TerminationReason::SilentSinceFailover);
         }
         if self.is_reachable(machine) {
             return self.reason_if_reachable(machine);
@@ -134,20 +134,20 @@
             && (receives_answers || !machine.is_empty())
     }
 
-    fn reason_if_reachable(&self, machine: &Machine) -> Option<ReleaseReason> {
+    fn reason_if_reachable(&self, machine: &Machine) -> Option<TerminationReason> {
         let now = self.ctx.now;
         if !machine.is_empty() {
             return None;
         }
         if machine.decommission != Decommission::No && !machine.has_reclaim_notice(now) {
-            return Some(ReleaseReason::Drained);
+            return Some(TerminationReason::Drained);
         }
         machine
             .is_quarantined(now, self.ctx.cfg.worker_lease_ms)
-            .then_some(ReleaseReason::Quarantined)
+            .then_some(TerminationReason::Quarantined)
     }
 
-    fn reason_if_unreachable(&self, machine: &Machine) -> Option<ReleaseReason> {
+    fn reason_if_unreachable(&self, machine: &Machine) -> Option<TerminationReason> {
         let Context { now, cfg, .. } = *self.ctx;
         let silence_ms = self.silence_ms(machine);
         let age_ms = now - machine.known_since;
@@ -158,23 +158,23 @@
         let max_boot_wait_ms =
             self.boot_ms * ABANDONED_BOOT_TIMES + NEVER_HEARD_LEASES * cfg.worker_lease_ms as f64;
         if matches!(machine.last_listed, Some((ListedState::Failed, _))) {
-            Some(ReleaseReason::Failed)
+            Some(TerminationReason::Failed)
         } else if !is_listed
             && silence_ms > cfg.worker_lease_ms + listed_within_ms
             && age_ms > listed_within_ms
         {
-            Some(ReleaseReason::NotListed)
+            Some(TerminationReason::NotListed)
         } else if !was_never_heard
             && !is_partitioned
             && silence_ms > cfg.worker_lease_ms * SILENT_LEASES
         {
-            Some(ReleaseReason::Silent)
+            Some(TerminationReason::Silent)
         } else if machine.overdue && machine.abandoned {
-            Some(ReleaseReason::NeverUp)
+            Some(TerminationReason::NeverUp)
         } else if was_never_heard && !is_partitioned && age_ms as f64 > max_boot_wait_ms {
-            Some(ReleaseReason::NeverHeard)
+            Some(TerminationReason::NeverHeard)
         } else if silence_ms > cfg.worker_lease_ms * SILENT_FOR_LONG_LEASES {
-            Some(ReleaseReason::SilentForLong)
+            Some(TerminationReason::SilentForLong)
         } else {
             None
         }
@@ -196,7 +196,7 @@
         }
         self.partitions.update(ctx, cluster);
         let criteria = TerminationCriteria::new(ctx, self, cluster, leader);
-        let selected: Vec<(MachineId, ReleaseReason)> = cluster
+        let selected: Vec<(MachineId, TerminationReason)> = cluster
             .machines
             .values()
             .filter_map(|m| criteria.termination_reason(m).map(|reason| (m.id.clone(), reason)))
--- a/crates/basaltrail-core/src/leader/cluster.rs
+++ b/crates/basaltrail-core/src/leader/cluster.rs
@@ -1,6 +1,6 @@
 //! The machines and jobs tracked by a leader.
 
-use crate::events::{RoundSummary, TeamSummary};
+use crate::events::{FleetUsage, TeamSummary};
 use crate::io::Progress;
 use crate::jobs::JobState;
 use crate::leader::scheduler::assignment::task_demand;
@@ -162,37 +162,37 @@
     }
 
     /// Returns the number of machines by state and the use of CPUs by task phase and team.
-    pub(in crate::leader) fn round_summary(&self, settings: &Settings) -> RoundSummary {
+    pub(in crate::leader) fn fleet_usage(&self, settings: &Settings) -> FleetUsage {
         let teams = settings.teams.iter().map(|team| TeamSummary {
             team: team.name.clone(),
             used_cpus: 0.0,
             waiting_cpus: 0.0,
         });
-        let mut summary = RoundSummary { teams: teams.collect(), ..RoundSummary::default() };
+        let mut usage = FleetUsage { teams: teams.collect(), ..FleetUsage::default() };
         for machine in self.machines.values() {
             *match (machine.is_up(), machine.spot) {
-                (true, false) => &mut summary.on_demand,
-                (true, true) => &mut summary.spot,
-                (false, _) => &mut summary.down,
+                (true, false) => &mut usage.on_demand,
+                (true, true) => &mut usage.spot,
+                (false, _) => &mut usage.down,
             } += 1;
         }
         for slot in self.machines.values().flat_map(|machine| machine.slots.values()) {
             let cpus = slot.demand.map_or(0.0, |demand| demand.resources.cpus);
             *match slot.phase {
-                TaskPhase::Assigned | TaskPhase::Sent => &mut summary.assigned_cpus,
-                TaskPhase::Confirmed(TaskState::Fetching) => &mut summary.fetching_cpus,
-                TaskPhase::Confirmed(TaskState::Running) => &mut summary.running_cpus,
-                TaskPhase::Confirmed(TaskState::Saving) => &mut summary.saving_cpus,
+                TaskPhase::Assigned | TaskPhase::Sent => &mut usage.assigned_cpus,
+                TaskPhase::Confirmed(TaskState::Fetching) => &mut usage.fetching_cpus,
+                TaskPhase::Confirmed(TaskState::Running) => &mut usage.running_cpus,
+                TaskPhase::Confirmed(TaskState::Saving) => &mut usage.saving_cpus,
                 TaskPhase::Confirmed(TaskState::Exited(_)) => continue,
             } += cpus;
             if let Some(demand) = slot.demand {
-                summary.teams[demand.team].used_cpus += cpus;
+                usage.teams[demand.team].used_cpus += cpus;
             }
         }
         for job in self.jobs.values() {
-            summary.teams[job.team].waiting_cpus += job.pending() as f64 * job.spec.cpus;
+            usage.teams[job.team].waiting_cpus += job.pending() as f64 * job.spec.cpus;
         }
-        summary.waiting_cpus = summary.teams.iter().map(|team| team.waiting_cpus).sum();
-        summary
+        usage.waiting_cpus = usage.teams.iter().map(|team| team.waiting_cpus).sum();
+        usage
     }
 }
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -169,7 +169,7 @@
         }
         self.writer.ledger_due = true;
         self.update_primary_zone();
-        calls.log(LeadershipEvent::Round(self.cluster.round_summary(ctx.cfg)));
+        calls.log(LeadershipEvent::FleetUsage(self.cluster.fleet_usage(ctx.cfg)));
         self.plan_quotas(ctx, calls);
         self.scheduler.changed = true;
     }
--- a/crates/basaltrail/src/logging.rs
+++ b/crates/basaltrail/src/logging.rs
@@ -3,8 +3,8 @@
 //! Only this module converts the core's [`LogEvent`]s to `tracing` fields.
 
 use basaltrail_core::events::{
-    AdmissionEvent, HeartbeatEvent, HeartbeatSummary, HeartbeatVerdict, JobEvent, LeadershipEvent,
-    MachineEvent, RoundSummary, StoreEvent, RENEWAL_VIOLATION,
+    AdmissionEvent, FleetUsage, HeartbeatEvent, HeartbeatSummary, HeartbeatVerdict, JobEvent,
+    LeadershipEvent, MachineEvent, StoreEvent, RENEWAL_VIOLATION,
 };
 use basaltrail_core::LogEvent;
 use tracing::{debug, error, info, Subscriber};
@@ -75,25 +75,25 @@
             let leader = leader.as_deref().unwrap_or("none");
             info!(event = %"leader_seen", leader = %leader, term = term.0, revision = revision.0);
         }
-        LeadershipEvent::Round(summary) => write_round_summary(summary),
+        LeadershipEvent::FleetUsage(usage) => write_fleet_usage(usage),
     }
 }
 
-fn write_round_summary(summary: &RoundSummary) {
-    let teams = summary
+fn write_fleet_usage(usage: &FleetUsage) {
+    let teams = usage
         .teams
         .iter()
         .map(|team| format!("{}:{}+{}", team.team, team.used_cpus, team.waiting_cpus));
     debug!(
         event = %"round",
-        on_demand = summary.on_demand,
-        spot = summary.spot,
-        down = summary.down,
-        assigned_cpus = summary.assigned_cpus,
-        fetching_cpus = summary.fetching_cpus,
-        running_cpus = summary.running_cpus,
-        saving_cpus = summary.saving_cpus,
-        waiting_cpus = summary.waiting_cpus,
+        on_demand = usage.on_demand,
+        spot = usage.spot,
+        down = usage.down,
+        assigned_cpus = usage.assigned_cpus,
+        fetching_cpus = usage.fetching_cpus,
+        running_cpus = usage.running_cpus,
+        saving_cpus = usage.saving_cpus,
+        waiting_cpus = usage.waiting_cpus,
         teams = %join(teams),
     );
 }
@@ -200,7 +200,9 @@
 
 fn write_admission(event: &AdmissionEvent) {
     match event {
-        AdmissionEvent::Mode { quotas_bind } => info!(event = %"admission_mode", quotas_bind),
+        AdmissionEvent::Mode { quotas_enforced } => {
+            info!(event = %"admission_mode", quotas_bind = quotas_enforced);
+        }
         AdmissionEvent::QuotaPlanned { team, controller, classes } => {
             let classes = classes
                 .iter()
--- a/crates/basaltrail/src/logging_tests.rs
+++ b/crates/basaltrail/src/logging_tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the format of log lines.
 
 use super::*;
-use basaltrail_core::events::ReleaseReason;
+use basaltrail_core::events::TerminationReason;
 use basaltrail_core::{JobId, MachineId, Revision, TaskId};
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
@@ -36,7 +36,8 @@
     let task = TaskId { job: JobId(7), index: 3 };
     let events = [
         HeartbeatEvent::RenewalViolation { machine: machine.clone(), task }.into(),
-        MachineEvent::ScaleIn { machine: machine.clone(), reason: ReleaseReason::NeverUp }.into(),
+        MachineEvent::ScaleIn { machine: machine.clone(), reason: TerminationReason::NeverUp }
+            .into(),
         JobEvent::TaskFailed { task, machine, crash_looping: true, ran_ms: 20 }.into(),
         LeadershipEvent::LeaderSeen {
             leader: None,
