--- a/crates/basaltrail-core/src/controller/inspection.rs
+++ b/crates/basaltrail-core/src/controller/inspection.rs
@@ -10,22 +10,23 @@
 impl Controller {
     /// Answers an operator's request for the report.
     pub(super) fn answer_inspection(&mut self, id: RequestId) {
-        let used = self.with_leader(|leader, ctx, _, _| leader.used_cpus_by_team(ctx));
-        let used = used.filter(|_| self.is_leading());
-        let teams = (0..self.cfg.teams.len()).map(|team| self.team_report(team, used.as_deref()));
+        let used_cpus = self.with_leader(|leader, ctx, _, _| leader.used_cpus_by_team(ctx));
+        let used_cpus = used_cpus.filter(|_| self.is_leading());
+        let teams =
+            (0..self.cfg.teams.len()).map(|team| self.team_report(team, used_cpus.as_deref()));
         let report = LimitsReport {
             controller: self.cfg.controller.clone(),
             leader: self.election.leader_hint().map(str::to_string),
             revision: self.job_watch.revision().unwrap_or(Revision::NONE),
-            allotted: self.admission.quotas_enforced(),
+            quotas_enforced: self.admission.quotas_enforced(),
             teams: teams.collect(),
         };
         self.calls.answer(id, Answer::Limits(Box::new(report)));
     }
 
-    /// Returns the report of one team. `used` holds the CPUs in use by team; only the leader has
-    /// it.
-    fn team_report(&self, index: usize, used: Option<&[f64]>) -> TeamReport {
+    /// Returns the report of one team. `used_cpus` holds the CPUs in use by team; only the leader
+    /// has it.
+    fn team_report(&self, index: usize, used_cpus: Option<&[f64]>) -> TeamReport {
         let team = &self.cfg.teams[index];
         let mut classes: BTreeMap<String, ClassReport> = BTreeMap::new();
         let empty_report =
@@ -42,18 +43,18 @@
             for (entry, remaining) in cached.quota.classes.iter().zip(remaining) {
                 let name = &entry.class;
                 let report = classes.entry(name.clone()).or_insert_with(|| empty_report(name));
-                report.allotted = jobs_and_work(entry.amount());
-                report.left = jobs_and_work(remaining);
+                report.quota = jobs_and_work(entry.amount());
+                report.remaining = jobs_and_work(remaining);
             }
         }
         // The entry for all other classes comes last.
         let other_classes = classes.remove(OTHER_CLASSES);
         TeamReport {
             team: team.name.clone(),
-            guaranteed: team.guaranteed_cpus,
+            guaranteed_cpus: team.guaranteed_cpus,
             limit: team.max_cpus.is_finite().then_some(team.max_cpus),
-            used: used.map(|used| used[index]),
-            refused: self.admission.rejected_count(index),
+            used_cpus: used_cpus.map(|used_cpus| used_cpus[index]),
+            rejected_submissions: self.admission.rejected_count(index),
             classes: classes.into_values().chain(other_classes).collect(),
         }
     }
--- a/crates/basaltrail-core/src/inspection.rs
+++ b/crates/basaltrail-core/src/inspection.rs
@@ -10,9 +10,9 @@
     /// Unfinished jobs of the class, accepted by any controller.
     pub jobs: u32,
     /// Jobs and CPU-seconds of the quota of this controller; `None` if quotas are not enforced.
-    pub allotted: Option<(u32, f64)>,
+    pub quota: Option<(u32, f64)>,
     /// Jobs and CPU-seconds of the quota that are not used yet.
-    pub left: Option<(u32, f64)>,
+    pub remaining: Option<(u32, f64)>,
 }
 
 /// The report on one team.
@@ -21,13 +21,13 @@
     /// The name of the team.
     pub team: String,
     /// Guaranteed CPUs.
-    pub guaranteed: f64,
+    pub guaranteed_cpus: f64,
     /// Limit of CPUs; `None` if the team has no limit.
     pub limit: Option<f64>,
     /// CPUs that the tasks of the team may be using; `None` unless this controller leads.
-    pub used: Option<f64>,
+    pub used_cpus: Option<f64>,
     /// Submissions that this controller did not admit since its process started.
-    pub refused: u64,
+    pub rejected_submissions: u64,
     /// Reports on the classes of the team.
     pub classes: Vec<ClassReport>,
 }
@@ -42,7 +42,7 @@
     /// The store's revision up to which this controller knows jobs and quotas.
     pub revision: Revision,
     /// Whether admission quotas are enforced.
-    pub allotted: bool,
+    pub quotas_enforced: bool,
     /// Reports on all teams in the settings.
     pub teams: Vec<TeamReport>,
 }
--- a/crates/basaltrail-protocol/src/administration.rs
+++ b/crates/basaltrail-protocol/src/administration.rs
@@ -75,8 +75,8 @@
         Class {
             class: (!report.class.is_empty()).then(|| report.class.clone()),
             jobs: report.jobs,
-            allotted: report.allotted.map(Room::from),
-            left: report.left.map(Room::from),
+            allotted: report.quota.map(Room::from),
+            left: report.remaining.map(Room::from),
         }
     }
 }
@@ -85,10 +85,10 @@
     fn from(report: &TeamReport) -> Self {
         Team {
             team: report.team.clone(),
-            guaranteed: report.guaranteed,
+            guaranteed: report.guaranteed_cpus,
             limit: report.limit,
-            used: report.used,
-            refused: report.refused,
+            used: report.used_cpus,
+            refused: report.rejected_submissions,
             classes: report.classes.iter().map(Class::from).collect(),
         }
     }
@@ -100,7 +100,7 @@
             node: report.controller.clone(),
             leader: report.leader.clone(),
             revision: report.revision.0,
-            allotted: report.allotted,
+            allotted: report.quotas_enforced,
             teams: report.teams.iter().map(Team::from).collect(),
         }
     }
--- a/crates/basaltrail-protocol/tests/schema.rs
+++ b/crates/basaltrail-protocol/tests/schema.rs
@@ -20,25 +20,21 @@
     let schema: serde_json::Value = serde_json::from_str(PUBLISHED).unwrap();
     let validator = jsonschema::validator_for(&schema).unwrap();
     let quota = Some((3, 60.0));
-    let class = |class: &str, allotted| ClassReport {
-        class: class.into(),
-        jobs: 2,
-        allotted,
-        left: allotted,
-    };
-    let team = |limit, used| TeamReport {
+    let class =
+        |class: &str, quota| ClassReport { class: class.into(), jobs: 2, quota, remaining: quota };
+    let team = |limit, used_cpus| TeamReport {
         team: "cataloguers".into(),
-        guaranteed: 24.0,
+        guaranteed_cpus: 24.0,
         limit,
-        used,
-        refused: 7,
+        used_cpus,
+        rejected_submissions: 7,
         classes: vec![class("c", quota), class("", None)],
     };
     let report = LimitsReport {
         controller: "stack-0".into(),
         leader: Some("stack-1".into()),
         revision: Revision(12),
-        allotted: true,
+        quotas_enforced: true,
         teams: vec![team(Some(48.0), Some(8.0)), team(None, None)],
     };
     let answer = serde_json::to_value(Limits::from(&report)).unwrap();
