--- a/crates/basaltrail-admission/src/planner.rs
+++ b/crates/basaltrail-admission/src/planner.rs
@@ -62,13 +62,13 @@
     /// The team.
     pub team: String,
     /// Guaranteed CPUs.
-    pub guaranteed: f64,
+    pub guaranteed_cpus: f64,
     /// Limit of CPUs; infinite without a limit.
-    pub limit: f64,
+    pub max_cpus: f64,
     /// The team's share of the jobs that all teams may have, from 0 to 1.
-    pub share: f64,
+    pub job_share: f64,
     /// Moving average of the CPUs that the team used.
-    pub served: f64,
+    pub served_cpus: f64,
     /// The classes of the team, including classes without jobs that are to get a quota.
     pub classes: Vec<ClassLoad>,
 }
@@ -151,7 +151,7 @@
     ) -> Vec<QuotaWrite> {
         self.remove_settled_writes(cache);
         self.update_demand(cache, teams);
-        let total_guaranteed: f64 = teams.iter().map(|team| team.guaranteed).sum();
+        let total_guaranteed: f64 = teams.iter().map(|team| team.guaranteed_cpus).sum();
         let mut writes = Vec::new();
         for team in teams {
             writes.extend(self.plan_team(cache, bounds, team, total_guaranteed));
@@ -186,9 +186,9 @@
         total_guaranteed: f64,
         controllers: usize,
     ) -> WorkAmount {
-        let min_rate = team.guaranteed.max(total_guaranteed * MIN_RATE_FRACTION);
-        let rate = team.served.max(min_rate).min(team.limit);
-        let jobs = (f64::from(bounds.jobs) * team.share) as u32;
+        let min_rate = team.guaranteed_cpus.max(total_guaranteed * MIN_RATE_FRACTION);
+        let rate = team.served_cpus.max(min_rate).min(team.max_cpus);
+        let jobs = (f64::from(bounds.jobs) * team.job_share) as u32;
         let entries = (team.classes.len() + 1).min(MAX_NAMED_CLASSES + 1) * controllers;
         WorkAmount {
             jobs: jobs.max(entries as u32 * MIN_JOBS_PER_ENTRY),
@@ -374,7 +374,7 @@
         let work_per_job = waiting.work / f64::from(waiting.jobs.max(1));
         let next_job_work = if self.available[class].admits_job() { 0.0 } else { work_per_job };
         let excess_work = (team_work - self.bound.work).max(0.0) + next_job_work;
-        let excess_s = excess_work / self.team.served.max(self.team.guaranteed).max(1.0);
+        let excess_s = excess_work / self.team.served_cpus.max(self.team.guaranteed_cpus).max(1.0);
         (self.bounds.round_s / 2.0 + excess_s).ceil().clamp(1.0, MAX_RETRY_AFTER_S) as u32
     }
 }
--- a/crates/basaltrail-admission/tests/model.rs
+++ b/crates/basaltrail-admission/tests/model.rs
@@ -82,10 +82,10 @@
 fn team(classes: Vec<ClassLoad>) -> TeamLoad {
     TeamLoad {
         team: TEAM.into(),
-        guaranteed: GUARANTEED,
-        limit: 200.0,
-        share: 1.0,
-        served: GUARANTEED,
+        guaranteed_cpus: GUARANTEED,
+        max_cpus: 200.0,
+        job_share: 1.0,
+        served_cpus: GUARANTEED,
         classes,
     }
 }
--- a/crates/basaltrail-admission/tests/planner.rs
+++ b/crates/basaltrail-admission/tests/planner.rs
@@ -11,10 +11,10 @@
     };
     TeamLoad {
         team: team.into(),
-        guaranteed: 20.0,
-        limit: 40.0,
-        share: 0.5,
-        served: 20.0,
+        guaranteed_cpus: 20.0,
+        max_cpus: 40.0,
+        job_share: 0.5,
+        served_cpus: 20.0,
         classes: classes.iter().map(class).collect(),
     }
 }
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -153,10 +153,10 @@
                 |(class, waiting): (&str, WorkAmount)| ClassLoad { class: class.into(), waiting };
             TeamLoad {
                 team: team.name.clone(),
-                guaranteed: team.guaranteed_cpus,
-                limit: team.max_cpus,
-                share: ctx.cfg.weight_share(index),
-                served: self.quota_allocator.served_cpus.get(index).copied().unwrap_or(0.0),
+                guaranteed_cpus: team.guaranteed_cpus,
+                max_cpus: team.max_cpus,
+                job_share: ctx.cfg.weight_share(index),
+                served_cpus: self.quota_allocator.served_cpus.get(index).copied().unwrap_or(0.0),
                 classes: backlog.into_iter().map(class).collect(),
             }
         };
--- a/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
@@ -21,10 +21,10 @@
     let bounds = settings.admission_bounds().unwrap();
     let load = TeamLoad {
         team: settings.teams[team].name.clone(),
-        guaranteed: settings.teams[team].guaranteed_cpus,
-        limit: settings.teams[team].max_cpus,
-        share: settings.weight_share(team),
-        served: 0.0,
+        guaranteed_cpus: settings.teams[team].guaranteed_cpus,
+        max_cpus: settings.teams[team].max_cpus,
+        job_share: settings.weight_share(team),
+        served_cpus: 0.0,
         classes: Vec::new(),
     };
     // One class is named in the policy in addition to the entry for all others.
