--- a/crates/basaltrail/src/inspect.rs
+++ b/crates/basaltrail/src/inspect.rs
@@ -13,7 +13,7 @@
 const LIMITS_PATH: &str = "/limits";
 /// Column headers of the table of limits.
 const COLUMNS: [&str; 8] =
-    ["team", "class", "guaranteed", "limit", "used", "jobs", "local quota", "local refusals"];
+    ["team", "class", "guaranteed", "limit", "used", "jobs", "quota left", "refusals"];
 
 /// The `inspect` commands.
 #[derive(Subcommand)]
--- a/crates/basaltrail/src/server/body.rs
+++ b/crates/basaltrail/src/server/body.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum BodyError {
     /// The connection ended before the body was complete.
-    #[error("request body is incomplete")]
+    #[error("body cut short")]
     Incomplete,
     /// The body is longer than [`MAX_BODY_BYTES`].
-    #[error("request body is longer than 64 KiB")]
+    #[error("body over 64 KiB")]
     TooLong,
     /// The body took longer than [`REQUEST_TIMEOUT`].
-    #[error("request body was not received in time")]
+    #[error("body too slow")]
     Timeout,
 }
 
--- a/crates/basaltrail/src/server/routes.rs
+++ b/crates/basaltrail/src/server/routes.rs
@@ -90,11 +90,7 @@
         .and(core.clone())
         .map(|core: CoreHandle| match core.is_ready() {
             true => respond(200, "{}".into(), None),
-            false => respond(
-                503,
-                submissions::error_body("controller is not ready"),
-                Some(NOT_READY_RETRY_S),
-            ),
+            false => respond(503, submissions::error_body("not ready"), Some(NOT_READY_RETRY_S)),
         })
         .boxed()
 }
