--- a/crates/basaltrail-core/src/controller/admission_tests.rs
+++ b/crates/basaltrail-core/src/controller/admission_tests.rs
@@ -2,7 +2,7 @@
 use crate::io::{Effect, Input, StoreReply};
 use crate::machines::types::MachineTypes;
 use crate::model::{CallId, JobId, RequestId};
-use crate::settings::sample::{a_job, a_type, settings};
+use crate::settings::fixtures::{job_spec, machine_type, settings};
 use crate::settings::{AdmissionPolicy, Policy, Team};
 use crate::store::records::{active_job_key, JobRecord, ACTIVE_JOBS_PREFIX};
 use basaltrail_admission::QuotaEntry;
@@ -12,15 +12,20 @@
 const QUOTA_REVISION: Revision = Revision(5);
 
 fn controller(policy: Option<AdmissionPolicy>) -> Controller {
-    let team =
-        Team { name: "t".into(), cpus: 100.0, cpus_max: 100.0, gpus: 0.0, gpus_max: f64::INFINITY };
+    let team = Team {
+        name: "t".into(),
+        guaranteed_cpus: 100.0,
+        max_cpus: 100.0,
+        guaranteed_gpus: 0.0,
+        max_gpus: f64::INFINITY,
+    };
     let base = settings();
     let policy = Policy { admission: policy, ..base.policy.clone() };
     let cfg = Settings { teams: vec![team], policy, ..base };
     let mut controller = Controller::new(Arc::new(cfg), 1);
     controller.job_watch.page_read(Revision(1));
     controller.job_watch.list_completed(0);
-    controller.machine_types = MachineTypes::with_known(vec![a_type()]);
+    controller.machine_types = MachineTypes::with_known(vec![machine_type()]);
     controller
 }
 
@@ -43,17 +48,17 @@
     job: u64,
     spec: JobSpec,
 ) -> (Option<(CallId, StoreRequest)>, Vec<Effect>) {
-    let input = Input::Submit { req: RequestId(job), job: JobId(job), spec: Box::new(spec) };
+    let input = Input::Submit { request_id: RequestId(job), job: JobId(job), spec: Box::new(spec) };
     let effects = controller.step(1_000 + job, 0, input);
     let accepts = |effect: &Effect| match effect {
         Effect::Store {
-            op,
-            call: StoreRequest::Transaction { preconditions, puts, deletes },
+            call_id,
+            request: StoreRequest::Transaction { preconditions, puts, deletes },
             ..
         } if puts.iter().any(|put| put.key.starts_with(ACTIVE_JOBS_PREFIX)) => {
             let (preconditions, puts, deletes) =
                 (preconditions.clone(), puts.clone(), deletes.clone());
-            Some((*op, StoreRequest::Transaction { preconditions, puts, deletes }))
+            Some((*call_id, StoreRequest::Transaction { preconditions, puts, deletes }))
         }
         _ => None,
     };
@@ -66,7 +71,7 @@
 fn an_acceptance_is_conditional_on_the_revision_of_its_quota() {
     let mut controller = controller(Some(AdmissionPolicy::default()));
     controller.apply_unordered(&quota(1, 9));
-    let (txn, _) = submit(&mut controller, 7, a_job(1, true));
+    let (txn, _) = submit(&mut controller, 7, job_spec(1, true));
     let Some((_, StoreRequest::Transaction { preconditions, puts, .. })) = txn else {
         panic!("no transaction was sent")
     };
@@ -86,16 +91,16 @@
 fn a_submission_whose_quota_was_replaced_waits_for_the_next_one() {
     let mut controller = controller(Some(AdmissionPolicy::default()));
     controller.apply_unordered(&quota(1, 9));
-    let (txn, _) = submit(&mut controller, 7, a_job(1, true));
+    let (txn, _) = submit(&mut controller, 7, job_spec(1, true));
     let failed = vec![quota_key("t", "n0")];
     let reply = StoreReply::Conflict { failed };
-    let effects = controller.step(1_100, 0, Input::Store { op: txn.unwrap().0, reply });
+    let effects = controller.step(1_100, 0, Input::Store { call_id: txn.unwrap().0, reply });
     assert!(!effects.iter().any(|e| matches!(e, Effect::Answer { .. })), "{effects:?}");
     assert_eq!(controller.requests.awaiting_quota.len(), 1);
     controller.apply_unordered(&KeyValue { mod_revision: Revision(12), ..quota(1, 9) });
     let effects = controller.step(1_200, 0, Input::Tick);
     let uses_new_quota = |e: &Effect| match e {
-        Effect::Store { call: StoreRequest::Transaction { preconditions, .. }, .. } => {
+        Effect::Store { request: StoreRequest::Transaction { preconditions, .. }, .. } => {
             preconditions.contains(&Precondition::new(quota_key("t", "n0"), Revision(12)))
         }
         _ => false,
@@ -110,10 +115,10 @@
     for item in [None, Some(quota(2, 9)), Some(quota(1, 0)), Some(unreadable)] {
         let mut controller = controller(Some(AdmissionPolicy::default()));
         item.iter().for_each(|item| controller.apply_unordered(item));
-        let (txn, _) = submit(&mut controller, 7, a_job(1, true));
+        let (txn, _) = submit(&mut controller, 7, job_spec(1, true));
         assert!(txn.is_none(), "{item:?}");
     }
-    let (txn, _) = submit(&mut controller(None), 7, a_job(1, true));
+    let (txn, _) = submit(&mut controller(None), 7, job_spec(1, true));
     assert!(txn.is_some(), "everything is accepted without the policy");
 }
 
@@ -122,36 +127,38 @@
 /// backlog is full.
 #[test]
 fn a_repeated_submission_of_a_job_accepted_elsewhere_is_not_rejected() {
-    let too_wide = JobSpec { cpus: 101.0, ..a_job(1, true) };
-    for (policy, spec) in [(None, too_wide), (Some(AdmissionPolicy::default()), a_job(1, true))] {
+    let too_wide = JobSpec { cpus: 101.0, ..job_spec(1, true) };
+    for (policy, spec) in [(None, too_wide), (Some(AdmissionPolicy::default()), job_spec(1, true))]
+    {
         let mut controller = controller(policy);
         let (txn, mut effects) = submit(&mut controller, 7, spec.clone());
         assert!(txn.is_none());
         effects.extend(controller.step(1_500, 0, Input::Tick));
         let answered = |effects: &[Effect]| {
-            effects.iter().any(|e| matches!(e, Effect::Answer { req: RequestId(7), .. }))
+            effects.iter().any(|e| matches!(e, Effect::Answer { request_id: RequestId(7), .. }))
         };
         assert!(!answered(&effects), "answered before the job was looked up");
         let confirmation = effects.iter().find_map(|e| match e {
             Effect::Store {
-                op,
-                call: StoreRequest::Transaction { preconditions, puts, .. },
+                call_id,
+                request: StoreRequest::Transaction { preconditions, puts, .. },
                 ..
             } if puts.is_empty()
                 && preconditions.iter().any(|p| p.key == active_job_key(JobId(7))) =>
             {
-                Some(*op)
+                Some(*call_id)
             }
             _ => None,
         });
         let failed = vec![active_job_key(JobId(7))];
         let reply = StoreReply::Conflict { failed };
-        let effects = controller.step(1_600, 0, Input::Store { op: confirmation.unwrap(), reply });
+        let effects =
+            controller.step(1_600, 0, Input::Store { call_id: confirmation.unwrap(), reply });
         let lookup = effects.iter().find_map(|e| match e {
-            Effect::Store { op, call: StoreRequest::Get(key), .. }
+            Effect::Store { call_id, request: StoreRequest::Get(key), .. }
                 if *key == active_job_key(JobId(7)) =>
             {
-                Some(*op)
+                Some(*call_id)
             }
             _ => None,
         });
@@ -159,9 +166,9 @@
         let key = active_job_key(JobId(7));
         let item = KeyValue { key, value, mod_revision: ACTIVE_REVISION, lease_id: None };
         let reply = StoreReply::KeyValue(item);
-        let effects = controller.step(1_700, 0, Input::Store { op: lookup.unwrap(), reply });
+        let effects = controller.step(1_700, 0, Input::Store { call_id: lookup.unwrap(), reply });
         let is_job_answer = |e: &Effect| {
-            matches!(e, Effect::Answer { req: RequestId(7), answer: Answer::Job { .. } })
+            matches!(e, Effect::Answer { request_id: RequestId(7), answer: Answer::Job { .. } })
         };
         assert!(effects.iter().any(is_job_answer), "{effects:?}");
     }
@@ -175,13 +182,15 @@
     let mut controller = controller(Some(AdmissionPolicy::default()));
     controller.job_cache.quotas.put_controller("n0", 1, Revision(2));
     controller.apply_unordered(&quota(1, 1));
-    let (txn, _) = submit(&mut controller, 7, a_job(1, true));
-    let lost_reply = Input::Store { op: txn.unwrap().0, reply: StoreReply::Unknown };
+    let (txn, _) = submit(&mut controller, 7, job_spec(1, true));
+    let lost_reply = Input::Store { call_id: txn.unwrap().0, reply: StoreReply::Unknown };
     controller.step(1_100, 0, lost_reply);
-    let (txn, effects) = submit(&mut controller, 200, a_job(1, true));
+    let (txn, effects) = submit(&mut controller, 200, job_spec(1, true));
     assert!(txn.is_none(), "the quota is used up");
     let writes_controller_record = |e: &Effect| match e {
-        Effect::Store { call: StoreRequest::Transaction { preconditions, puts, .. }, .. } => {
+        Effect::Store {
+            request: StoreRequest::Transaction { preconditions, puts, .. }, ..
+        } => {
             preconditions.contains(&Precondition::new(controller_key("n0"), Revision(2)))
                 && puts.iter().any(|p| p.key == controller_key("n0"))
         }
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -53,7 +53,7 @@
     /// Steady clock at the current step, in milliseconds.
     now: Ms,
     /// Wall clock at the current step, in milliseconds.
-    wall: WallMs,
+    wall_clock_ms: WallMs,
     rng: SmallRng,
     calls: Calls,
     election: Election,
@@ -90,7 +90,7 @@
             (cfg.memory_mb * CACHED_OUTCOMES_PER_MB).max(MIN_CACHED_OUTCOMES) as usize;
         Controller {
             now: 0,
-            wall: 0,
+            wall_clock_ms: 0,
             rng: SmallRng::seed_from_u64(seed),
             calls: Calls::default(),
             election: Election::new(ElectionSettings {
@@ -132,7 +132,7 @@
             self.now <= self.last_peer_progress_at + self.cfg.heartbeat_interval_ms * 2;
         let max_silence_ms = match leader_is_active && !self.is_leading() {
             true => self.cfg.leader_lease_ms(),
-            false => self.cfg.lease_ms,
+            false => self.cfg.worker_lease_ms,
         };
         self.job_watch.is_loaded()
             && !self.machine_types.known().is_empty()
@@ -153,20 +153,28 @@
     }
 
     /// Processes an input and all work that is due, and returns the effects in order. `now` is the
-    /// steady clock and `wall` the wall clock, both in milliseconds.
-    pub fn step(&mut self, now: Ms, wall: WallMs, input: Input) -> Vec<Effect> {
+    /// steady clock and `wall_clock_ms` the wall clock, both in milliseconds.
+    pub fn step(&mut self, now: Ms, wall_clock_ms: WallMs, input: Input) -> Vec<Effect> {
         self.now = self.now.max(now);
-        self.wall = wall;
+        self.wall_clock_ms = wall_clock_ms;
         match input {
             Input::Tick => {}
-            Input::Submit { req, job, spec } => self.handle_submission(req, job, spec),
-            Input::Poll { req, job } => self.handle_poll_or_cancel(req, job, RequestKind::Poll),
-            Input::Cancel { req, job } => self.handle_poll_or_cancel(req, job, RequestKind::Cancel),
-            Input::Inspect { req } => self.answer_inspection(req),
-            Input::Heartbeat { req, heartbeat } => self.handle_heartbeat(req, &heartbeat),
-            Input::Store { op, reply } => self.handle_store_reply(op, reply),
-            Input::Cloud { op, reply } => self.handle_cloud_reply(op, reply),
-            Input::Peer { progress } => {
+            Input::Submit { request_id, job, spec } => {
+                self.handle_submission(request_id, job, spec)
+            }
+            Input::Poll { request_id, job } => {
+                self.handle_poll_or_cancel(request_id, job, RequestKind::Poll)
+            }
+            Input::Cancel { request_id, job } => {
+                self.handle_poll_or_cancel(request_id, job, RequestKind::Cancel)
+            }
+            Input::Inspect { request_id } => self.answer_inspection(request_id),
+            Input::Heartbeat { request_id, heartbeat } => {
+                self.handle_heartbeat(request_id, &heartbeat)
+            }
+            Input::Store { call_id, reply } => self.handle_store_reply(call_id, reply),
+            Input::Cloud { call_id, reply } => self.handle_cloud_reply(call_id, reply),
+            Input::PeerProgress { progress } => {
                 self.last_peer_progress_at = self.now;
                 if self.leader.is_none() {
                     self.requests.update_progress(&self.job_cache, &progress);
@@ -186,10 +194,10 @@
         let leader = self.leader.as_mut()?;
         let ctx = Context {
             cfg: &self.cfg,
-            types: self.machine_types.known(),
+            machine_types: self.machine_types.known(),
             job_cache: &self.job_cache,
             now: self.now,
-            wall: self.wall,
+            wall_clock_ms: self.wall_clock_ms,
             holds_valid_lease: self.election.holds_valid_lease(self.now),
             job_cache_is_fresh,
         };
@@ -286,10 +294,10 @@
         self.calls.log(LeadershipEvent::Elected { token: term.token });
         let ctx = Context {
             cfg: &self.cfg,
-            types: self.machine_types.known(),
+            machine_types: self.machine_types.known(),
             job_cache: &self.job_cache,
             now: self.now,
-            wall: self.wall,
+            wall_clock_ms: self.wall_clock_ms,
             holds_valid_lease: true,
             job_cache_is_fresh: false,
         };
@@ -334,7 +342,7 @@
         let progress = leader.progress();
         let counts = progress.iter().map(|progress| (progress.job, progress.into()));
         self.requests.task_counts = counts.collect();
-        self.calls.effects.push(Effect::Peers { progress });
+        self.calls.effects.push(Effect::BroadcastProgress { progress });
     }
 }
 
--- a/crates/basaltrail-core/src/controller/submissions.rs
+++ b/crates/basaltrail-core/src/controller/submissions.rs
@@ -41,7 +41,7 @@
         if waiting == 0 || self.requests.submissions_in_flight >= MAX_BATCHES_IN_FLIGHT {
             return;
         }
-        let max_jobs = self.cfg.transaction_ops.max(1);
+        let max_jobs = self.cfg.max_transaction_ops.max(1);
         let jobs = waiting.min(max_jobs);
         if self.calls.try_acquire_write(self.now, jobs, CallPriority::Request) {
             self.send_batch(jobs);
@@ -107,7 +107,7 @@
     fn job_record(&self, submission: &AdmittedSubmission) -> JobRecord {
         let accepted_by =
             self.admission.quota_precondition(submission).map(|_| self.cfg.controller.clone());
-        JobRecord { accepted_at: self.wall, spec: (*submission.spec).clone(), accepted_by }
+        JobRecord { accepted_at: self.wall_clock_ms, spec: (*submission.spec).clone(), accepted_by }
     }
 
     /// Handles the reply to a batch.
--- a/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
@@ -73,7 +73,7 @@
     demand: &[TypeDemand],
     peak: &mut DemandPeak,
 ) -> Vec<CapacityTarget> {
-    let candidates = ctx.types.iter().enumerate();
+    let candidates = ctx.machine_types.iter().enumerate();
     let price = |t: &MachineType| price_per_cpu(t, true);
     let Some((cheapest, cheapest_type)) =
         candidates.min_by(|a, b| price(a.1).total_cmp(&price(b.1)))
@@ -81,12 +81,12 @@
         return Vec::new();
     };
     let lowest_price = price(cheapest_type).max(1e-9);
-    let guaranteed_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.cpus).sum();
-    let limit_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.cpus_max).sum();
+    let guaranteed_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.guaranteed_cpus).sum();
+    let limit_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.max_cpus).sum();
     // The capacity held ready follows recent demand, so that no machines idle once the work ends.
     let peak_machines = peak.update(ctx, limit_cpus, demand[cheapest].machines);
     let mut targets = Vec::new();
-    for (index, (demand, machine_type)) in demand.iter().zip(ctx.types).enumerate() {
+    for (index, (demand, machine_type)) in demand.iter().zip(ctx.machine_types).enumerate() {
         let cpus = machine_type.cpus.max(1e-9);
         let held_ready = match index == cheapest {
             true => guaranteed_cpus * ctx.cfg.policy.headroom / cpus,
--- a/crates/basaltrail-core/src/leader/autoscaler/demand.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/demand.rs
@@ -5,7 +5,7 @@
 use crate::leader::scheduler::capacity::machine_type;
 use crate::leader::Context;
 use crate::machines::{Machine, MachineKind};
-use crate::model::{fits, JobSpec, MachineType};
+use crate::model::{fitting_tasks, JobSpec, MachineType};
 use crate::resources::Resources;
 
 /// Demand of the unfinished arrays for one machine type. Services are counted separately, see
@@ -21,19 +21,22 @@
 /// Returns the demand for each type. A job counts towards the type that runs its tasks at the
 /// lowest price.
 pub(in crate::leader) fn demand_by_type(ctx: &Context, cluster: &Cluster) -> Vec<TypeDemand> {
-    let mut demand = vec![TypeDemand::default(); ctx.types.len()];
+    let mut demand = vec![TypeDemand::default(); ctx.machine_types.len()];
     let mut remaining_limit_cpus: Vec<f64> =
-        ctx.cfg.teams.iter().map(|team| team.cpus_max).collect();
+        ctx.cfg.teams.iter().map(|team| team.max_cpus).collect();
     let is_unfinished_array = |job: &&JobState| job.ended.is_none() && !job.spec.is_service();
     for job in cluster.jobs.values().filter(is_unfinished_array) {
-        let Some((index, machine_type)) = cheapest_type(ctx.types, &job.spec) else { continue };
+        let Some((index, machine_type)) = cheapest_type(ctx.machine_types, &job.spec) else {
+            continue;
+        };
         let cpus = job.spec.cpus;
-        let tasks = job.desired_placements().min(fits(remaining_limit_cpus[job.team], cpus));
+        let tasks =
+            job.desired_placements().min(fitting_tasks(remaining_limit_cpus[job.team], cpus));
         remaining_limit_cpus[job.team] -= tasks as f64 * cpus;
-        demand[index].machines += tasks as f64 / machine_type.holds(&job.spec) as f64;
+        demand[index].machines += tasks as f64 / machine_type.task_capacity(&job.spec) as f64;
         // A running task is half done on average.
         let unfinished = job.desired_placements() as f64 - job.placed.len() as f64 / 2.0;
-        let work_cpus = (unfinished * cpus).min(ctx.cfg.teams[job.team].cpus_max);
+        let work_cpus = (unfinished * cpus).min(ctx.cfg.teams[job.team].max_cpus);
         demand[index].cpu_s += work_cpus * job.spec.estimate_s.max(1.0);
     }
     demand
@@ -41,11 +44,11 @@
 
 /// Returns the type that runs tasks of a job at the lowest price, with its index.
 fn cheapest_type<'a>(types: &'a [MachineType], spec: &JobSpec) -> Option<(usize, &'a MachineType)> {
-    let price_per_task = |t: &MachineType| t.price / t.holds(spec) as f64;
+    let price_per_task = |t: &MachineType| t.price / t.task_capacity(spec) as f64;
     types
         .iter()
         .enumerate()
-        .filter(|(_, t)| t.allowed(spec) && t.holds(spec) > 0)
+        .filter(|(_, t)| t.is_allowed_by(spec) && t.task_capacity(spec) > 0)
         .min_by(|a, b| price_per_task(a.1).total_cmp(&price_per_task(b.1)))
 }
 
@@ -57,7 +60,7 @@
     live: &[&Machine],
     kind: &MachineKind,
 ) -> usize {
-    let Some(wanted_type) = machine_type(ctx.types, &kind.machine_type) else { return 0 };
+    let Some(wanted_type) = machine_type(ctx.machine_types, &kind.machine_type) else { return 0 };
     let is_constrained = |spec: &JobSpec| !spec.spot || spec.zone.is_some() || spec.types.is_some();
     let is_pending_array = |job: &&JobState| job.pending() > 0 && !job.spec.is_service();
     let mut max_missing = 0;
@@ -72,9 +75,9 @@
         // of its team would stay idle, be terminated and be provisioned again.
         let limit = ctx.cfg.teams[job.team].tasks_within_limit(Resources::default(), &job.spec);
         let tasks = job.desired_placements().min(limit);
-        let needed = tasks.div_ceil(wanted_type.holds(&job.spec)) as usize;
+        let needed = tasks.div_ceil(wanted_type.task_capacity(&job.spec)) as usize;
         let is_suitable = |machine: &&&Machine| {
-            machine_type(ctx.types, &machine.machine_type)
+            machine_type(ctx.machine_types, &machine.machine_type)
                 .is_some_and(|t| can_run_on(&job.spec, t, &machine.zone, machine.spot))
         };
         max_missing =
@@ -87,8 +90,8 @@
 fn can_run_on(spec: &JobSpec, machine_type: &MachineType, zone: &str, spot: bool) -> bool {
     (spec.spot || !spot)
         && spec.zone.as_deref().is_none_or(|allowed| allowed == zone)
-        && machine_type.allowed(spec)
-        && machine_type.holds(spec) > 0
+        && machine_type.is_allowed_by(spec)
+        && machine_type.task_capacity(spec) > 0
 }
 
 #[cfg(test)]
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -97,7 +97,7 @@
     /// Sends the calls to the cloud that are due: the next page of the list of machines, and the
     /// provisioning requests of a new plan.
     pub(in crate::leader) fn call_cloud(&mut self, ctx: &Context, calls: &mut Calls) {
-        if !ctx.holds_valid_lease || ctx.types.is_empty() {
+        if !ctx.holds_valid_lease || ctx.machine_types.is_empty() {
             return;
         }
         self.autoscaler.inventory.request_page(ctx, self.token, calls);
@@ -135,10 +135,10 @@
         &mut self,
         ctx: &Context,
         calls: &mut Calls,
-        requisition: &str,
+        request_name: &str,
         reply: CloudReply,
     ) {
-        let provisioned = self.autoscaler.apply_provisioning_reply(ctx, requisition, reply, calls);
+        let provisioned = self.autoscaler.apply_provisioning_reply(ctx, request_name, reply, calls);
         for machine in provisioned {
             if !self.cluster.machines.contains_key(&machine.id) {
                 self.add_machine(ctx, machine);
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -3,7 +3,7 @@
 use super::partitions::{is_unheard, silent_machines_with_replicas, zones_with_few_unheard};
 use super::provisioning_time::ABANDONED_BOOT_TIMES;
 use super::Autoscaler;
-use crate::events::{MachineEvent, ReleaseReason};
+use crate::events::{MachineEvent, TerminationReason};
 use crate::io::{CloudReply, CloudRequest};
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::capacity::machine_type;
@@ -73,8 +73,8 @@
         leader: LeaderState,
     ) -> Self {
         let LeaderState { elected_at, reachable_since, .. } = leader;
-        let is_settled = ctx.now > elected_at.max(reachable_since) + ctx.cfg.lease_ms / 2;
-        let boot_s = ctx.types.iter().map(|t| t.boot_s).fold(1.0, f64::max);
+        let is_settled = ctx.now > elected_at.max(reachable_since) + ctx.cfg.worker_lease_ms / 2;
+        let boot_s = ctx.machine_types.iter().map(|t| t.boot_s).fold(1.0, f64::max);
         TerminationCriteria {
             ctx,
             autoscaler,
@@ -90,15 +90,15 @@
     }
 
     /// Returns the reason to terminate the machine, if there is one.
-    fn termination_reason(&self, machine: &Machine) -> Option<ReleaseReason> {
+    fn termination_reason(&self, machine: &Machine) -> Option<TerminationReason> {
         if self.is_reclaimed(machine) {
-            return Some(ReleaseReason::Reclaimed);
+            return Some(TerminationReason::Reclaimed);
         }
         if self.silent_with_replicas.contains(&machine.id) {
-            return Some(ReleaseReason::ReplicasSilent);
+            return Some(TerminationReason::ReplicasSilent);
         }
         if is_unheard(machine) && self.zones_with_few_unheard.contains(machine.zone.as_str()) {
-            return Some(ReleaseReason::SilentSinceFailover);
+            return Some(TerminationReason::SilentSinceFailover);
         }
         if self.is_reachable(machine) {
             return self.reason_if_reachable(machine);
@@ -127,48 +127,54 @@
     /// Returns whether the machine reports and can be used. An empty machine that does not receive
     /// our answers cannot.
     fn is_reachable(&self, machine: &Machine) -> bool {
-        let receives_answers = self.silence_ms(machine) <= self.ctx.cfg.lease_ms * SILENT_LEASES;
+        let receives_answers =
+            self.silence_ms(machine) <= self.ctx.cfg.worker_lease_ms * SILENT_LEASES;
         machine.last_heartbeat.is_some()
             && !machine.lease_expired
             && (receives_answers || !machine.is_empty())
     }
 
-    fn reason_if_reachable(&self, machine: &Machine) -> Option<ReleaseReason> {
+    fn reason_if_reachable(&self, machine: &Machine) -> Option<TerminationReason> {
         let now = self.ctx.now;
         if !machine.is_empty() {
             return None;
         }
         if machine.decommission != Decommission::No && !machine.has_reclaim_notice(now) {
-            return Some(ReleaseReason::Drained);
+            return Some(TerminationReason::Drained);
         }
-        machine.is_quarantined(now, self.ctx.cfg.lease_ms).then_some(ReleaseReason::Quarantined)
+        machine
+            .is_quarantined(now, self.ctx.cfg.worker_lease_ms)
+            .then_some(TerminationReason::Quarantined)
     }
 
-    fn reason_if_unreachable(&self, machine: &Machine) -> Option<ReleaseReason> {
+    fn reason_if_unreachable(&self, machine: &Machine) -> Option<TerminationReason> {
         let Context { now, cfg, .. } = *self.ctx;
         let silence_ms = self.silence_ms(machine);
         let age_ms = now - machine.known_since;
-        let listed_within_ms = cfg.list_lag_ms * LIST_LAGS + LIST_MARGIN_MS;
+        let listed_within_ms = cfg.inventory_lag_ms * LIST_LAGS + LIST_MARGIN_MS;
         let is_listed = machine.last_listed.is_some_and(|(_, at)| now <= at + listed_within_ms);
         let was_never_heard = machine.last_heartbeat.is_none();
         let is_partitioned = self.autoscaler.partitions.contains(&machine.zone);
         let max_boot_wait_ms =
-            self.boot_ms * ABANDONED_BOOT_TIMES + NEVER_HEARD_LEASES * cfg.lease_ms as f64;
+            self.boot_ms * ABANDONED_BOOT_TIMES + NEVER_HEARD_LEASES * cfg.worker_lease_ms as f64;
         if matches!(machine.last_listed, Some((ListedState::Failed, _))) {
-            Some(ReleaseReason::Failed)
+            Some(TerminationReason::Failed)
         } else if !is_listed
-            && silence_ms > cfg.lease_ms + listed_within_ms
+            && silence_ms > cfg.worker_lease_ms + listed_within_ms
             && age_ms > listed_within_ms
         {
-            Some(ReleaseReason::NotListed)
-        } else if !was_never_heard && !is_partitioned && silence_ms > cfg.lease_ms * SILENT_LEASES {
-            Some(ReleaseReason::Silent)
+            Some(TerminationReason::NotListed)
+        } else if !was_never_heard
+            && !is_partitioned
+            && silence_ms > cfg.worker_lease_ms * SILENT_LEASES
+        {
+            Some(TerminationReason::Silent)
         } else if machine.overdue && machine.abandoned {
-            Some(ReleaseReason::NeverUp)
+            Some(TerminationReason::NeverUp)
         } else if was_never_heard && !is_partitioned && age_ms as f64 > max_boot_wait_ms {
-            Some(ReleaseReason::NeverHeard)
-        } else if silence_ms > cfg.lease_ms * SILENT_FOR_LONG_LEASES {
-            Some(ReleaseReason::SilentForLong)
+            Some(TerminationReason::NeverHeard)
+        } else if silence_ms > cfg.worker_lease_ms * SILENT_FOR_LONG_LEASES {
+            Some(TerminationReason::SilentForLong)
         } else {
             None
         }
@@ -184,13 +190,13 @@
         leader: LeaderState,
         calls: &mut Calls,
     ) {
-        let is_ready = ctx.holds_valid_lease && !ctx.types.is_empty();
+        let is_ready = ctx.holds_valid_lease && !ctx.machine_types.is_empty();
         if !is_ready || self.termination.in_flight || ctx.now < self.termination.next_call_at {
             return;
         }
         self.partitions.update(ctx, cluster);
         let criteria = TerminationCriteria::new(ctx, self, cluster, leader);
-        let selected: Vec<(MachineId, ReleaseReason)> = cluster
+        let selected: Vec<(MachineId, TerminationReason)> = cluster
             .machines
             .values()
             .filter_map(|m| criteria.termination_reason(m).map(|reason| (m.id.clone(), reason)))
@@ -208,7 +214,11 @@
         let machines: Vec<MachineId> = selected.into_iter().map(|(id, _)| id).collect();
         self.termination.in_flight = true;
         let purpose = CloudPurpose::Terminate { token: leader.token, machines: machines.clone() };
-        calls.send_to_cloud(purpose, CloudRequest::Terminate(machines), ctx.cfg.lease_ms / 2);
+        calls.send_to_cloud(
+            purpose,
+            CloudRequest::Terminate(machines),
+            ctx.cfg.worker_lease_ms / 2,
+        );
     }
 
     /// Marks the machine as terminating. It must not be used again, whatever the cloud replies.
@@ -216,7 +226,9 @@
         let Some(machine) = cluster.machines.get_mut(id) else { return };
         machine.decommission = Decommission::Terminating;
         let never_came_up = machine.abandoned && machine.last_heartbeat.is_none();
-        if let Some(t) = machine_type(ctx.types, &machine.machine_type).filter(|_| never_came_up) {
+        if let Some(t) =
+            machine_type(ctx.machine_types, &machine.machine_type).filter(|_| never_came_up)
+        {
             self.provisioning_times.record_abandonment(t, &machine.zone, ctx.now);
         }
     }
@@ -231,7 +243,7 @@
         self.termination.in_flight = false;
         let are_gone = *reply == CloudReply::Terminated;
         if !are_gone {
-            self.termination.next_call_at = ctx.now + ctx.cfg.lease_ms / 10;
+            self.termination.next_call_at = ctx.now + ctx.cfg.worker_lease_ms / 10;
         }
         are_gone
     }
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -39,13 +39,13 @@
     /// The controller's settings.
     pub cfg: &'a Settings,
     /// Machine types offered by the cloud.
-    pub types: &'a [MachineType],
+    pub machine_types: &'a [MachineType],
     /// Cache of the job records in the store.
     pub job_cache: &'a JobCache,
     /// Current time of the monotonic clock, in milliseconds.
     pub now: Ms,
     /// Current wall-clock time, in milliseconds.
-    pub wall: WallMs,
+    pub wall_clock_ms: WallMs,
     /// Whether this controller holds a valid leader lease.
     pub holds_valid_lease: bool,
     /// Whether the job cache contains every outcome from before the leader lease became valid.
@@ -169,7 +169,7 @@
         }
         self.writer.ledger_due = true;
         self.update_primary_zone();
-        calls.log(LeadershipEvent::Round(self.cluster.round_summary(ctx.cfg)));
+        calls.log(LeadershipEvent::FleetUsage(self.cluster.fleet_usage(ctx.cfg)));
         self.plan_quotas(ctx, calls);
         self.scheduler.changed = true;
     }
@@ -177,7 +177,7 @@
     /// Expires worker leases that have certainly ended, and withdraws unsent assignments from
     /// silent machines.
     fn check_machines(&mut self, ctx: &Context, calls: &mut Calls) {
-        let lease_ms = ctx.cfg.plus_drift_margin(ctx.cfg.lease_ms);
+        let lease_ms = ctx.cfg.plus_drift_margin(ctx.cfg.worker_lease_ms);
         let silence_ms = ctx.cfg.heartbeat_interval_ms * SILENCE_INTERVALS;
         let reachable_since = self.liveness.reachable_since;
         let lease_has_ended =
--- a/crates/basaltrail-core/src/leader/scheduler/backfill.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/backfill.rs
@@ -46,7 +46,9 @@
             self.assign(*id, u32::MAX);
         }
         if let Some(capacity) = self.assigner.free.first_mut() {
-            snapshot.reserved_capacity.deduct_reserved(self.assigner.inputs.ctx.types, capacity);
+            snapshot
+                .reserved_capacity
+                .deduct_reserved(self.assigner.inputs.ctx.machine_types, capacity);
         }
         self.assigner.free.retain(|capacity| capacity.free.cpus > CPU_TOLERANCE);
         for id in &snapshot.expedited_jobs {
@@ -82,7 +84,7 @@
     /// since backfill runs on every heartbeat.
     fn assign_by_fair_share(&mut self, waiting: &[Vec<JobId>]) {
         let mut positions = vec![0; waiting.len()];
-        for _ in 0..self.assigner.inputs.ctx.cfg.policy.sample {
+        for _ in 0..self.assigner.inputs.ctx.cfg.policy.placement_sample_size {
             if self.assigner.free.is_empty() {
                 break;
             }
--- a/crates/basaltrail-core/src/leader/scheduler/capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/capacity.rs
@@ -32,9 +32,9 @@
 impl FreeCapacity {
     /// Returns the free capacity of a machine, or `None` if it accepts no tasks or is full.
     pub(in crate::leader) fn of_machine(ctx: &Context, machine: &Machine) -> Option<Self> {
-        let type_index =
-            type_index(ctx.types, &machine.machine_type).filter(|_| accepts_tasks(ctx, machine))?;
-        let free = Resources::of_machine_type(&ctx.types[type_index]) - machine.used();
+        let type_index = type_index(ctx.machine_types, &machine.machine_type)
+            .filter(|_| accepts_tasks(ctx, machine))?;
+        let free = Resources::of_machine_type(&ctx.machine_types[type_index]) - machine.used();
         (free.cpus > CPU_TOLERANCE).then(|| FreeCapacity {
             machine: machine.id.clone(),
             type_index,
@@ -46,7 +46,7 @@
 
     /// Returns how many tasks of a job fit into the free resources.
     pub fn fitting_tasks(&self, job: &JobSpec) -> u32 {
-        self.free.fits(&Resources::of_task(job))
+        self.free.fitting_tasks(&Resources::of_task(job))
     }
 
     /// Deducts the resources of `tasks` tasks of a job.
@@ -59,7 +59,7 @@
     pub(in crate::leader) fn permitted_by(&self, job: &JobSpec, types: &[MachineType]) -> bool {
         (job.spot || !self.spot)
             && job.zone.as_deref().is_none_or(|zone| zone == self.zone)
-            && types[self.type_index].allowed(job)
+            && types[self.type_index].is_allowed_by(job)
     }
 }
 
@@ -85,7 +85,7 @@
         && !machine.lease_expired
         && machine.decommission == Decommission::No
         && !machine.has_reclaim_notice(ctx.now)
-        && !machine.is_quarantined(ctx.now, ctx.cfg.lease_ms)
+        && !machine.is_quarantined(ctx.now, ctx.cfg.worker_lease_ms)
         && ctx.now >= machine.no_room_until
         && machine.last_heartbeat.is_some_and(|at| {
             ctx.now <= at + ctx.cfg.heartbeat_interval_ms * MAX_HEARTBEAT_AGE_INTERVALS
@@ -102,7 +102,7 @@
         };
         if !machine.reconciled || has_unknown_demand(machine) {
             // An earlier leader's tasks of any team may fill the machine.
-            let whole = machine_resources(ctx.types, &machine.machine_type);
+            let whole = machine_resources(ctx.machine_types, &machine.machine_type);
             used.iter_mut().for_each(|used| *used += whole);
             continue;
         }
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -54,7 +54,7 @@
     /// Runs a scheduling cycle if the minimum interval since the last one has passed.
     pub(in crate::leader) fn schedule(&mut self, inputs: SchedulerInputs) -> CycleOutcome {
         let ctx = inputs.ctx;
-        if ctx.now < self.earliest_cycle_at || ctx.types.is_empty() {
+        if ctx.now < self.earliest_cycle_at || ctx.machine_types.is_empty() {
             return CycleOutcome::default();
         }
         self.changed = false;
@@ -79,7 +79,7 @@
         for job in blocked.iter().filter_map(|id| cluster.jobs.get(id)) {
             demands[job.team].blocked = true;
         }
-        let guaranteed = ctx.cfg.teams.iter().map(|team| team.cpus);
+        let guaranteed = ctx.cfg.teams.iter().map(|team| team.guaranteed_cpus);
         self.guarantee_waits.update(ctx.now, guaranteed.zip(demands));
     }
 
@@ -229,14 +229,14 @@
     /// work is submitted than the cluster can run.
     fn jobs_overdue_for_first_task(&self) -> Vec<(usize, JobId)> {
         let SchedulerInputs { ctx, cluster, .. } = &self.assigner.inputs;
-        let max_wait_ms = FIRST_TASK_WAIT_LEASES * ctx.cfg.lease_ms as WallMs;
+        let max_wait_ms = FIRST_TASK_WAIT_LEASES * ctx.cfg.worker_lease_ms as WallMs;
         let mut overdue: Vec<(WallMs, JobId, usize)> = self
             .waiting
             .by_team
             .iter()
             .flatten()
             .filter_map(|id| cluster.jobs.get(id))
-            .filter(|job| !job.started && ctx.wall - job.accepted_at > max_wait_ms)
+            .filter(|job| !job.started && ctx.wall_clock_ms - job.accepted_at > max_wait_ms)
             .map(|job| (job.accepted_at, job.id, job.team))
             .collect();
         overdue.sort();
--- a/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
@@ -54,7 +54,7 @@
 /// Returns a user with a random job. The order of the random draws determines each seeded run.
 fn random_user(rng: &mut SmallRng, i: u64) -> User {
     let submit_at = rng.random_range(2_000..FAULTS_END_MS + 20_000);
-    let team = rng.random_range(0..CPUS_MAX.len());
+    let team = rng.random_range(0..MAX_CPUS.len());
     let spec = JobSpec {
         priority: if rng.random_bool(0.5) { Priority::Normal } else { Priority::Low },
         tasks: rng.random_range(1..14),
@@ -342,12 +342,20 @@
                 }
             }
             // A request is processed even if its process has ended since.
-            Message::Store(op, call) => self.handle_store_request(controller, epoch, op, call),
-            Message::Cloud(op, call) => self.handle_cloud_request(controller, epoch, op, call),
-            Message::Heartbeat(machine, req, heartbeat) => {
+            Message::Store(call_id, request) => {
+                self.handle_store_request(controller, epoch, call_id, request)
+            }
+            Message::Cloud(call_id, request) => {
+                self.handle_cloud_request(controller, epoch, call_id, request)
+            }
+            Message::Heartbeat(machine, request_id, heartbeat) => {
                 if self.controllers[controller].process.is_some() {
-                    self.requesters.insert(req, Requester::Worker(machine, heartbeat.sequence));
-                    self.step(controller, Input::Heartbeat { req, heartbeat: Box::new(heartbeat) });
+                    self.requesters
+                        .insert(request_id, Requester::Worker(machine, heartbeat.sequence));
+                    self.step(
+                        controller,
+                        Input::Heartbeat { request_id, heartbeat: Box::new(heartbeat) },
+                    );
                 }
             }
             Message::Commands(machine, agent_epoch, sequence, answer) => {
--- a/crates/basaltrail-core/tests/trace_player/mod.rs
+++ b/crates/basaltrail-core/tests/trace_player/mod.rs
@@ -16,12 +16,12 @@
 const TICK_MS: u64 = 50;
 
 fn settings() -> Settings {
-    let team = |name: &str, cpus_max: f64| Team {
+    let team = |name: &str, max_cpus: f64| Team {
         name: name.into(),
-        cpus: 8.0,
-        cpus_max,
-        gpus: 0.0,
-        gpus_max: 0.0,
+        guaranteed_cpus: 8.0,
+        max_cpus,
+        guaranteed_gpus: 0.0,
+        max_gpus: 0.0,
     };
     Settings {
         controller: "n0".into(),
@@ -32,18 +32,18 @@
         teams: vec![team("wide", 64.0), team("narrow", 8.0), team("tiny", 4.0)],
         objectives: Vec::new(),
         heartbeat_interval_ms: 1_000,
-        lease_ms: 10_000,
-        cancel_ms: 30_000,
+        worker_lease_ms: 10_000,
+        max_cancellation_ms: 30_000,
         store_rps: 1_000.0,
         write_rps: 1_000.0,
-        value_bytes: 4_096,
-        transaction_ops: 12,
+        max_value_bytes: 4_096,
+        max_transaction_ops: 12,
         cloud_rps: 100.0,
-        list_lag_ms: 3_000,
+        inventory_lag_ms: 3_000,
         memory_mb: 56.0,
         max_machines: 5_000,
         incarnation: 7,
-        policy: Policy { leader_lease: 0.5, ..Policy::default() },
+        policy: Policy { leader_lease_fraction: 0.5, ..Policy::default() },
     }
 }
 
@@ -155,14 +155,14 @@
     fn execute(&mut self, effect: Effect) -> Option<Input> {
         match effect {
             Effect::Store {
-                op,
-                call: StoreRequest::Watch { prefix, after, wait_ms },
+                call_id,
+                request: StoreRequest::Watch { prefix, after, wait_ms },
                 timeout_ms,
             } => {
                 let wait_ends_at = self.now + wait_ms;
                 let times_out_at = self.now + timeout_ms;
                 self.store.watches.push(OpenWatch {
-                    op,
+                    call_id,
                     prefix,
                     after,
                     wait_ends_at,
@@ -170,10 +170,12 @@
                 });
                 None
             }
-            Effect::Store { op, call, .. } => {
-                Some(Input::Store { op, reply: self.store.handle_request(call) })
+            Effect::Store { call_id, request, .. } => {
+                Some(Input::Store { call_id, reply: self.store.handle_request(request) })
+            }
+            Effect::Cloud { call_id, request, .. } => {
+                Some(Input::Cloud { call_id, reply: cloud_reply(&request) })
             }
-            Effect::Cloud { op, call, .. } => Some(Input::Cloud { op, reply: cloud_reply(&call) }),
             Effect::Answer { answer, .. } => {
                 let text = self.describe_answer(&answer);
                 self.unchecked_answers.push_back(text);
@@ -225,7 +227,7 @@
             self.feed(Input::Tick);
             for watch in std::mem::take(&mut self.store.watches) {
                 match self.store.reply_to(&watch, self.now) {
-                    Some(reply) => self.feed(Input::Store { op: watch.op, reply }),
+                    Some(reply) => self.feed(Input::Store { call_id: watch.call_id, reply }),
                     None => self.store.watches.push(watch),
                 }
             }
@@ -234,9 +236,9 @@
 }
 
 /// Returns the reply of a cloud without capacity.
-fn cloud_reply(call: &CloudRequest) -> CloudReply {
-    match call {
-        CloudRequest::Types => CloudReply::Types(vec![machine_type()]),
+fn cloud_reply(request: &CloudRequest) -> CloudReply {
+    match request {
+        CloudRequest::MachineTypes => CloudReply::MachineTypes(vec![machine_type()]),
         CloudRequest::Provision { .. } => CloudReply::NoCapacity,
         CloudRequest::Terminate(_) => CloudReply::Terminated,
         CloudRequest::List { .. } => CloudReply::Listed { machines: Vec::new(), more: false },
