--- a/crates/basaltrail-core/src/jobs/job_state.rs
+++ b/crates/basaltrail-core/src/jobs/job_state.rs
@@ -38,11 +38,11 @@
     /// The job's received and fair time.
     pub account: Account,
     /// True if any task was ever placed or found on a machine.
-    pub started: bool,
+    pub has_started: bool,
     /// The time since which tasks are pending and none is placed; `None` otherwise.
     pub unplaced_since: Option<Ms>,
     /// The outcome, once the job has ended. Its tasks may still be on machines.
-    pub ended: Option<JobOutcome>,
+    pub outcome: Option<JobOutcome>,
     /// Crash-loop detection and back-off.
     pub health: JobHealth,
 }
@@ -64,9 +64,9 @@
             requeued: BTreeSet::new(),
             next_new_task: 0,
             account: Account::default(),
-            started: false,
+            has_started: false,
             unplaced_since: None,
-            ended: None,
+            outcome: None,
             health: JobHealth::default(),
         }
     }
@@ -86,8 +86,8 @@
     }
 
     /// Returns the number of tasks that are neither done nor placed; 0 if the job has ended.
-    pub fn pending(&self) -> u32 {
-        if self.ended.is_some() {
+    pub fn pending_tasks(&self) -> u32 {
+        if self.outcome.is_some() {
             return 0;
         }
         self.spec.tasks.saturating_sub(self.done.len() + self.placed.len() as u32)
@@ -95,7 +95,7 @@
 
     /// Returns the number of tasks, placed ones included, that should be placed if capacity allows.
     pub fn desired_placements(&self) -> u32 {
-        self.placed.len() as u32 + self.pending().min(self.allowed_starts())
+        self.placed.len() as u32 + self.pending_tasks().min(self.allowed_starts())
     }
 
     /// Removes and returns the next pending task: first requeued tasks, then tasks that were never
--- a/crates/basaltrail-core/src/leader/autoscaler/demand.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/demand.rs
@@ -24,7 +24,7 @@
     let mut demand = vec![TypeDemand::default(); ctx.types.len()];
     let mut remaining_limit_cpus: Vec<f64> =
         ctx.cfg.teams.iter().map(|team| team.cpus_max).collect();
-    let is_unfinished_array = |job: &&JobState| job.ended.is_none() && !job.spec.is_service();
+    let is_unfinished_array = |job: &&JobState| job.outcome.is_none() && !job.spec.is_service();
     for job in cluster.jobs.values().filter(is_unfinished_array) {
         let Some((index, machine_type)) = cheapest_type(ctx.types, &job.spec) else { continue };
         let cpus = job.spec.cpus;
@@ -59,7 +59,7 @@
 ) -> usize {
     let Some(wanted_type) = machine_type(ctx.types, &kind.machine_type) else { return 0 };
     let is_constrained = |spec: &JobSpec| !spec.spot || spec.zone.is_some() || spec.types.is_some();
-    let is_pending_array = |job: &&JobState| job.pending() > 0 && !job.spec.is_service();
+    let is_pending_array = |job: &&JobState| job.pending_tasks() > 0 && !job.spec.is_service();
     let mut max_missing = 0;
     for job in
         cluster.jobs.values().filter(is_pending_array).filter(|job| is_constrained(&job.spec))
--- a/crates/basaltrail-core/src/leader/cluster.rs
+++ b/crates/basaltrail-core/src/leader/cluster.rs
@@ -128,7 +128,7 @@
     /// Removes and returns the ended jobs that have no task left on any machine.
     pub(in crate::leader) fn remove_finished_jobs(&mut self) -> Vec<JobState> {
         let mut finished: Vec<JobId> =
-            self.jobs.values().filter(|job| job.ended.is_some()).map(|job| job.id).collect();
+            self.jobs.values().filter(|job| job.outcome.is_some()).map(|job| job.id).collect();
         if finished.is_empty() {
             return Vec::new();
         }
@@ -152,7 +152,7 @@
         }
         self.jobs
             .values()
-            .filter(|job| job.ended.is_none())
+            .filter(|job| job.outcome.is_none())
             .map(|job| Progress {
                 job: job.id,
                 done: job.done.len(),
@@ -190,7 +190,7 @@
             }
         }
         for job in self.jobs.values() {
-            summary.teams[job.team].waiting_cpus += job.pending() as f64 * job.spec.cpus;
+            summary.teams[job.team].waiting_cpus += job.pending_tasks() as f64 * job.spec.cpus;
         }
         summary.waiting_cpus = summary.teams.iter().map(|team| team.waiting_cpus).sum();
         summary
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -168,7 +168,7 @@
                     let is_durable = match self.jobs.get(&task.job) {
                         Some(job) => {
                             // The exit of a replica is not stored, so nothing has to be durable.
-                            job.ended.is_some()
+                            job.outcome.is_some()
                                 || reason != ExitReason::Done
                                 || job.spec.is_service()
                                 || job.durable.contains(task.index)
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -115,11 +115,11 @@
             }
             return effects;
         };
-        job.started = true;
+        job.has_started = true;
         let place = (machine.clone(), attempt);
         let is_placed_elsewhere =
             job.placed.get(&task.index).is_some_and(|placed| *placed != place);
-        if job.ended.is_some() || job.done.contains(task.index) || is_placed_elsewhere {
+        if job.outcome.is_some() || job.done.contains(task.index) || is_placed_elsewhere {
             // Only this attempt is stopped; one on another machine keeps running.
             slot.stop_at_once();
         } else {
@@ -163,7 +163,7 @@
             failed_on = job.health.record_success(machine_id);
         }
         let was_placed_here = job.end_placement(task.index, machine_id, attempt);
-        if !was_placed_here || job.ended.is_some() {
+        if !was_placed_here || job.outcome.is_some() {
             return effects;
         }
         match reason {
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -120,7 +120,7 @@
             self.sync_active_job(ctx, job, active);
         } else if let Some(outcome) = ctx.job_cache.outcome(job) {
             self.sync_ended_job(job, outcome);
-        } else if self.cluster.jobs.get(&job).is_some_and(|job| job.ended.is_none()) {
+        } else if self.cluster.jobs.get(&job).is_some_and(|job| job.outcome.is_none()) {
             self.failover.unknown_jobs.insert(job);
         }
     }
@@ -145,7 +145,7 @@
 
     fn sync_ended_job(&mut self, id: JobId, outcome: JobOutcome) {
         if let Some(job) = self.cluster.jobs.get_mut(&id) {
-            job.ended = Some(outcome);
+            job.outcome = Some(outcome);
             self.scheduler.changed = true;
         }
         for (segment, _) in self.failover.remove_completions(id) {
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -107,7 +107,7 @@
         budget: &mut WriteBudget,
     ) {
         for id in &self.complete_jobs {
-            let job = sources.cluster.jobs.get(id).filter(|job| job.ended.is_none());
+            let job = sources.cluster.jobs.get(id).filter(|job| job.outcome.is_none());
             let Some(job) = job else { continue };
             if !ctx.job_cache.active.contains_key(id)
                 || sources.unknown_jobs.contains(id)
@@ -167,7 +167,7 @@
         let leases_end = ctx.wall + (ctx.cfg.policy.lease_term_s * 1000.0) as WallMs;
         let jobs = sources.cluster.jobs.values();
         let crash_loops = jobs
-            .filter(|job| job.ended.is_none() && job.health.is_crash_looping())
+            .filter(|job| job.outcome.is_none() && job.health.is_crash_looping())
             .map(|job| job.id)
             .take(MAX_RECORDED_CRASH_LOOPS)
             .collect();
@@ -208,7 +208,7 @@
             return;
         }
         for id in self.completion_order() {
-            let job = jobs.get_mut(&id).filter(|job| job.ended.is_none() && !job.is_complete());
+            let job = jobs.get_mut(&id).filter(|job| job.outcome.is_none() && !job.is_complete());
             let Some(job) = job else {
                 self.unwritten_jobs.remove(&id);
                 continue;
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -175,7 +175,7 @@
             let mut demand = active.spec.demand();
             if let Some(job) = self.cluster.jobs.get(id) {
                 // Only pending tasks count as waiting.
-                demand.cpus = f64::from(job.pending()) * active.spec.cpus;
+                demand.cpus = f64::from(job.pending_tasks()) * active.spec.cpus;
             }
             let waiting: &mut WorkAmount =
                 backlogs[team].entry(active.spec.class.as_str()).or_default();
--- a/crates/basaltrail-core/src/leader/scheduler/accounting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/accounting.rs
@@ -24,11 +24,11 @@
     let elapsed_s = ledger.accrue(ctx.cfg, ctx.now, fleet_cpus, &running.by_team);
     let mut active_jobs = vec![0u32; ctx.cfg.teams.len()];
     for job in
-        cluster.jobs.values().filter(|job| job.ended.is_none() && !job.health.is_crash_looping())
+        cluster.jobs.values().filter(|job| job.outcome.is_none() && !job.health.is_crash_looping())
     {
         active_jobs[job.team] += 1;
     }
-    for job in cluster.jobs.values_mut().filter(|job| job.ended.is_none()) {
+    for job in cluster.jobs.values_mut().filter(|job| job.outcome.is_none()) {
         let unfinished = job.spec.tasks - job.done.len().min(job.spec.tasks);
         let demand_cpus = unfinished as f64 * job.spec.cpus;
         let quota_cpus = Ledger::quota(ctx.cfg, job.team, fleet_cpus);
--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -58,7 +58,7 @@
 ) -> u32 {
     let Some(job) = cluster.jobs.get(&id) else { return 0 };
     let team = &ctx.cfg.teams[job.team];
-    team.tasks_within_limit(used[job.team], &job.spec).min(job.pending())
+    team.tasks_within_limit(used[job.team], &job.spec).min(job.pending_tasks())
 }
 
 /// Counts the tasks of a job that may be on machines, by zone. The result is empty unless the job
@@ -108,7 +108,7 @@
 
     /// Returns whether a job has pending tasks.
     pub(in crate::leader) fn has_pending(&self, id: JobId) -> bool {
-        self.inputs.cluster.jobs.get(&id).is_some_and(|job| job.pending() > 0)
+        self.inputs.cluster.jobs.get(&id).is_some_and(|job| job.pending_tasks() > 0)
     }
 
     /// Returns how many pending tasks of a job its team may start within its limit.
@@ -147,7 +147,7 @@
         let Some(job) = cluster.jobs.get_mut(&id).filter(|_| assigned > 0) else { return false };
         let granted_cpu_s = assigned as f64 * job.spec.cpus * ctx.cfg.policy.lease_term_s;
         job.account.granted += granted_cpu_s;
-        job.started = true;
+        job.has_started = true;
         ledger.teams[job.team].granted += granted_cpu_s;
         true
     }
@@ -215,7 +215,7 @@
             self.scheduler.attempt_counter = counter;
             let attempt = Attempt((token.0 << ATTEMPT_COUNTER_BITS) | u64::from(counter));
             job.placed.insert(index, (machine.id.clone(), attempt));
-            let slot = assigned_slot(ctx, demand, !job.started);
+            let slot = assigned_slot(ctx, demand, !job.has_started);
             machine.slots.insert((TaskId { job: id, index }, attempt), slot);
             placed += 1;
         }
--- a/crates/basaltrail-core/src/leader/scheduler/backfill.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/backfill.rs
@@ -74,8 +74,9 @@
     fn may_start(&self, id: JobId) -> bool {
         let inputs = &self.assigner.inputs;
         let job = inputs.cluster.jobs.get(&id);
-        job.is_some_and(|job| job.pending() > 0 && job.health.back_off_until() <= inputs.ctx.now)
-            && !inputs.unknown_jobs.contains(&id)
+        job.is_some_and(|job| {
+            job.pending_tasks() > 0 && job.health.back_off_until() <= inputs.ctx.now
+        }) && !inputs.unknown_jobs.contains(&id)
     }
 
     /// Assigns the remaining capacity by fair share. The number of jobs that are tried is bounded,
--- a/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
@@ -24,7 +24,7 @@
         for machine in cluster.machines.values() {
             for ((task, _), slot) in machine.slots.iter().filter(|(_, slot)| slot.holds_resources())
             {
-                let job = cluster.jobs.get(&task.job).filter(|job| job.ended.is_none());
+                let job = cluster.jobs.get(&task.job).filter(|job| job.outcome.is_none());
                 let Some((job, demand)) = job.zip(slot.demand) else { continue };
                 *usage.by_class.entry((job.team, &job.spec.class)).or_default() +=
                     demand.resources.cpus;
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -71,9 +71,9 @@
     /// without capacity.
     fn update_guarantee_waits(&mut self, ctx: &Context, cluster: &Cluster, blocked: &[JobId]) {
         let mut demands = vec![TeamDemand::default(); ctx.cfg.teams.len()];
-        let adds_demand = |job: &&JobState| job.ended.is_none() && !job.health.is_crash_looping();
+        let adds_demand = |job: &&JobState| job.outcome.is_none() && !job.health.is_crash_looping();
         for job in cluster.jobs.values().filter(adds_demand) {
-            let tasks = job.pending() as f64 + job.placed.len() as f64;
+            let tasks = job.pending_tasks() as f64 + job.placed.len() as f64;
             demands[job.team].unfinished_cpus += tasks * job.spec.cpus;
         }
         for job in blocked.iter().filter_map(|id| cluster.jobs.get(id)) {
@@ -86,7 +86,7 @@
     /// Returns when a cycle is due even if nothing changes: the next back-off ends, or the next
     /// team has waited too long for its guarantee.
     fn next_wake_at(&self, ctx: &Context, cluster: &Cluster) -> Ms {
-        let waiting_jobs = || cluster.jobs.values().filter(|job| job.pending() > 0);
+        let waiting_jobs = || cluster.jobs.values().filter(|job| job.pending_tasks() > 0);
         let job_back_offs = waiting_jobs().map(|job| job.health.back_off_until());
         let avoided_machines =
             waiting_jobs().filter_map(|job| job.health.next_avoidance_end(ctx.now));
@@ -236,7 +236,7 @@
             .iter()
             .flatten()
             .filter_map(|id| cluster.jobs.get(id))
-            .filter(|job| !job.started && ctx.wall - job.accepted_at > max_wait_ms)
+            .filter(|job| !job.has_started && ctx.wall - job.accepted_at > max_wait_ms)
             .map(|job| (job.accepted_at, job.id, job.team))
             .collect();
         overdue.sort();
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
@@ -148,14 +148,14 @@
     /// and its running ones never end and free their capacity.
     fn add_service(&mut self, job: &JobState) {
         self.placed_replica_cpus += job.placed.len() as f64 * job.spec.cpus;
-        if job.pending() > 0 {
-            self.pending_replica_cpus += job.pending() as f64 * job.spec.cpus;
+        if job.pending_tasks() > 0 {
+            self.pending_replica_cpus += job.pending_tasks() as f64 * job.spec.cpus;
             self.incomplete_services.push(job.id);
         }
     }
 
     fn add_array(&mut self, ctx: &Context, job: &JobState) {
-        let pending_cpus = job.pending() as f64 * job.spec.cpus;
+        let pending_cpus = job.pending_tasks() as f64 * job.spec.cpus;
         let unfinished_cpus = pending_cpus + job.placed.len() as f64 * job.spec.cpus;
         self.array_cpus += unfinished_cpus;
         self.array_cpu_s += unfinished_cpus * job.spec.estimate_s;
@@ -176,7 +176,7 @@
     let mut feasible = HashMap::new();
     for (team, used) in used.iter().enumerate() {
         let mut load = TeamLoad::default();
-        let is_unfinished = |job: &&JobState| job.team == team && job.ended.is_none();
+        let is_unfinished = |job: &&JobState| job.team == team && job.outcome.is_none();
         for job in
             cluster.jobs.values().filter(is_unfinished).filter(|job| !job.health.is_crash_looping())
         {
--- a/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
@@ -77,7 +77,7 @@
 
     fn rank_in_team(&self, job: &JobState) -> JobRank {
         let slack_s = self.slack_s.get(&job.id).copied();
-        let work_cpu_s = job.pending() as f64 * job.spec.cpus * job.spec.estimate_s;
+        let work_cpu_s = job.pending_tasks() as f64 * job.spec.cpus * job.spec.estimate_s;
         let quota = Ledger::quota(self.ctx.cfg, job.team, self.fleet_cpus).max(1.0);
         JobRank {
             priority: Reverse(job.spec.priority),
@@ -85,7 +85,7 @@
             // An infeasible job is late in any case and only has to complete: longest first.
             effective_slack_s: slack_s
                 .map_or(-job.spec.estimate_s, |slack_s| slack_s + WORK_WEIGHT * work_cpu_s / quota),
-            has_started: job.started,
+            has_started: job.has_started,
             degree: job.account.degree(),
             accepted_at: job.accepted_at,
         }
--- a/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
@@ -211,7 +211,7 @@
     let running = cluster
         .jobs
         .values()
-        .filter(|job| job.ended.is_none() && job.spec.is_service() && runs_on_kind(&job.spec))
+        .filter(|job| job.outcome.is_none() && job.spec.is_service() && runs_on_kind(&job.spec))
         .map(|job| {
             let replicas = f64::from(job.desired_placements());
             let replicas_in_zone =
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -53,7 +53,7 @@
     schedule(&test, &mut leader_of_two, 100);
     assert_eq!(machines_of(&leader_of_two, 1).len(), 2);
     assert_eq!(
-        leader_of_two.cluster.jobs[&JobId(1)].pending(),
+        leader_of_two.cluster.jobs[&JobId(1)].pending_tasks(),
         0,
         "replicas share machines rather than wait"
     );
@@ -73,7 +73,7 @@
             free >= reserved && free <= reserved + 8.0,
             "guarantee {guarantee}: {free} reserved"
         );
-        assert_eq!(leader.cluster.jobs[&JobId(1)].pending(), 0);
+        assert_eq!(leader.cluster.jobs[&JobId(1)].pending_tasks(), 0);
     }
 }
 
--- a/crates/basaltrail-core/src/leader/scheduler/starvation.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/starvation.rs
@@ -13,7 +13,7 @@
     let max_wait_ms = ctx.cfg.lease_ms * STARVED_LEASES;
     let mut starved = Vec::new();
     for job in cluster.jobs.values_mut() {
-        let is_unplaced = job.ended.is_none() && job.pending() > 0 && job.placed.is_empty();
+        let is_unplaced = job.outcome.is_none() && job.pending_tasks() > 0 && job.placed.is_empty();
         job.unplaced_since = is_unplaced.then(|| job.unplaced_since.unwrap_or(ctx.now));
         if let Some(since) = job.unplaced_since.filter(|since| ctx.now > since + max_wait_ms) {
             starved.push((since, job.id));
--- a/crates/basaltrail-core/src/leader/scheduler/waiting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/waiting.rs
@@ -28,7 +28,7 @@
             crash_looping: Vec::new(),
         };
         for job in cluster.jobs.values() {
-            let is_startable = job.pending() > 0
+            let is_startable = job.pending_tasks() > 0
                 && job.health.back_off_until() <= ctx.now
                 && !unknown_jobs.contains(&job.id)
                 && !may_have_unreported_tasks(job, inputs.elected_revision, &unreconciled);
