--- a/crates/basaltrail-core/src/controller/admission_tests.rs
+++ b/crates/basaltrail-core/src/controller/admission_tests.rs
@@ -18,8 +18,8 @@
     let policy = Policy { admission: policy, ..base.policy.clone() };
     let cfg = Settings { teams: vec![team], policy, ..base };
     let mut controller = Controller::new(Arc::new(cfg), 1);
-    controller.job_watch.page_read(Revision(1));
-    controller.job_watch.list_completed(0);
+    controller.job_watch.record_page(Revision(1));
+    controller.job_watch.complete_list(0);
     controller.machine_types = MachineTypes::with_known(vec![a_type()]);
     controller
 }
--- a/crates/basaltrail-core/src/controller/job_watching.rs
+++ b/crates/basaltrail-core/src/controller/job_watching.rs
@@ -6,7 +6,7 @@
 use crate::io::{KeyValue, StoreReply, StoreRequest, WatchEvent};
 use crate::jobs::watch::{JobWatchCall, WatchKind};
 use crate::model::{JobId, Ms, Revision};
-use crate::store::calls::{ListPart, StorePurpose};
+use crate::store::calls::{ListRange, StorePurpose};
 use crate::store::rate_limiter::CallPriority;
 use crate::store::records::{
     active_job_key, decode, parse_job_id, JobRecord, ACTIVE_JOBS_PREFIX, ADMISSION_PREFIX,
@@ -24,9 +24,9 @@
         if !self.calls.try_acquire(self.now, CallPriority::Request) {
             return;
         }
-        self.job_watch.sent(WatchKind::Waiting);
+        self.job_watch.record_sent(WatchKind::Waiting);
         match call {
-            JobWatchCall::List => self.send_list(ListPart::Jobs, None, self.now),
+            JobWatchCall::List => self.send_list(ListRange::Jobs, None, self.now),
             JobWatchCall::Watch { after } => {
                 // The timeout is short so that a watch that hangs uses up little of `cancel_s`.
                 let wait_ms = self.cfg.watch_timeout_ms();
@@ -43,7 +43,7 @@
         let timeout_ms = self.cfg.leader_lease_ms() / 4;
         let max_age_ms = self.cfg.watch_timeout_ms() + timeout_ms;
         if let Some(after) = self.job_watch.catch_up_due(since, self.now, max_age_ms) {
-            self.job_watch.sent(WatchKind::CatchUp);
+            self.job_watch.record_sent(WatchKind::CatchUp);
             self.calls.try_acquire(self.now, CallPriority::Lease);
             self.send_watch(WatchKind::CatchUp, after, 0, timeout_ms);
         }
@@ -61,79 +61,83 @@
             .is_some_and(|since| self.job_watch.is_fresh(since, self.now, max_age_ms))
     }
 
-    fn send_list(&mut self, part: ListPart, after: Option<String>, sent: Ms) {
+    fn send_list(&mut self, range: ListRange, after: Option<String>, sent_at: Ms) {
         let timeout_ms = self.cfg.leader_lease_ms() / 2;
-        let prefix = part.prefix().to_string();
+        let prefix = range.prefix().to_string();
         let request = StoreRequest::List { prefix, after: after.clone(), limit: MAX_PAGE_KEYS };
-        self.calls.send_to_store(StorePurpose::ListJobs { part, after, sent }, request, timeout_ms);
+        self.calls.send_to_store(
+            StorePurpose::ListJobs { range, after, sent_at },
+            request,
+            timeout_ms,
+        );
     }
 
     fn send_watch(&mut self, kind: WatchKind, after: Revision, wait_ms: Ms, timeout_ms: Ms) {
         let request = StoreRequest::Watch { prefix: JOBS_PREFIX.into(), after, wait_ms };
-        let purpose = StorePurpose::WatchJobs { sent: self.now, kind };
+        let purpose = StorePurpose::WatchJobs { sent_at: self.now, kind };
         self.calls.send_to_store(purpose, request, timeout_ms);
     }
 
     /// Handles the reply to a watch of the jobs.
-    pub(super) fn handle_watch_reply(&mut self, kind: WatchKind, sent: Ms, reply: StoreReply) {
+    pub(super) fn handle_watch_reply(&mut self, kind: WatchKind, sent_at: Ms, reply: StoreReply) {
         // Changes come in bursts. A delay collects them, since a watch for each costs too much.
         let next_watch_at = self.now + self.cfg.heartbeat_interval_ms / 10;
         let retry_at = self.now + self.cfg.heartbeat_interval_ms / 4;
         match reply {
             StoreReply::Events { revision, events } => {
-                self.job_watch.answered(kind, next_watch_at);
+                self.job_watch.record_answer(kind, next_watch_at);
                 for event in &events {
                     self.apply_event(event);
                 }
-                self.job_watch.events_received(revision, sent);
+                self.job_watch.record_events(revision, sent_at);
                 if self.verbose && (kind == WatchKind::CatchUp || !events.is_empty()) {
                     self.calls.log(JobEvent::WatchAnswered {
                         revision,
                         events: events.len(),
                         kind,
-                        took_ms: self.now - sent,
+                        took_ms: self.now - sent_at,
                     });
                 }
             }
             StoreReply::Compacted => {
-                self.job_watch.answered(kind, next_watch_at);
+                self.job_watch.record_answer(kind, next_watch_at);
                 self.job_watch.restart_list();
             }
-            _ => self.job_watch.answered(kind, retry_at),
+            _ => self.job_watch.record_answer(kind, retry_at),
         }
     }
 
     /// Handles a page of the list.
     pub(super) fn handle_list_reply(
         &mut self,
-        part: ListPart,
+        range: ListRange,
         after: Option<String>,
-        sent: Ms,
+        sent_at: Ms,
         reply: StoreReply,
     ) {
         let StoreReply::Page { items, more, revision } = reply else {
-            self.job_watch.list_failed(self.now + self.cfg.heartbeat_interval_ms / 4);
+            self.job_watch.record_list_failure(self.now + self.cfg.heartbeat_interval_ms / 4);
             return;
         };
         for item in &items {
             self.apply_unordered(item);
         }
-        if part == ListPart::Jobs {
+        if range == ListRange::Jobs {
             self.remove_unlisted(&items, after.as_deref(), more, revision);
         }
         // The watch starts at the revision of the first page.
-        let list_revision = self.job_watch.page_read(revision);
+        let list_revision = self.job_watch.record_page(revision);
         if more {
-            return self.send_list(part, items.last().map(|item| item.key.clone()), sent);
+            return self.send_list(range, items.last().map(|item| item.key.clone()), sent_at);
         }
-        if part == ListPart::Jobs && self.admission.quotas_bind() {
-            return self.send_list(ListPart::Admission, None, sent);
+        if range == ListRange::Jobs && self.admission.quotas_bind() {
+            return self.send_list(ListRange::Admission, None, sent_at);
         }
-        self.job_watch.list_completed(sent);
+        self.job_watch.complete_list(sent_at);
         self.calls.log(JobEvent::Listed {
             revision: list_revision,
             active: self.job_cache.active.len(),
-            took_ms: self.now - sent,
+            took_ms: self.now - sent_at,
         });
     }
 
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -26,10 +26,12 @@
         }
         match purpose {
             StorePurpose::Election(call) => self.handle_election_reply(call, reply),
-            StorePurpose::ListJobs { part, after, sent } => {
-                self.handle_list_reply(part, after, sent, reply);
+            StorePurpose::ListJobs { range, after, sent_at } => {
+                self.handle_list_reply(range, after, sent_at, reply);
+            }
+            StorePurpose::WatchJobs { sent_at, kind } => {
+                self.handle_watch_reply(kind, sent_at, reply)
             }
-            StorePurpose::WatchJobs { sent, kind } => self.handle_watch_reply(kind, sent, reply),
             StorePurpose::AcceptJobs(batch) => self.handle_accept_reply(batch, reply),
             StorePurpose::ConfirmJobs(jobs) => self.handle_confirm_reply(jobs, reply),
             StorePurpose::ReadActiveJob { job, requests } => {
--- a/crates/basaltrail-core/src/controller/tests.rs
+++ b/crates/basaltrail-core/src/controller/tests.rs
@@ -8,8 +8,8 @@
 #[test]
 fn a_controller_that_alone_lost_the_store_is_not_ready() {
     let mut controller = Controller::new(Arc::new(settings()), 1);
-    controller.job_watch.page_read(Revision(1));
-    controller.job_watch.list_completed(0);
+    controller.job_watch.record_page(Revision(1));
+    controller.job_watch.complete_list(0);
     controller.machine_types = MachineTypes::with_known(vec![a_type()]);
     controller.last_store_reply_at = 10_000;
     let mut is_ready_at = |now, last_peer_progress_at| {
--- a/crates/basaltrail-core/src/jobs/watch.rs
+++ b/crates/basaltrail-core/src/jobs/watch.rs
@@ -91,19 +91,19 @@
     }
 
     /// Records that a list or watch was sent; the list counts as [`WatchKind::Waiting`].
-    pub fn sent(&mut self, kind: WatchKind) {
+    pub fn record_sent(&mut self, kind: WatchKind) {
         self.call_mut(kind).in_flight = true;
     }
 
     /// Records any answer to a watch. The next one is sent no earlier than `not_before`.
-    pub fn answered(&mut self, kind: WatchKind, not_before: Ms) {
+    pub fn record_answer(&mut self, kind: WatchKind, not_before: Ms) {
         let call = self.call_mut(kind);
         call.in_flight = false;
         call.not_before = not_before;
     }
 
     /// Records that a watch sent at `sent_at` returned all changes up to a revision.
-    pub fn events_received(&mut self, revision: Revision, sent_at: Ms) {
+    pub fn record_events(&mut self, revision: Revision, sent_at: Ms) {
         self.revision = self.revision.max(Some(revision));
         self.as_of = self.as_of.max(Some(sent_at));
     }
@@ -116,18 +116,18 @@
 
     /// Records that a page of the list was read. Returns the revision of the list's first page,
     /// from which the watch continues.
-    pub fn page_read(&mut self, revision: Revision) -> Revision {
+    pub fn record_page(&mut self, revision: Revision) -> Revision {
         *self.list_revision.get_or_insert(revision)
     }
 
     /// Records that the list failed. It restarts no earlier than `not_before`.
-    pub fn list_failed(&mut self, not_before: Ms) {
+    pub fn record_list_failure(&mut self, not_before: Ms) {
         self.list_revision = None;
-        self.answered(WatchKind::Waiting, not_before);
+        self.record_answer(WatchKind::Waiting, not_before);
     }
 
-    /// Records that the last page of a list was read whose first page was requested at `sent_at`.
-    pub fn list_completed(&mut self, sent_at: Ms) {
+    /// Completes the list whose first page was requested at `sent_at`, after its last page was read.
+    pub fn complete_list(&mut self, sent_at: Ms) {
         self.waiting.in_flight = false;
         self.revision = self.list_revision.take();
         self.as_of = self.as_of.max(Some(sent_at));
--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -16,19 +16,19 @@
 /// A key range that is listed before the watch of the jobs begins. The ranges are listed in
 /// sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListPart {
+pub enum ListRange {
     /// Active jobs.
     Jobs,
     /// Admission quotas and the controller records.
     Admission,
 }
 
-impl ListPart {
+impl ListRange {
     /// Returns the key prefix of the range.
     pub fn prefix(self) -> &'static str {
         match self {
-            ListPart::Jobs => ACTIVE_JOBS_PREFIX,
-            ListPart::Admission => ADMISSION_PREFIX,
+            ListRange::Jobs => ACTIVE_JOBS_PREFIX,
+            ListRange::Admission => ADMISSION_PREFIX,
         }
     }
 }
@@ -41,16 +41,16 @@
     /// Reads a page of the list of the jobs or of admission records.
     ListJobs {
         /// The key range.
-        part: ListPart,
+        range: ListRange,
         /// The last key of the previous page.
         after: Option<String>,
         /// The time at which the first page of the list was requested.
-        sent: Ms,
+        sent_at: Ms,
     },
     /// Watches the jobs.
     WatchJobs {
         /// The time at which the watch was sent.
-        sent: Ms,
+        sent_at: Ms,
         /// The kind of the watch.
         kind: WatchKind,
     },
--- a/crates/basaltrail-core/tests/simulation/simulated/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/workers.rs
@@ -95,7 +95,7 @@
             if now < worker.hung_until {
                 continue;
             }
-            if worker.awaiting_reply.is_some_and(|(_, sent)| now > sent + REPLY_TIMEOUT_MS) {
+            if worker.awaiting_reply.is_some_and(|(_, sent_at)| now > sent_at + REPLY_TIMEOUT_MS) {
                 worker.awaiting_reply = None;
                 worker.switch_controller(now);
             }
@@ -218,9 +218,11 @@
     ) {
         let now = self.now;
         let worker = &mut self.workers[index];
-        let Some((awaited, sent)) = worker.awaiting_reply.filter(|_| worker.alive) else { return };
+        let Some((awaited, sent_at)) = worker.awaiting_reply.filter(|_| worker.alive) else {
+            return;
+        };
         // A worker drops late responses and those to an earlier agent epoch.
-        let is_lost = now > sent + REPLY_TIMEOUT_MS
+        let is_lost = now > sent_at + REPLY_TIMEOUT_MS
             || now < worker.hung_until
             || now < worker.downlink_lost_until;
         if awaited != sequence || epoch != worker.agent_epoch || is_lost {
@@ -247,7 +249,7 @@
             worker.next_heartbeat = worker.next_heartbeat.min(now + NEW_TOKEN_MS);
         }
         worker.token = token;
-        worker.lease_renewed_at = worker.lease_renewed_at.max(sent);
+        worker.lease_renewed_at = worker.lease_renewed_at.max(sent_at);
         for command in commands {
             self.apply_command(index, command);
         }
