--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -148,8 +148,8 @@
 
     /// Returns how many machines and tasks the leader has visited since it was elected; 0 without a
     /// leader state.
-    pub fn visited(&self) -> u64 {
-        self.leader.as_ref().map_or(0, |leader| leader.scheduler.visited)
+    pub fn visit_count(&self) -> u64 {
+        self.leader.as_ref().map_or(0, |leader| leader.scheduler.visit_count)
     }
 
     /// Processes an input and all work that is due, and returns the effects in order. `now` is the
--- a/crates/basaltrail-core/src/jobs/watch.rs
+++ b/crates/basaltrail-core/src/jobs/watch.rs
@@ -126,7 +126,7 @@
         self.record_answer(WatchKind::Waiting, not_before);
     }
 
-    /// Completes the list whose first page was requested at `sent_at`, after its last page was read.
+    /// Completes the list whose first page was requested at `sent_at`. Its last page has been read.
     pub fn complete_list(&mut self, sent_at: Ms) {
         self.waiting.in_flight = false;
         self.revision = self.list_revision.take();
--- a/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
@@ -3,7 +3,7 @@
 use super::demand::missing_for_constrained_jobs;
 use super::provisioning::kinds_by_price;
 use crate::leader::cluster::Cluster;
-use crate::leader::scheduler::reserved_capacity::{machines_for_services, ReplicaSizes};
+use crate::leader::scheduler::reserved_capacity::{machines_for_services, RecentServices};
 use crate::leader::Context;
 use crate::machines::{Decommission, Machine, MachineKind};
 use std::collections::BTreeMap;
@@ -69,13 +69,13 @@
     pub(in crate::leader) fn determine(
         ctx: &Context,
         cluster: &Cluster,
-        sizes: &ReplicaSizes,
+        services: &RecentServices,
         live: &[&Machine],
         fleet: &Fleet,
     ) -> Self {
         let mut needs = KindNeeds { for_services: BTreeMap::new(), missing: BTreeMap::new() };
         for kind in kinds_by_price(ctx.types, |_| 0) {
-            let for_services = machines_for_services(ctx, cluster, sizes, &kind);
+            let for_services = machines_for_services(ctx, cluster, services, &kind);
             let missing = missing_for_constrained_jobs(ctx, cluster, live, &kind)
                 .max(for_services.saturating_sub(fleet.of_kind(&kind)));
             needs.for_services.insert(kind.clone(), for_services);
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -109,8 +109,8 @@
     }
 
     fn plan_fleet(&mut self, ctx: &Context, calls: &mut Calls) {
-        let sizes = &self.scheduler.replica_sizes;
-        self.autoscaler.plan(ctx, &mut self.cluster, sizes, self.token, calls);
+        let services = &self.scheduler.recent_services;
+        self.autoscaler.plan(ctx, &mut self.cluster, services, self.token, calls);
     }
 
     /// Terminates machines that are drained, failed or lost.
--- a/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
@@ -1,7 +1,7 @@
 //! Detection of network partitions from the silence of many machines.
 
 use crate::leader::cluster::Cluster;
-use crate::leader::scheduler::services::{any_service, has_replicas};
+use crate::leader::scheduler::services::{any_service, may_run_replicas};
 use crate::leader::Context;
 use crate::machines::{Decommission, Machine};
 use crate::model::{MachineId, Ms};
@@ -142,7 +142,7 @@
         !machine.lease_expired
             && is_silent(machine, lost_after)
             && is_reachable(&machine.zone)
-            && has_replicas(cluster, machine)
+            && may_run_replicas(cluster, machine)
     };
     cluster.machines.values().filter(is_lost).map(|machine| machine.id.clone()).collect()
 }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -11,7 +11,7 @@
 use crate::io::{CloudReply, CloudRequest};
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::capacity::machine_type;
-use crate::leader::scheduler::reserved_capacity::ReplicaSizes;
+use crate::leader::scheduler::reserved_capacity::RecentServices;
 use crate::leader::Context;
 use crate::machines::{Decommission, Machine, MachineKind};
 use crate::model::{FencingToken, MachineId};
@@ -48,7 +48,7 @@
         &mut self,
         ctx: &Context,
         cluster: &mut Cluster,
-        sizes: &ReplicaSizes,
+        services: &RecentServices,
         token: FencingToken,
         calls: &mut Calls,
     ) {
@@ -57,7 +57,7 @@
         self.update_overdue(ctx, cluster);
         let live = live_machines(ctx, cluster);
         let fleet = Fleet::count(&live);
-        let needs = KindNeeds::determine(ctx, cluster, sizes, &live, &fleet);
+        let needs = KindNeeds::determine(ctx, cluster, services, &live, &fleet);
         let plan = FleetPlan { targets, fleet, needs };
         while !self.provisioning.is_full() {
             let Some((kind, machines)) = self.next_request(ctx, cluster, &plan) else { break };
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -63,7 +63,7 @@
         self.adopt_machine(ctx, calls, heartbeat);
         self.apply_heartbeat(ctx, calls, heartbeat)?;
         let permit = permit?;
-        if self.scheduler.changed && ctx.job_cache_is_fresh {
+        if self.scheduler.cycle_due && ctx.job_cache_is_fresh {
             self.schedule(ctx, calls, rng);
         }
         self.backfill(ctx, &heartbeat.machine, rng);
@@ -113,14 +113,14 @@
         let machine = &self.cluster.machines[id];
         let has_room = type_index(ctx.types, &machine.machine_type)
             .is_some_and(|index| machine.used().cpus < ctx.types[index].cpus);
-        self.scheduler.changed |= !was_usable || (has_room && self.scheduler.short_of_capacity);
+        self.scheduler.cycle_due |= !was_usable || (has_room && self.scheduler.has_blocked_jobs);
         Ok(())
     }
 
     /// Logs the first heartbeat of a machine that this leader applies, and records its provisioning
     /// time.
     fn record_machine_up(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
-        self.scheduler.changed = true;
+        self.scheduler.cycle_due = true;
         let Some(machine) = self.cluster.machines.get(id) else { return };
         calls.log(MachineEvent::Up {
             machine: machine.id.clone(),
@@ -142,7 +142,7 @@
         if machine.has_reclaim_notice(ctx.now) && machine.decommission == Decommission::No {
             machine.decommission = Decommission::Draining;
             calls.log(MachineEvent::ReclaimNotice { machine: id.clone() });
-            self.scheduler.changed |= self.cluster.drain(ctx.now, id);
+            self.scheduler.cycle_due |= self.cluster.drain(ctx.now, id);
         }
     }
 }
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -64,7 +64,7 @@
             }
             TaskChange::Exited(exit) => self.cluster.reconcile_exited(ctx, machine, exit),
         };
-        self.scheduler.changed |= effects.is_scheduling_due;
+        self.scheduler.cycle_due |= effects.is_scheduling_due;
         if effects.usage_may_have_grown {
             self.scheduler.last_cycle = None;
         }
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -127,7 +127,7 @@
 
     fn sync_active_job(&mut self, ctx: &Context, id: JobId, active: &ActiveJob) {
         let Some(team) = ctx.cfg.team(&active.spec.team) else { return };
-        self.scheduler.changed = true;
+        self.scheduler.cycle_due = true;
         if let Some(job) = self.cluster.jobs.get_mut(&id) {
             job.mod_revision = active.mod_revision;
             return;
@@ -137,7 +137,7 @@
             self.writer.complete_jobs.insert(id);
         }
         self.cluster.jobs.insert(id, job);
-        self.scheduler.replica_sizes.record(ctx, &active.spec);
+        self.scheduler.recent_services.record(ctx, &active.spec);
         for (machine, change) in self.cluster.changes_reported_before_job_known(id) {
             self.reconcile(ctx, &machine, change);
         }
@@ -146,7 +146,7 @@
     fn sync_ended_job(&mut self, id: JobId, outcome: JobOutcome) {
         if let Some(job) = self.cluster.jobs.get_mut(&id) {
             job.outcome = Some(outcome);
-            self.scheduler.changed = true;
+            self.scheduler.cycle_due = true;
         }
         for (segment, _) in self.failover.remove_completions(id) {
             self.writer.obsolete_completions.insert((id, segment));
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -134,7 +134,7 @@
         let heartbeat_interval_ms = ctx.cfg.heartbeat_interval_ms;
         self.liveness.record_tick(ctx.now, heartbeat_interval_ms, ctx.holds_valid_lease);
         if self.liveness.start_check_if_due(ctx.now, heartbeat_interval_ms) {
-            self.scheduler.visited += self.cluster.machines.len() as u64;
+            self.scheduler.visit_count += self.cluster.machines.len() as u64;
             self.check_machines(ctx, calls);
             let reachable_since = self.liveness.reachable_since;
             self.liveness.workers_unreachable =
@@ -147,7 +147,7 @@
         if ctx.now >= self.round_ends_at {
             self.end_round(ctx, calls);
         }
-        if (self.scheduler.changed || ctx.now >= self.scheduler.wake_at)
+        if (self.scheduler.cycle_due || ctx.now >= self.scheduler.wake_at)
             && ctx.holds_valid_lease
             && ctx.job_cache_is_fresh
         {
@@ -171,7 +171,7 @@
         self.update_primary_zone();
         calls.log(LeadershipEvent::Round(self.cluster.round_summary(ctx.cfg)));
         self.plan_quotas(ctx, calls);
-        self.scheduler.changed = true;
+        self.scheduler.cycle_due = true;
     }
 
     /// Expires worker leases that have certainly ended, and withdraws unsent assignments from
@@ -195,7 +195,7 @@
         for id in &affected {
             match self.cluster.machines.get(id).is_some_and(lease_has_ended) {
                 true => self.expire_machine_lease(ctx, calls, id),
-                false => self.scheduler.changed |= self.cluster.withdraw_unsent(id),
+                false => self.scheduler.cycle_due |= self.cluster.withdraw_unsent(id),
             }
         }
     }
@@ -211,7 +211,7 @@
             let (machine, zone) = (id.clone(), machine.zone.clone());
             calls.log(MachineEvent::LeaseExpired { machine, zone, tasks });
         }
-        self.scheduler.changed = true;
+        self.scheduler.cycle_due = true;
         self.reconcile_all(ctx, calls, id, changes);
         self.set_registered_free(id, true);
     }
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
@@ -318,7 +318,7 @@
         self.reconcile_all(ctx, calls, machine, changes);
         self.registry.remove(&removed);
         self.autoscaler.terminated.add(machine);
-        self.scheduler.changed = true;
+        self.scheduler.cycle_due = true;
     }
 }
 
--- a/crates/basaltrail-core/src/leader/persistence/replies.rs
+++ b/crates/basaltrail-core/src/leader/persistence/replies.rs
@@ -58,7 +58,7 @@
         }
         for written in &pending.registry_segments {
             let machines = &mut self.cluster.machines;
-            self.scheduler.changed |= self.registry.record_committed_segment(written, machines);
+            self.scheduler.cycle_due |= self.registry.record_committed_segment(written, machines);
         }
         WriteOutcome { completed_jobs: pending.complete_jobs, ..WriteOutcome::default() }
     }
--- a/crates/basaltrail-core/src/leader/scheduler/backfill.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/backfill.rs
@@ -23,7 +23,7 @@
             .filter(|_| ctx.holds_valid_lease && ctx.job_cache_is_fresh);
         let Some(capacity) = capacity else { return };
         let Some(mut snapshot) = self.last_cycle.take() else { return };
-        self.visited += 1;
+        self.visit_count += 1;
         let used = std::mem::take(&mut snapshot.used);
         let assigner = Assigner { scheduler: self, inputs, free: vec![capacity], used };
         let mut backfill = Backfill { assigner };
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -57,10 +57,10 @@
         if ctx.now < self.earliest_cycle_at || ctx.types.is_empty() {
             return CycleOutcome::default();
         }
-        self.changed = false;
+        self.cycle_due = false;
         self.earliest_cycle_at = ctx.now + ctx.cfg.heartbeat_interval_ms / MAX_CYCLES_PER_HEARTBEAT;
         self.fleet_cpus = accounting::accrue_shares(ctx, inputs.cluster, inputs.ledger);
-        self.visited +=
+        self.visit_count +=
             inputs.cluster.machines.values().map(|m| 1 + m.slots.len() as u64).sum::<u64>();
         let mut cycle = Cycle::begin(self, inputs);
         cycle.run();
@@ -158,7 +158,7 @@
         let Cycle { assigner, blocked, mut snapshot, .. } = self;
         let Assigner { scheduler, inputs, free, used } = assigner;
         let SchedulerInputs { ctx, cluster, .. } = inputs;
-        scheduler.short_of_capacity = !blocked.is_empty();
+        scheduler.has_blocked_jobs = !blocked.is_empty();
         scheduler.update_guarantee_waits(ctx, cluster, &blocked);
         scheduler.wake_at = scheduler.next_wake_at(ctx, cluster);
         let preempted_tasks = scheduler.preempt(ctx, cluster, &blocked, &used, &free);
@@ -221,7 +221,7 @@
     fn reserve_capacity(&mut self) {
         let Assigner { scheduler, inputs, free, used } = &mut self.assigner;
         self.snapshot.reserved_capacity =
-            reserve_capacity(inputs.ctx, &scheduler.replica_sizes, free, used);
+            reserve_capacity(inputs.ctx, &scheduler.recent_services, free, used);
     }
 
     /// Returns the jobs that have waited too long for their first task, the longest wait first.
--- a/crates/basaltrail-core/src/leader/scheduler/mod.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/mod.rs
@@ -35,7 +35,7 @@
 use cycle::CycleSnapshot;
 use guarantees::GuaranteeWaits;
 use rand::rngs::SmallRng;
-use reserved_capacity::ReplicaSizes;
+use reserved_capacity::RecentServices;
 use std::collections::{BTreeMap, HashMap};
 
 /// The state of the scheduler.
@@ -43,13 +43,13 @@
     /// Counter of the last attempt number that this leader issued.
     pub(in crate::leader) attempt_counter: u32,
     /// Whether a change since the last cycle makes another one due.
-    pub(in crate::leader) changed: bool,
+    pub(in crate::leader) cycle_due: bool,
     /// Earliest start of the next cycle.
     pub(in crate::leader) earliest_cycle_at: Ms,
     /// Snapshot of the last cycle; `None` once teams may use more than the cycle counted.
     pub(in crate::leader) last_cycle: Option<CycleSnapshot>,
     /// Whether the last cycle left jobs without capacity.
-    pub(in crate::leader) short_of_capacity: bool,
+    pub(in crate::leader) has_blocked_jobs: bool,
     /// Time at which a cycle is due even if nothing has changed: a back-off ends, or a guarantee
     /// becomes overdue.
     pub(in crate::leader) wake_at: Ms,
@@ -59,12 +59,12 @@
     /// Slack in seconds of each job that can still meet an objective.
     pub(in crate::leader) feasible_slack_s: HashMap<JobId, f64>,
     /// Largest recent high-priority service of each class.
-    pub(in crate::leader) replica_sizes: ReplicaSizes,
+    pub(in crate::leader) recent_services: RecentServices,
     /// Start of each team's wait for its guarantee.
     pub(in crate::leader) guarantee_waits: GuaranteeWaits,
     /// Number of machines and tasks examined so far, which shows how the work grows with the size
     /// of the cluster.
-    pub visited: u64,
+    pub visit_count: u64,
     /// CPUs of all machines with a valid worker lease.
     pub(in crate::leader) fleet_cpus: f64,
 }
@@ -73,16 +73,16 @@
     fn default() -> Self {
         Scheduler {
             attempt_counter: 0,
-            changed: true,
+            cycle_due: true,
             earliest_cycle_at: 0,
             last_cycle: None,
-            short_of_capacity: false,
+            has_blocked_jobs: false,
             wake_at: Ms::MAX,
             preemption_reservations: BTreeMap::new(),
             feasible_slack_s: HashMap::new(),
-            replica_sizes: ReplicaSizes::default(),
+            recent_services: RecentServices::default(),
             guarantee_waits: GuaranteeWaits::default(),
-            visited: 0,
+            visit_count: 0,
             fleet_cpus: 0.0,
         }
     }
--- a/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
@@ -24,13 +24,13 @@
 const MAX_CLASSES: usize = 16;
 
 /// The largest recent service of a class.
-struct ReplicaSize {
+struct RecentService {
     spec: Arc<JobSpec>,
     /// End of the reservation for its class.
     expires_at: Ms,
 }
 
-impl ReplicaSize {
+impl RecentService {
     /// Returns the largest number of replicas that a single zone may have to hold.
     fn replicas_per_zone(&self, zones: usize) -> u32 {
         match self.spec.one_zone || zones < 2 {
@@ -47,32 +47,32 @@
 
 /// The largest recent high-priority service of each class.
 #[derive(Default)]
-pub struct ReplicaSizes {
-    by_class: BTreeMap<String, ReplicaSize>,
+pub struct RecentServices {
+    by_class: BTreeMap<String, RecentService>,
 }
 
-impl ReplicaSizes {
-    /// Records the size of a job if it is a high-priority service.
+impl RecentServices {
+    /// Records a job if it is a high-priority service.
     pub(in crate::leader) fn record(&mut self, ctx: &Context, spec: &Arc<JobSpec>) {
         if !is_high_priority_service(spec) {
             return;
         }
         let expires_at = ctx.now + RETENTION_LEASES * ctx.cfg.lease_ms;
         let total_cpus = |spec: &JobSpec| spec.cpus * f64::from(spec.tasks);
-        self.by_class.retain(|_, size| size.expires_at > ctx.now);
-        if let Some(size) = self.by_class.get_mut(&spec.class) {
-            size.expires_at = expires_at;
-            if total_cpus(spec) > total_cpus(&size.spec) {
-                size.spec = spec.clone();
+        self.by_class.retain(|_, service| service.expires_at > ctx.now);
+        if let Some(service) = self.by_class.get_mut(&spec.class) {
+            service.expires_at = expires_at;
+            if total_cpus(spec) > total_cpus(&service.spec) {
+                service.spec = spec.clone();
             }
         } else if self.by_class.len() < MAX_CLASSES {
             self.by_class
-                .insert(spec.class.clone(), ReplicaSize { spec: spec.clone(), expires_at });
+                .insert(spec.class.clone(), RecentService { spec: spec.clone(), expires_at });
         }
     }
 
-    fn unexpired(&self, now: Ms) -> impl Iterator<Item = &ReplicaSize> {
-        self.by_class.values().filter(move |size| size.expires_at > now)
+    fn unexpired(&self, now: Ms) -> impl Iterator<Item = &RecentService> {
+        self.by_class.values().filter(move |service| service.expires_at > now)
     }
 }
 
@@ -164,7 +164,7 @@
 /// it from the free capacity.
 pub(in crate::leader) fn reserve_capacity(
     ctx: &Context,
-    sizes: &ReplicaSizes,
+    services: &RecentServices,
     free: &mut Vec<FreeCapacity>,
     used: &[Resources],
 ) -> ReservedCapacity {
@@ -172,14 +172,14 @@
     let teams = ctx.cfg.teams.iter().zip(used);
     let mut unused_guarantee_cpus: Vec<f64> =
         teams.map(|(team, used)| team.cpus - used.cpus).collect();
-    for size in sizes.unexpired(ctx.now) {
+    for service in services.unexpired(ctx.now) {
         for zone in &ctx.cfg.zones {
-            let spec = &size.spec;
+            let spec = &service.spec;
             if spec.zone.as_ref().is_some_and(|allowed| allowed != zone) {
                 continue;
             }
             let Some(team) = ctx.cfg.team(&spec.team) else { continue };
-            let replicas = size
+            let replicas = service
                 .reserved_replicas_per_zone(ctx.cfg.zones.len())
                 .min(fits(unused_guarantee_cpus[team], spec.cpus));
             unused_guarantee_cpus[team] -= f64::from(replicas) * spec.cpus;
@@ -196,7 +196,7 @@
 pub(in crate::leader) fn machines_for_services(
     ctx: &Context,
     cluster: &Cluster,
-    sizes: &ReplicaSizes,
+    services: &RecentServices,
     kind: &MachineKind,
 ) -> usize {
     let known_type = machine_type(ctx.types, &kind.machine_type);
@@ -218,10 +218,10 @@
                 if job.spec.zone.is_some() { replicas } else { replicas / zones as f64 };
             machines_for(&job.spec, replicas_in_zone)
         });
-    let reserved = sizes
-        .unexpired(ctx.now)
-        .filter(|size| runs_on_kind(&size.spec))
-        .map(|size| machines_for(&size.spec, f64::from(size.reserved_replicas_per_zone(zones))));
+    let reserved =
+        services.unexpired(ctx.now).filter(|service| runs_on_kind(&service.spec)).map(|service| {
+            machines_for(&service.spec, f64::from(service.reserved_replicas_per_zone(zones)))
+        });
     running.chain(reserved).sum::<f64>().ceil() as usize
 }
 
--- a/crates/basaltrail-core/src/leader/scheduler/services.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services.rs
@@ -38,7 +38,8 @@
     if !any_service(cluster) {
         return BTreeSet::new();
     }
-    let with_replicas = cluster.machines.values().filter(|machine| has_replicas(cluster, machine));
+    let with_replicas =
+        cluster.machines.values().filter(|machine| may_run_replicas(cluster, machine));
     with_replicas.map(|machine| machine.id.clone()).collect()
 }
 
@@ -48,7 +49,7 @@
 }
 
 /// Returns whether a machine may run a replica.
-pub(in crate::leader) fn has_replicas(cluster: &Cluster, machine: &Machine) -> bool {
+pub(in crate::leader) fn may_run_replicas(cluster: &Cluster, machine: &Machine) -> bool {
     let is_of_service =
         |task: &TaskId| cluster.jobs.get(&task.job).is_some_and(|job| job.spec.is_service());
     machine.slots.iter().any(|((task, _), slot)| slot.holds_resources() && is_of_service(task))
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -143,8 +143,8 @@
     let leader = leader_with_machines(&test, 1);
     let kind = |zone: &str, spot| MachineKind { machine_type: "x".into(), zone: zone.into(), spot };
     let machines = |test: &TestCluster, leader: &Leader, kind: &MachineKind| {
-        let sizes = &leader.scheduler.replica_sizes;
-        machines_for_services(&test.context(0), &leader.cluster, sizes, kind)
+        let services = &leader.scheduler.recent_services;
+        machines_for_services(&test.context(0), &leader.cluster, services, kind)
     };
     // Each zone needs capacity for three replicas of the service, and reserved capacity for two
     // times three: 18 CPUs.
--- a/crates/basaltrail-core/tests/scale.rs
+++ b/crates/basaltrail-core/tests/scale.rs
@@ -481,15 +481,13 @@
     cluster.run_until(RESTART_AT_MS - 20_000);
     assert_eq!(cluster.workers.len(), scale.machines, "not all machines were provisioned");
     cluster.counts = WorkCounts::default();
-    let visited_before = cluster.controller.visited();
+    let visits_before = cluster.controller.visit_count();
     let region = Region::new(ALLOCATOR);
     cluster.run_until(RESTART_AT_MS);
     let allocations = region.change().allocations as u64;
-    let visited = cluster.controller.visited() - visited_before;
+    let visits = cluster.controller.visit_count() - visits_before;
     let counts = std::mem::take(&mut cluster.counts);
-    println!(
-        "20 s: {counts:?}, {visited} visited, {allocations} allocations with the simulation's"
-    );
+    println!("20 s: {counts:?}, {visits} visited, {allocations} allocations with the simulation's");
     assert!(
         counts.heartbeats > 5_000 && counts.started_tasks > 1_500,
         "too little load: {counts:?}"
@@ -497,7 +495,7 @@
     // The leader visits all machines and tasks at a fixed interval, and one machine per heartbeat.
     let all: u64 = cluster.workers.iter().map(|worker| 2 + worker.tasks.len() as u64).sum();
     let cycles = 20_000 / (scale.heartbeat_interval_ms / 20) + 2;
-    assert!(visited <= all * cycles * 3 / 2 + counts.heartbeats, "{visited} of {all} in {cycles}");
+    assert!(visits <= all * cycles * 3 / 2 + counts.heartbeats, "{visits} of {all} in {cycles}");
     assert!(
         allocations / counts.heartbeats < 150,
         "{} allocations per heartbeat",
