--- a/crates/basaltrail-core/src/controller/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -189,7 +189,7 @@
         if self.job_watch.is_loaded()
             && self.admission.record_write_due(&self.job_cache, self.now)
             && self.calls.try_acquire(self.now, CallPriority::Request)
-            && self.calls.write_rate.try_acquire(self.now, 1.0, CallPriority::Request)
+            && self.calls.write_limiter.try_acquire(self.now, 1.0, CallPriority::Request)
         {
             self.write_controller_record();
         }
--- a/crates/basaltrail-core/src/controller/machine_types.rs
+++ b/crates/basaltrail-core/src/controller/machine_types.rs
@@ -28,14 +28,14 @@
             }
             MachineTypesCall::Write { value, mod_revision } => {
                 if self.calls.try_acquire(self.now, CallPriority::Request)
-                    && self.calls.write_rate.try_acquire(self.now, 1.0, CallPriority::Request)
+                    && self.calls.write_limiter.try_acquire(self.now, 1.0, CallPriority::Request)
                 {
                     self.machine_types.record_sent();
                     self.write_machine_types(value, mod_revision, timeout_ms);
                 }
             }
             MachineTypesCall::RequestFromCloud => {
-                if self.calls.cloud_rate.try_acquire(self.now, 1.0, CallPriority::Lease) {
+                if self.calls.cloud_limiter.try_acquire(self.now, 1.0, CallPriority::Lease) {
                     self.machine_types.record_sent();
                     let request = CloudRequest::Types;
                     self.calls.send_to_cloud(CloudPurpose::MachineTypes, request, timeout_ms);
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -243,9 +243,9 @@
         } * RATE_LIMIT_USAGE;
         let cloud_share =
             if leads { LEADER_CLOUD_SHARE } else { FOLLOWERS_CLOUD_SHARE / follower_count };
-        self.calls.store_rate.set_rate(self.cfg.store_rps * store_share);
-        self.calls.write_rate.set_rate(self.cfg.write_rps * store_share);
-        self.calls.cloud_rate.set_rate(self.cfg.cloud_rps * cloud_share);
+        self.calls.store_limiter.set_rate(self.cfg.store_rps * store_share);
+        self.calls.write_limiter.set_rate(self.cfg.write_rps * store_share);
+        self.calls.cloud_limiter.set_rate(self.cfg.cloud_rps * cloud_share);
     }
 
     /// Sends the election requests that are due and updates `lease_held_since`.
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -77,7 +77,7 @@
             // Campaigns are never delayed: the rate limiter counts the changes but its result is
             // ignored.
             let changes = CAMPAIGN_CHANGES;
-            self.calls.write_rate.try_acquire(self.now, changes, CallPriority::Lease);
+            self.calls.write_limiter.try_acquire(self.now, changes, CallPriority::Lease);
             let purpose = StorePurpose::Election(due.call);
             self.calls.send_to_store(purpose, due.request, due.timeout_ms);
         }
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -49,7 +49,7 @@
     ) {
         if self.in_flight
             || ctx.now < self.next_page_at
-            || !calls.cloud_rate.try_acquire(ctx.now, 1.0, CallPriority::Background)
+            || !calls.cloud_limiter.try_acquire(ctx.now, 1.0, CallPriority::Background)
         {
             return;
         }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -197,7 +197,7 @@
             .take(MAX_MACHINES_PER_CALL)
             .collect();
         if selected.is_empty()
-            || !calls.cloud_rate.try_acquire(ctx.now, 1.0, CallPriority::Completion)
+            || !calls.cloud_limiter.try_acquire(ctx.now, 1.0, CallPriority::Completion)
         {
             return;
         }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -146,7 +146,7 @@
     ) {
         let is_due = |r: &&mut ProvisioningRequest| !r.in_flight && ctx.now >= r.next_attempt_at;
         for request in self.provisioning.pending.iter_mut().filter(is_due) {
-            if !calls.cloud_rate.try_acquire(ctx.now, 1.0, CallPriority::Request) {
+            if !calls.cloud_limiter.try_acquire(ctx.now, 1.0, CallPriority::Request) {
                 break;
             }
             request.in_flight = true;
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -66,7 +66,7 @@
         let max_changes = ctx.cfg.transaction_ops.max(MIN_TRANSACTION_OPS).min(self.max_changes);
         let precondition = Precondition::new(LEADER_KEY, sources.leader_revision);
         let mut transaction = TransactionBuilder::new(precondition, max_changes);
-        let mut budget = WriteBudget { now: ctx.now, writes: &mut calls.write_rate };
+        let mut budget = WriteBudget { now: ctx.now, writes: &mut calls.write_limiter };
         self.add_outcomes(ctx, &sources, &mut transaction, &mut budget);
         self.add_registry_segments(sources.registry, &mut transaction, &mut budget);
         self.add_ledger(ctx, &sources, &mut transaction, &mut budget);
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -40,8 +40,8 @@
     /// Commits the leader's next transaction; false if there is none.
     fn flush(&mut self, ctx: &Context, leader: &mut Leader) -> bool {
         let mut calls = Calls::default();
-        calls.write_rate.set_rate(1e6);
-        calls.store_rate.set_rate(1e6);
+        calls.write_limiter.set_rate(1e6);
+        calls.store_limiter.set_rate(1e6);
         leader.flush(ctx, &mut calls);
         let Some(Effect::Store {
             op, call: StoreRequest::Transaction { puts, deletes, .. }, ..
--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -147,11 +147,11 @@
     cloud_calls: HashMap<CallId, CloudPurpose>,
     last_id: u64,
     /// Limits calls to the store.
-    pub store_rate: TokenBucket,
+    pub store_limiter: TokenBucket,
     /// Limits changes to the store; the calls that contain them count separately.
-    pub write_rate: TokenBucket,
+    pub write_limiter: TokenBucket,
     /// Limits calls to the cloud.
-    pub cloud_rate: TokenBucket,
+    pub cloud_limiter: TokenBucket,
     /// Effects of the current step, in the order in which the program executes them.
     pub effects: Vec<Effect>,
 }
@@ -190,13 +190,13 @@
 
     /// Acquires one call to the store and returns whether it may be sent now.
     pub fn try_acquire(&mut self, now: Ms, priority: CallPriority) -> bool {
-        self.store_rate.try_acquire(now, 1.0, priority)
+        self.store_limiter.try_acquire(now, 1.0, priority)
     }
 
     /// Acquires one call to the store with `changes` changes and returns whether it may be sent
     /// now. The changes are acquired first, and stay acquired if the call itself is not admitted.
     pub fn try_acquire_write(&mut self, now: Ms, changes: usize, priority: CallPriority) -> bool {
-        self.write_rate.try_acquire(now, changes as f64, priority)
+        self.write_limiter.try_acquire(now, changes as f64, priority)
             && self.try_acquire(now, priority)
     }
 
