--- a/crates/basaltrail-core/src/leader/autoscaler/drain.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/drain.rs
@@ -32,7 +32,7 @@
         machine: &mut Machine,
         must_stay: bool,
     ) -> Option<DrainReason> {
-        let can_drain = machine.last_heartbeat.is_some()
+        let can_drain = machine.last_heartbeat_at.is_some()
             && machine.decommission == Decommission::No
             && !must_stay;
         let is_idle = can_drain
@@ -70,7 +70,7 @@
                 machine.machine_type == target.machine_type && machine.spot == target.spot
             };
             for machine in cluster.machines.values_mut().filter(is_of_target) {
-                if !machine.is_empty() || machine.last_heartbeat.is_none() {
+                if !machine.is_empty() || machine.last_heartbeat_at.is_none() {
                     machine.idle_since = None;
                 }
                 let kind = machine.kind();
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -105,7 +105,7 @@
             machine.first_listed_at.is_some_and(|at| self.requested_at > at + max_list_age_ms)
         };
         let is_silent = |machine: &Machine| {
-            machine.last_heartbeat.is_none_or(|at| ctx.now > at + ctx.cfg.heartbeat_interval_ms)
+            machine.last_heartbeat_at.is_none_or(|at| ctx.now > at + ctx.cfg.heartbeat_interval_ms)
         };
         cluster
             .machines
--- a/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
@@ -68,7 +68,7 @@
     /// broken machines. A zone counts as partitioned for one more lease after that, since its
     /// machines come back one by one.
     pub(in crate::leader) fn update(&mut self, ctx: &Context, cluster: &Cluster) {
-        let reporting = cluster.machines.values().filter(|m| m.last_heartbeat.is_some());
+        let reporting = cluster.machines.values().filter(|m| m.last_heartbeat_at.is_some());
         for (zone, silence) in silence_by_zone(reporting, |machine| machine.lease_expired) {
             if silence.has_mostly_silent() {
                 self.until.insert(zone.to_string(), ctx.now + ctx.cfg.lease_ms);
@@ -84,7 +84,7 @@
     let mut silence = ZoneSilence::default();
     for machine in cluster.machines.values().filter(|m| m.in_use_before_failover && m.zone == zone)
     {
-        silence.record(machine.last_heartbeat.is_none());
+        silence.record(machine.last_heartbeat_at.is_none());
     }
     silence.has_mostly_silent()
 }
@@ -105,7 +105,7 @@
 
 /// Returns whether a machine of an earlier leader is unheard since the failover.
 pub(in crate::leader) fn is_unheard(machine: &Machine) -> bool {
-    !machine.reconciled && machine.answers_without_token == 0 && machine.last_heartbeat.is_none()
+    !machine.reconciled && machine.answers_without_token == 0 && machine.last_heartbeat_at.is_none()
 }
 
 /// Returns the machines with replicas that have missed several heartbeats, in zones from which
@@ -123,10 +123,10 @@
         return BTreeSet::new();
     }
     let is_silent = |machine: &Machine, after: Ms| {
-        machine.last_heartbeat.is_some_and(|at| ctx.now > at.max(reachable_since) + after)
+        machine.last_heartbeat_at.is_some_and(|at| ctx.now > at.max(reachable_since) + after)
     };
     let machines_up =
-        cluster.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired);
+        cluster.machines.values().filter(|m| m.last_heartbeat_at.is_some() && !m.lease_expired);
     let silent_after = ctx.cfg.heartbeat_interval_ms * SILENT_INTERVALS;
     let zones = silence_by_zone(machines_up, |machine| is_silent(machine, silent_after));
     // In a zone of fewer than `FEW_SILENT_DIVISOR` machines, one machine may be silent if there are
@@ -159,7 +159,7 @@
     let silent_after = ctx.cfg.lease_ms * 2 / 5;
     let (mut all, mut silent, mut in_zone, mut silent_in_zone) = (0, 0, 0, 0);
     for machine in cluster.machines.values().filter(|m| m.decommission == Decommission::No) {
-        let Some(at) = machine.last_heartbeat else { continue };
+        let Some(at) = machine.last_heartbeat_at else { continue };
         let is_silent = (ctx.now > at.max(reachable_since) + silent_after) as usize;
         all += 1;
         silent += is_silent;
--- a/crates/basaltrail-core/src/leader/autoscaler/partitions_tests.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/partitions_tests.rs
@@ -15,7 +15,7 @@
         let mut machine = Machine::new(id.clone(), "x", zone, false, 0);
         machine.in_use_before_failover = true;
         // All but one machine of zone a were heard, and none of zone b.
-        machine.last_heartbeat = (index < 3).then_some(400);
+        machine.last_heartbeat_at = (index < 3).then_some(400);
         leader.cluster.machines.insert(id, machine);
     }
     let new = MachineId("m-9".into());
@@ -23,7 +23,7 @@
     let unheard = |leader: &Leader, zone| is_zone_unheard_since_failover(&leader.cluster, zone);
     assert!(!unheard(&leader, "a") && unheard(&leader, "b"));
     for machine in leader.cluster.machines.values_mut().filter(|m| m.zone == "b").take(2) {
-        machine.last_heartbeat = Some(500);
+        machine.last_heartbeat_at = Some(500);
     }
     assert!(!unheard(&leader, "b"), "half of the machines of the zone were heard");
 }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -114,7 +114,7 @@
         let missed_after = self.ctx.cfg.heartbeat_interval_ms;
         machine.reclaim_at.is_some_and(|at| now > at + RECLAIM_MARGIN_MS)
             && machine
-                .last_heartbeat
+                .last_heartbeat_at
                 .is_some_and(|at| now > at.max(self.reachable_since) + missed_after)
     }
 
@@ -128,7 +128,7 @@
     /// our answers cannot.
     fn is_reachable(&self, machine: &Machine) -> bool {
         let receives_answers = self.silence_ms(machine) <= self.ctx.cfg.lease_ms * SILENT_LEASES;
-        machine.last_heartbeat.is_some()
+        machine.last_heartbeat_at.is_some()
             && !machine.lease_expired
             && (receives_answers || !machine.is_empty())
     }
@@ -150,7 +150,7 @@
         let age_ms = now - machine.known_since;
         let listed_within_ms = cfg.list_lag_ms * LIST_LAGS + LIST_MARGIN_MS;
         let is_listed = machine.last_listed.is_some_and(|(_, at)| now <= at + listed_within_ms);
-        let was_never_heard = machine.last_heartbeat.is_none();
+        let was_never_heard = machine.last_heartbeat_at.is_none();
         let is_partitioned = self.autoscaler.partitions.contains(&machine.zone);
         let max_boot_wait_ms =
             self.boot_ms * ABANDONED_BOOT_TIMES + NEVER_HEARD_LEASES * cfg.lease_ms as f64;
@@ -215,7 +215,7 @@
     fn mark_terminating(&mut self, ctx: &Context, cluster: &mut Cluster, id: &MachineId) {
         let Some(machine) = cluster.machines.get_mut(id) else { return };
         machine.decommission = Decommission::Terminating;
-        let never_came_up = machine.abandoned && machine.last_heartbeat.is_none();
+        let never_came_up = machine.abandoned && machine.last_heartbeat_at.is_none();
         if let Some(t) = machine_type(ctx.types, &machine.machine_type).filter(|_| never_came_up) {
             self.provisioning_times.record_abandonment(t, &machine.zone, ctx.now);
         }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -116,7 +116,7 @@
         for machine in cluster.machines.values_mut() {
             let requested_at = machine
                 .requested_at
-                .filter(|_| machine.last_heartbeat.is_none() && machine.is_empty());
+                .filter(|_| machine.last_heartbeat_at.is_none() && machine.is_empty());
             let known_type = machine_type(ctx.types, &machine.machine_type);
             machine.overdue = false;
             if let (Some(at), Some(machine_type), Decommission::No) =
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -98,7 +98,7 @@
         let id = &heartbeat.machine;
         let machine = self.cluster.machines.get_mut(id).filter(|m| m.is_newer(heartbeat));
         let Some(machine) = machine else { return Err(RenewalRefusal::StaleHeartbeat) };
-        let is_first = machine.last_heartbeat.is_none();
+        let is_first = machine.last_heartbeat_at.is_none();
         let was_usable = machine.reconciled && !machine.lease_expired && machine.receives_answers;
         let changes = machine.apply_heartbeat(ctx.now, heartbeat, ctx.cfg.lease_ms);
         if is_first {
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -183,7 +183,7 @@
         let lease_has_ended =
             |m: &Machine| !m.lease_expired && ctx.now > m.lease_renewed_at + lease_ms;
         let is_silent = |m: &Machine| {
-            m.last_heartbeat.is_some_and(|at| ctx.now > at.max(reachable_since) + silence_ms)
+            m.last_heartbeat_at.is_some_and(|at| ctx.now > at.max(reachable_since) + silence_ms)
         };
         let affected: Vec<MachineId> = self
             .cluster
@@ -205,7 +205,7 @@
     fn expire_machine_lease(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         let Some(machine) = self.cluster.machines.get_mut(id) else { return };
         let tasks = machine.slots.len();
-        let had_heartbeat = machine.last_heartbeat.is_some();
+        let had_heartbeat = machine.last_heartbeat_at.is_some();
         let changes = machine.expire_lease();
         if had_heartbeat || tasks > 0 {
             let (machine, zone) = (id.clone(), machine.zone.clone());
--- a/crates/basaltrail-core/src/leader/scheduler/accounting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/accounting.rs
@@ -45,7 +45,7 @@
         RunningCpus { by_team: vec![0.0; ctx.cfg.teams.len()], by_job: HashMap::new() };
     let mut fleet_cpus = 0.0;
     let up_machines =
-        cluster.machines.values().filter(|m| m.last_heartbeat.is_some() && !m.lease_expired);
+        cluster.machines.values().filter(|m| m.last_heartbeat_at.is_some() && !m.lease_expired);
     for machine in up_machines {
         if let Some(index) = type_index(ctx.types, &machine.machine_type) {
             fleet_cpus += ctx.types[index].cpus;
--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -234,7 +234,7 @@
 }
 
 /// Returns the slot of a task whose start has not been sent yet.
-fn assigned_slot(ctx: &Context, demand: TaskDemand, first_of_job: bool) -> TaskSlot {
+fn assigned_slot(ctx: &Context, demand: TaskDemand, is_first_of_job: bool) -> TaskSlot {
     TaskSlot {
         phase: TaskPhase::Assigned,
         demand: Some(demand),
@@ -243,6 +243,6 @@
         known_since: ctx.now,
         running_since: None,
         outcome_recorded: false,
-        first_of_job,
+        is_first_of_job,
     }
 }
--- a/crates/basaltrail-core/src/leader/scheduler/capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/capacity.rs
@@ -87,7 +87,7 @@
         && !machine.has_reclaim_notice(ctx.now)
         && !machine.is_quarantined(ctx.now, ctx.cfg.lease_ms)
         && ctx.now >= machine.no_room_until
-        && machine.last_heartbeat.is_some_and(|at| {
+        && machine.last_heartbeat_at.is_some_and(|at| {
             ctx.now <= at + ctx.cfg.heartbeat_interval_ms * MAX_HEARTBEAT_AGE_INTERVALS
         })
 }
--- a/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
@@ -18,13 +18,13 @@
     let mut machine = ready_machine("m-1", "a", true, None);
     for index in 0..2 {
         let mut slot = running_slot(demand(Priority::Low, Some(2.0)));
-        slot.first_of_job = index == 0;
+        slot.is_first_of_job = index == 0;
         machine.slots.insert((TaskId { job: JobId(1), index }, Attempt(index as u64)), slot);
     }
     let id = machine.id.clone();
     leader.cluster.machines.insert(id.clone(), machine);
     let mut victims = |now| {
-        leader.cluster.machines.get_mut(&id).unwrap().last_heartbeat = Some(now);
+        leader.cluster.machines.get_mut(&id).unwrap().last_heartbeat_at = Some(now);
         let slack_s = &leader.scheduler.feasible_slack_s;
         priority_victims(&test.context(now), &leader.cluster, slack_s).len()
     };
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -86,7 +86,7 @@
     schedule(&test, &mut leader, 100);
     assert!(machines_of(&leader, 2).is_empty(), "all free capacity is reserved");
     for m in leader.cluster.machines.values_mut() {
-        m.last_heartbeat = Some(50_000);
+        m.last_heartbeat_at = Some(50_000);
     }
     schedule(&test, &mut leader, 50_000);
     assert_eq!(machines_of(&leader, 2).len(), 1);
@@ -104,7 +104,7 @@
     let now = 10_000;
     let set_heartbeats = |leader: &mut Leader, silent: &[MachineId], silent_since: Ms| {
         for m in leader.cluster.machines.values_mut() {
-            m.last_heartbeat = Some(if silent.contains(&m.id) { silent_since } else { now });
+            m.last_heartbeat_at = Some(if silent.contains(&m.id) { silent_since } else { now });
         }
     };
     let silent = |leader: &Leader| {
--- a/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/test_cluster.rs
@@ -78,11 +78,11 @@
     name: &str,
     zone: &str,
     spot: bool,
-    last_heartbeat: Option<Ms>,
+    last_heartbeat_at: Option<Ms>,
 ) -> Machine {
     let mut machine = Machine::new(MachineId(name.into()), "x", zone, spot, 0);
     (machine.receives_answers, machine.registered_in_use) = (true, true);
-    machine.last_heartbeat = last_heartbeat;
+    machine.last_heartbeat_at = last_heartbeat_at;
     machine
 }
 
@@ -96,6 +96,6 @@
         known_since: 0,
         running_since: Some(0),
         outcome_recorded: false,
-        first_of_job: false,
+        is_first_of_job: false,
     }
 }
--- a/crates/basaltrail-core/src/leader/scheduler/victims.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/victims.rs
@@ -67,7 +67,7 @@
     let ran_s = slot.running_since.map_or(0, |since| ctx.now - since) as f64 / 1000.0;
     let lease_ms = ctx.cfg.lease_ms as f64;
     let first_task_min_s =
-        if slot.first_of_job { FIRST_TASK_MIN_RUN_LEASES * lease_ms / 1000.0 } else { 0.0 };
+        if slot.is_first_of_job { FIRST_TASK_MIN_RUN_LEASES * lease_ms / 1000.0 } else { 0.0 };
     ran_s < (MIN_RUN_PER_SAVE * save_s).max(first_task_min_s)
 }
 
--- a/crates/basaltrail-core/src/machines/machine.rs
+++ b/crates/basaltrail-core/src/machines/machine.rs
@@ -53,7 +53,7 @@
     /// Latest time at which an answer may have renewed the worker lease.
     pub lease_renewed_at: Ms,
     /// When the last heartbeat was applied. Only heartbeats that carry our token are.
-    pub last_heartbeat: Option<Ms>,
+    pub last_heartbeat_at: Option<Ms>,
     /// Whether the timing of its last heartbeat shows that it received our previous answer, and so
     /// would receive a start.
     pub receives_answers: bool,
@@ -136,7 +136,7 @@
             min_agent_epoch: AgentEpoch::NONE,
             sequence: 0,
             lease_renewed_at: now,
-            last_heartbeat: None,
+            last_heartbeat_at: None,
             receives_answers: false,
             answer_received_at: None,
             consecutive_lost_starts: 0,
@@ -222,7 +222,7 @@
 
     /// Returns whether the machine has sent a heartbeat and its lease has not expired since.
     pub fn is_up(&self) -> bool {
-        self.last_heartbeat.is_some() && !self.lease_expired
+        self.last_heartbeat_at.is_some() && !self.lease_expired
     }
 
     /// Removes all slots, as the end of an agent epoch does.
@@ -303,7 +303,7 @@
     /// Returns whether the agent received our previous answer. An agent that gets no answer waits
     /// until it times out and then asks another controller first.
     fn received_previous_answer(&self, now: Ms) -> bool {
-        let in_time = self.last_heartbeat.is_some_and(|at| now < at + ANSWER_TIMEOUT_MS);
+        let in_time = self.last_heartbeat_at.is_some_and(|at| now < at + ANSWER_TIMEOUT_MS);
         in_time || !self.reconciled || self.agent_epoch == AgentEpoch::NONE
     }
 
@@ -311,7 +311,7 @@
         self.agent_epoch = heartbeat.agent_epoch;
         self.sequence = heartbeat.sequence;
         self.endpoint.clone_from(&heartbeat.endpoint);
-        self.last_heartbeat = Some(now);
+        self.last_heartbeat_at = Some(now);
         self.lease_renewed_at = now;
         self.lease_expired = false;
         let to_ms = |s: f64| (s.clamp(0.0, MAX_RECLAIM_NOTICE_S) * 1000.0) as Ms;
--- a/crates/basaltrail-core/src/machines/task_slot.rs
+++ b/crates/basaltrail-core/src/machines/task_slot.rs
@@ -46,7 +46,7 @@
     /// Whether its outcome has been recorded in its job.
     pub outcome_recorded: bool,
     /// Whether no task of its job had ever started when it was assigned.
-    pub first_of_job: bool,
+    pub is_first_of_job: bool,
 }
 
 impl TaskSlot {
@@ -60,7 +60,7 @@
             known_since: now,
             running_since: None,
             outcome_recorded: false,
-            first_of_job: false,
+            is_first_of_job: false,
         }
     }
 
