--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -45,7 +45,7 @@
             return answers.answer(ctx.now, self.token, ctx.cfg.max_machines, heartbeat, permit);
         }
         if self.autoscaler.terminated.contains(&heartbeat.machine) {
-            return Err(RenewalRefusal::MachineReturned);
+            return Err(RenewalRefusal::MachineTerminated);
         }
         let machine = self.cluster.machines.get_mut(&heartbeat.machine);
         if heartbeat.token < self.token
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -172,9 +172,9 @@
 ) -> Machine {
     let mut machine =
         Machine::new(record.id.clone(), &record.machine_type, &record.zone, record.spot, ctx.now);
-    machine.reconciled = record.free;
-    machine.registered_in_use = !record.free;
-    machine.in_use_before_failover = !record.free;
+    machine.reconciled = record.holds_no_tasks;
+    machine.registered_in_use = !record.holds_no_tasks;
+    machine.in_use_before_failover = !record.holds_no_tasks;
     machine.registry_segment = Some(segment);
     machine.lease_renewed_at = elected_at;
     machine
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
@@ -50,7 +50,10 @@
 
     /// Returns the machines of a segment that may hold tasks.
     pub(in crate::leader) fn in_use(&self, segment: usize) -> impl Iterator<Item = &MachineId> {
-        self.segments[segment].iter().filter(|record| !record.free).map(|record| &record.id)
+        self.segments[segment]
+            .iter()
+            .filter(|record| !record.holds_no_tasks)
+            .map(|record| &record.id)
     }
 
     /// Returns whether other segments have to be written before this one.
@@ -102,7 +105,7 @@
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            free: false,
+            holds_no_tasks: false,
         };
         let record_bytes = max_record_bytes(&mut record);
         let limit = max_segment_bytes(value_bytes);
@@ -111,7 +114,7 @@
                 Some(segment) => segment,
                 None => self.push_segment(),
             };
-        record.free = true;
+        record.holds_no_tasks = true;
         self.segments[segment].push(record);
         self.segment_bytes[segment] += record_bytes;
         self.dirty.insert(segment);
@@ -124,8 +127,8 @@
     fn set_free(&mut self, machine: &mut Machine, free: bool) {
         let Some(segment) = machine.registry_segment else { return };
         let record = self.segments[segment].iter_mut().find(|record| record.id == machine.id);
-        let Some(record) = record.filter(|record| record.free != free) else { return };
-        record.free = free;
+        let Some(record) = record.filter(|record| record.holds_no_tasks != free) else { return };
+        record.holds_no_tasks = free;
         machine.registered_in_use = false;
         self.dirty.insert(segment);
     }
@@ -165,7 +168,7 @@
                 for record in &chunk {
                     let Some(machine) = machines.get_mut(&record.id) else { continue };
                     machine.registry_segment = Some(target);
-                    machine.free_in_segments.extend(record.free.then_some(segment));
+                    machine.free_in_segments.extend(record.holds_no_tasks.then_some(segment));
                 }
             }
             self.segments[target] = chunk;
@@ -180,17 +183,17 @@
         for (first, second, duplicate) in self.remove_duplicates() {
             let kept = self.segments[first].iter_mut().find(|record| record.id == duplicate.id);
             let Some(kept) = kept else { continue };
-            let kept_free = kept.free;
-            kept.free &= duplicate.free;
-            let free = kept.free;
+            let kept_free = kept.holds_no_tasks;
+            kept.holds_no_tasks &= duplicate.holds_no_tasks;
+            let free = kept.holds_no_tasks;
             if let Some(machine) = machines.get_mut(&duplicate.id) {
                 machine.reconciled = free;
                 machine.in_use_before_failover = !free;
                 // Either stored segment may still list the machine as free.
-                machine.registered_in_use = !kept_free && !duplicate.free;
+                machine.registered_in_use = !kept_free && !duplicate.holds_no_tasks;
                 machine.registry_segment = Some(first);
                 machine.free_in_segments.extend(kept_free.then_some(first));
-                machine.free_in_segments.extend(duplicate.free.then_some(second));
+                machine.free_in_segments.extend(duplicate.holds_no_tasks.then_some(second));
             }
             self.dirty.extend([first, second]);
             if first != second {
@@ -266,9 +269,9 @@
 /// Returns the maximum encoded size of a record with its comma, in bytes. "false" is longer than
 /// "true".
 fn max_record_bytes(record: &mut MachineRecord) -> usize {
-    let free = std::mem::replace(&mut record.free, false);
+    let holds_no_tasks = std::mem::replace(&mut record.holds_no_tasks, false);
     let bytes = encode(record).len() + 1;
-    record.free = free;
+    record.holds_no_tasks = holds_no_tasks;
     bytes
 }
 
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry_tests.rs
@@ -85,11 +85,11 @@
             let listed: Vec<&MachineRecord> =
                 records.iter().filter(|record| record.id == id(i)).collect();
             assert!(!listed.is_empty(), "{} is not listed", id(i));
-            let is_free = listed.iter().all(|record| record.free);
+            let is_free = listed.iter().all(|record| record.holds_no_tasks);
             assert!(!is_busy(i) || !is_free, "{} is busy and listed as free", id(i));
             let machine = &leader.cluster.machines[&id(i)];
             assert!(
-                !machine.registered_in_use || listed.iter().all(|record| !record.free),
+                !machine.registered_in_use || listed.iter().all(|record| !record.holds_no_tasks),
                 "{} may hold tasks and is listed as free in a segment",
                 id(i)
             );
@@ -107,7 +107,7 @@
         machine_type: "folio-box".into(),
         zone: "toowong-store".into(),
         spot: false,
-        free: is_free(i),
+        holds_no_tasks: is_free(i),
     };
     encode(&range.map(record).collect::<Vec<_>>())
 }
--- a/crates/basaltrail-core/src/leader/persistence/replies.rs
+++ b/crates/basaltrail-core/src/leader/persistence/replies.rs
@@ -60,7 +60,7 @@
             let machines = &mut self.cluster.machines;
             self.scheduler.cycle_due |= self.registry.record_committed_segment(written, machines);
         }
-        WriteOutcome { completed_jobs: pending.complete_jobs, ..WriteOutcome::default() }
+        WriteOutcome { completed_jobs: pending.completed_jobs, ..WriteOutcome::default() }
     }
 
     /// Queues the changes again. The job records and the mod revisions of the keys whose
@@ -72,7 +72,7 @@
         failed: Vec<String>,
     ) -> WriteOutcome {
         let deposed = failed.iter().any(|key| key == LEADER_KEY);
-        let jobs = pending.complete_jobs.iter().copied();
+        let jobs = pending.completed_jobs.iter().copied();
         let jobs_to_read = jobs.filter(|job| failed.contains(&active_job_key(*job))).collect();
         for key in failed.into_iter().filter(|key| pending.keys.contains(key)) {
             self.writer.mark_stale(key);
@@ -87,10 +87,10 @@
     fn handle_rejected(&mut self, ctx: &Context, mut pending: PendingTransaction) -> WriteOutcome {
         let mut outcome = WriteOutcome::default();
         self.writer.max_changes = (pending.changes / 2).max(1);
-        let is_single_outcome = pending.complete_jobs.len() == 1 && pending.keys.is_empty();
+        let is_single_outcome = pending.completed_jobs.len() == 1 && pending.keys.is_empty();
         if pending.changes <= 1 || is_single_outcome {
             let back_off_until = ctx.now + ctx.cfg.lease_ms * REJECTED_BACK_OFF_LEASES;
-            let outcome_keys = pending.complete_jobs.iter().map(|job| active_job_key(*job));
+            let outcome_keys = pending.completed_jobs.iter().map(|job| active_job_key(*job));
             let keys: Vec<String> = pending.keys.iter().cloned().chain(outcome_keys).collect();
             outcome.rejected_keys = Some(keys.join(","));
             self.writer.back_off.extend(keys.into_iter().map(|key| (key, back_off_until)));
--- a/crates/basaltrail-core/src/leader/persistence/transaction.rs
+++ b/crates/basaltrail-core/src/leader/persistence/transaction.rs
@@ -71,7 +71,7 @@
     /// outcome yet.
     pub(in crate::leader) fn put_outcome(&mut self, job: JobId, mod_revision: Revision) {
         self.bytes += 3 * FRAME_BYTES;
-        self.pending.complete_jobs.push(job);
+        self.pending.completed_jobs.push(job);
         self.preconditions.push(Precondition::new(active_job_key(job), mod_revision));
         self.deletes.push(active_job_key(job));
         self.puts.push(PutRequest {
--- a/crates/basaltrail-core/src/lease_renewal.rs
+++ b/crates/basaltrail-core/src/lease_renewal.rs
@@ -51,8 +51,8 @@
     TooManyStops,
     /// The worker still reports an older fencing token after several answers.
     TokenNotAdopted,
-    /// The machine has been returned to the cloud.
-    MachineReturned,
+    /// The machine has been terminated.
+    MachineTerminated,
     /// A newer heartbeat of the machine was already applied.
     StaleHeartbeat,
     /// The leader is still loading and already tracks the maximum number of machines.
@@ -69,7 +69,7 @@
             RenewalRefusal::JobUnknown => "job_unknown",
             RenewalRefusal::TooManyStops => "too_many_stops",
             RenewalRefusal::TokenNotAdopted => "no_report_with_token",
-            RenewalRefusal::MachineReturned => "machine_returned",
+            RenewalRefusal::MachineTerminated => "machine_returned",
             RenewalRefusal::StaleHeartbeat => "late_report",
             RenewalRefusal::Loading => "loading",
         }
--- a/crates/basaltrail-core/src/store/pending_transaction.rs
+++ b/crates/basaltrail-core/src/store/pending_transaction.rs
@@ -28,7 +28,7 @@
     /// Keys of the leader that the transaction puts.
     pub keys: Vec<String>,
     /// Jobs whose outcome the transaction writes.
-    pub complete_jobs: Vec<JobId>,
+    pub completed_jobs: Vec<JobId>,
     /// Segments of completed tasks of unfinished jobs.
     pub completions: Vec<WrittenCompletions>,
     /// Segments of the machine registry.
--- a/crates/basaltrail-core/src/store/records.rs
+++ b/crates/basaltrail-core/src/store/records.rs
@@ -114,7 +114,7 @@
     /// True if the machine holds no tasks. No task starts there until this flag is stored as false.
     /// If the field is missing, the machine may hold tasks.
     #[serde(rename = "f", default)]
-    pub free: bool,
+    pub holds_no_tasks: bool,
 }
 
 /// The fairness ledger as of the last scheduling round.
--- a/crates/basaltrail-core/tests/records.rs
+++ b/crates/basaltrail-core/tests/records.rs
@@ -36,7 +36,7 @@
     round_trip::<JobRecord>(JOB_WITHOUT_OPTIONAL_FIELDS);
     let service: JobRecord = round_trip(SERVICE);
     assert!(service.spec.is_service() && service.spec.spread && !service.spec.spot);
-    assert!(round_trip::<Vec<MachineRecord>>(MACHINE_REGISTRY_SEGMENT)[0].free);
+    assert!(round_trip::<Vec<MachineRecord>>(MACHINE_REGISTRY_SEGMENT)[0].holds_no_tasks);
     assert_eq!(round_trip::<LedgerRecord>(LEDGER_VALUE).crash_looping_jobs, [JobId(412)]);
     assert!(round_trip::<LedgerRecord>(LEDGER_WITHOUT_CRASH_LOOPS).crash_looping_jobs.is_empty());
     round_trip::<LeaderRecord>(LEADER_VALUE);
@@ -205,7 +205,7 @@
         machine_type: "x".into(),
         zone: "a".into(),
         spot: false,
-        free: false,
+        holds_no_tasks: false,
     };
     let old_machines: Vec<version_e26460f::MachineRecord> =
         serde_json::from_str(&encode(&vec![machine])).unwrap();
