--- a/crates/basaltrail-core/src/controller/submissions.rs
+++ b/crates/basaltrail-core/src/controller/submissions.rs
@@ -118,8 +118,8 @@
     ) {
         self.requests.submissions_in_flight -= 1;
         match reply {
-            StoreReply::Committed { revision } => self.batch_committed(batch, revision),
-            StoreReply::Conflict { failed } => self.batch_conflicted(batch, &failed),
+            StoreReply::Committed { revision } => self.handle_committed_batch(batch, revision),
+            StoreReply::Conflict { failed } => self.handle_batch_conflict(batch, &failed),
             StoreReply::Rejected if batch.len() > 1 => {
                 // One invalid submission must not fail or delay the others: each is sent again in a
                 // transaction of its own.
@@ -151,7 +151,7 @@
         }
     }
 
-    fn batch_committed(&mut self, batch: Vec<AdmittedSubmission>, revision: Revision) {
+    fn handle_committed_batch(&mut self, batch: Vec<AdmittedSubmission>, revision: Revision) {
         for submission in batch {
             self.admission.settle(&submission, AcceptanceOutcome::Used);
             let record = self.job_record(&submission);
@@ -162,7 +162,7 @@
         }
     }
 
-    fn batch_conflicted(&mut self, batch: Vec<AdmittedSubmission>, failed: &[String]) {
+    fn handle_batch_conflict(&mut self, batch: Vec<AdmittedSubmission>, failed: &[String]) {
         let mut unaffected = Vec::new();
         for submission in batch {
             let keys = [active_job_key(submission.job), outcome_key(submission.job)];
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -96,7 +96,7 @@
         let guarantee_overdue_at = ctx
             .cfg
             .guarantee_wait_ms()
-            .and_then(|patience_ms| self.guarantee_waits.next_overdue_at(ctx.now, patience_ms));
+            .and_then(|max_wait_ms| self.guarantee_waits.next_overdue_at(ctx.now, max_wait_ms));
         back_off_ends.min().into_iter().chain(guarantee_overdue_at).min().unwrap_or(Ms::MAX)
     }
 }
--- a/crates/basaltrail-core/src/leader/scheduler/guarantees.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/guarantees.rs
@@ -43,21 +43,21 @@
             .collect();
     }
 
-    /// Returns whether a team has waited for at least `patience_ms`.
-    pub fn is_overdue(&self, team: usize, now: Ms, patience_ms: Ms) -> bool {
+    /// Returns whether a team has waited for at least `max_wait_ms`.
+    pub fn is_overdue(&self, team: usize, now: Ms, max_wait_ms: Ms) -> bool {
         self.waiting_since
             .get(team)
             .copied()
             .flatten()
-            .is_some_and(|since| now >= since + patience_ms)
+            .is_some_and(|since| now >= since + max_wait_ms)
     }
 
-    /// Returns when the next team will have waited for `patience_ms`.
-    pub fn next_overdue_at(&self, now: Ms, patience_ms: Ms) -> Option<Ms> {
+    /// Returns when the next team will have waited for `max_wait_ms`.
+    pub fn next_overdue_at(&self, now: Ms, max_wait_ms: Ms) -> Option<Ms> {
         self.waiting_since
             .iter()
             .flatten()
-            .map(|since| since + patience_ms)
+            .map(|since| since + max_wait_ms)
             .filter(|at| *at > now)
             .min()
     }
--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -199,8 +199,8 @@
             unused_guarantee_cpus: (ctx.cfg.teams[job.team].cpus - self.used[job.team].cpus)
                 .max(0.0),
             is_urgent: is_urgent(ctx, scheduler, job),
-            is_guarantee_overdue: ctx.cfg.guarantee_wait_ms().is_some_and(|patience_ms| {
-                scheduler.guarantee_waits.is_overdue(job.team, ctx.now, patience_ms)
+            is_guarantee_overdue: ctx.cfg.guarantee_wait_ms().is_some_and(|max_wait_ms| {
+                scheduler.guarantee_waits.is_overdue(job.team, ctx.now, max_wait_ms)
             }),
         };
         preemptor.missing_cpus -= self.upcoming.claim(preemptor.missing_cpus, |kind| {
