--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -26,10 +26,12 @@
         }
         match purpose {
             StorePurpose::Election(call) => self.handle_election_reply(call, reply),
-            StorePurpose::ListJobs { part, after, sent } => {
-                self.handle_list_reply(part, after, sent, reply);
+            StorePurpose::ListJobs { range, after, sent_at } => {
+                self.handle_list_reply(range, after, sent_at, reply);
+            }
+            StorePurpose::WatchJobs { sent_at, kind } => {
+                self.handle_watch_reply(kind, sent_at, reply)
             }
-            StorePurpose::WatchJobs { sent, kind } => self.handle_watch_reply(kind, sent, reply),
             StorePurpose::AcceptJobs(batch) => self.handle_accept_reply(batch, reply),
             StorePurpose::ConfirmJobs(jobs) => self.handle_confirm_reply(jobs, reply),
             StorePurpose::ReadActiveJob { job, requests } => {
@@ -75,7 +77,7 @@
             // Campaigns are never delayed: the rate limiter counts the changes but its result is
             // ignored.
             let changes = CAMPAIGN_CHANGES;
-            self.calls.write_rate.try_acquire(self.now, changes, CallPriority::Lease);
+            self.calls.write_limiter.try_acquire(self.now, changes, CallPriority::Lease);
             let purpose = StorePurpose::Election(due.call);
             self.calls.send_to_store(purpose, due.request, due.timeout_ms);
         }
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -49,7 +49,7 @@
     ) {
         if self.in_flight
             || ctx.now < self.next_page_at
-            || !calls.cloud_rate.try_acquire(ctx.now, 1.0, CallPriority::Background)
+            || !calls.cloud_limiter.try_acquire(ctx.now, 1.0, CallPriority::Background)
         {
             return;
         }
@@ -105,7 +105,7 @@
             machine.first_listed_at.is_some_and(|at| self.requested_at > at + max_list_age_ms)
         };
         let is_silent = |machine: &Machine| {
-            machine.last_heartbeat.is_none_or(|at| ctx.now > at + ctx.cfg.heartbeat_interval_ms)
+            machine.last_heartbeat_at.is_none_or(|at| ctx.now > at + ctx.cfg.heartbeat_interval_ms)
         };
         cluster
             .machines
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -11,7 +11,7 @@
 use crate::io::{CloudReply, CloudRequest};
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::capacity::machine_type;
-use crate::leader::scheduler::reserved_capacity::ReplicaSizes;
+use crate::leader::scheduler::reserved_capacity::RecentServices;
 use crate::leader::Context;
 use crate::machines::{Decommission, Machine, MachineKind};
 use crate::model::{FencingToken, MachineId};
@@ -48,7 +48,7 @@
         &mut self,
         ctx: &Context,
         cluster: &mut Cluster,
-        sizes: &ReplicaSizes,
+        services: &RecentServices,
         token: FencingToken,
         calls: &mut Calls,
     ) {
@@ -57,7 +57,7 @@
         self.update_overdue(ctx, cluster);
         let live = live_machines(ctx, cluster);
         let fleet = Fleet::count(&live);
-        let needs = KindNeeds::determine(ctx, cluster, sizes, &live, &fleet);
+        let needs = KindNeeds::determine(ctx, cluster, services, &live, &fleet);
         let plan = FleetPlan { targets, fleet, needs };
         while !self.provisioning.is_full() {
             let Some((kind, machines)) = self.next_request(ctx, cluster, &plan) else { break };
@@ -117,7 +117,7 @@
         for machine in cluster.machines.values_mut() {
             let requested_at = machine
                 .requested_at
-                .filter(|_| machine.last_heartbeat.is_none() && machine.is_empty());
+                .filter(|_| machine.last_heartbeat_at.is_none() && machine.is_empty());
             let known_type = machine_type(ctx.machine_types, &machine.machine_type);
             machine.overdue = false;
             if let (Some(at), Some(machine_type), Decommission::No) =
@@ -147,7 +147,7 @@
     ) {
         let is_due = |r: &&mut ProvisioningRequest| !r.in_flight && ctx.now >= r.next_attempt_at;
         for request in self.provisioning.pending.iter_mut().filter(is_due) {
-            if !calls.cloud_rate.try_acquire(ctx.now, 1.0, CallPriority::Request) {
+            if !calls.cloud_limiter.try_acquire(ctx.now, 1.0, CallPriority::Request) {
                 break;
             }
             request.in_flight = true;
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -45,7 +45,7 @@
             return answers.answer(ctx.now, self.token, ctx.cfg.max_machines, heartbeat, permit);
         }
         if self.autoscaler.terminated.contains(&heartbeat.machine) {
-            return Err(RenewalRefusal::MachineReturned);
+            return Err(RenewalRefusal::MachineTerminated);
         }
         let machine = self.cluster.machines.get_mut(&heartbeat.machine);
         if heartbeat.token < self.token
@@ -63,7 +63,7 @@
         self.adopt_machine(ctx, calls, heartbeat);
         self.apply_heartbeat(ctx, calls, heartbeat)?;
         let permit = permit?;
-        if self.scheduler.changed && ctx.job_cache_is_fresh {
+        if self.scheduler.cycle_due && ctx.job_cache_is_fresh {
             self.schedule(ctx, calls, rng);
         }
         self.backfill(ctx, &heartbeat.machine, rng);
@@ -98,7 +98,7 @@
         let id = &heartbeat.machine;
         let machine = self.cluster.machines.get_mut(id).filter(|m| m.is_newer(heartbeat));
         let Some(machine) = machine else { return Err(RenewalRefusal::StaleHeartbeat) };
-        let is_first = machine.last_heartbeat.is_none();
+        let is_first = machine.last_heartbeat_at.is_none();
         let was_usable = machine.reconciled && !machine.lease_expired && machine.receives_answers;
         let changes = machine.apply_heartbeat(ctx.now, heartbeat, ctx.cfg.worker_lease_ms);
         if is_first {
@@ -113,14 +113,14 @@
         let machine = &self.cluster.machines[id];
         let has_room = type_index(ctx.machine_types, &machine.machine_type)
             .is_some_and(|index| machine.used().cpus < ctx.machine_types[index].cpus);
-        self.scheduler.changed |= !was_usable || (has_room && self.scheduler.short_of_capacity);
+        self.scheduler.cycle_due |= !was_usable || (has_room && self.scheduler.has_blocked_jobs);
         Ok(())
     }
 
     /// Logs the first heartbeat of a machine that this leader applies, and records its provisioning
     /// time.
     fn record_machine_up(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
-        self.scheduler.changed = true;
+        self.scheduler.cycle_due = true;
         let Some(machine) = self.cluster.machines.get(id) else { return };
         calls.log(MachineEvent::Up {
             machine: machine.id.clone(),
@@ -142,7 +142,7 @@
         if machine.has_reclaim_notice(ctx.now) && machine.decommission == Decommission::No {
             machine.decommission = Decommission::Draining;
             calls.log(MachineEvent::ReclaimNotice { machine: id.clone() });
-            self.scheduler.changed |= self.cluster.drain(ctx.now, id);
+            self.scheduler.cycle_due |= self.cluster.drain(ctx.now, id);
         }
     }
 }
@@ -168,7 +168,7 @@
                     let is_durable = match self.jobs.get(&task.job) {
                         Some(job) => {
                             // The exit of a replica is not stored, so nothing has to be durable.
-                            job.ended.is_some()
+                            job.outcome.is_some()
                                 || reason != ExitReason::Done
                                 || job.spec.is_service()
                                 || job.durable.contains(task.index)
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -120,14 +120,14 @@
             self.sync_active_job(ctx, job, active);
         } else if let Some(outcome) = ctx.job_cache.outcome(job) {
             self.sync_ended_job(job, outcome);
-        } else if self.cluster.jobs.get(&job).is_some_and(|job| job.ended.is_none()) {
+        } else if self.cluster.jobs.get(&job).is_some_and(|job| job.outcome.is_none()) {
             self.failover.unknown_jobs.insert(job);
         }
     }
 
     fn sync_active_job(&mut self, ctx: &Context, id: JobId, active: &ActiveJob) {
         let Some(team) = ctx.cfg.team(&active.spec.team) else { return };
-        self.scheduler.changed = true;
+        self.scheduler.cycle_due = true;
         if let Some(job) = self.cluster.jobs.get_mut(&id) {
             job.mod_revision = active.mod_revision;
             return;
@@ -137,7 +137,7 @@
             self.writer.complete_jobs.insert(id);
         }
         self.cluster.jobs.insert(id, job);
-        self.scheduler.replica_sizes.record(ctx, &active.spec);
+        self.scheduler.recent_services.record(ctx, &active.spec);
         for (machine, change) in self.cluster.changes_reported_before_job_known(id) {
             self.reconcile(ctx, &machine, change);
         }
@@ -145,8 +145,8 @@
 
     fn sync_ended_job(&mut self, id: JobId, outcome: JobOutcome) {
         if let Some(job) = self.cluster.jobs.get_mut(&id) {
-            job.ended = Some(outcome);
-            self.scheduler.changed = true;
+            job.outcome = Some(outcome);
+            self.scheduler.cycle_due = true;
         }
         for (segment, _) in self.failover.remove_completions(id) {
             self.writer.obsolete_completions.insert((id, segment));
@@ -172,9 +172,9 @@
 ) -> Machine {
     let mut machine =
         Machine::new(record.id.clone(), &record.machine_type, &record.zone, record.spot, ctx.now);
-    machine.reconciled = record.free;
-    machine.registered_in_use = !record.free;
-    machine.in_use_before_failover = !record.free;
+    machine.reconciled = record.holds_no_tasks;
+    machine.registered_in_use = !record.holds_no_tasks;
+    machine.in_use_before_failover = !record.holds_no_tasks;
     machine.registry_segment = Some(segment);
     machine.lease_renewed_at = elected_at;
     machine
--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -67,7 +67,7 @@
             ctx.cfg.max_transaction_ops.max(MIN_TRANSACTION_OPS).min(self.max_changes);
         let precondition = Precondition::new(LEADER_KEY, sources.leader_revision);
         let mut transaction = TransactionBuilder::new(precondition, max_changes);
-        let mut budget = WriteBudget { now: ctx.now, writes: &mut calls.write_rate };
+        let mut budget = WriteBudget { now: ctx.now, writes: &mut calls.write_limiter };
         self.add_outcomes(ctx, &sources, &mut transaction, &mut budget);
         self.add_registry_segments(sources.registry, &mut transaction, &mut budget);
         self.add_ledger(ctx, &sources, &mut transaction, &mut budget);
@@ -108,7 +108,7 @@
         budget: &mut WriteBudget,
     ) {
         for id in &self.complete_jobs {
-            let job = sources.cluster.jobs.get(id).filter(|job| job.ended.is_none());
+            let job = sources.cluster.jobs.get(id).filter(|job| job.outcome.is_none());
             let Some(job) = job else { continue };
             if !ctx.job_cache.active.contains_key(id)
                 || sources.unknown_jobs.contains(id)
@@ -168,7 +168,7 @@
         let leases_end = ctx.wall_clock_ms + (ctx.cfg.policy.lease_term_s * 1000.0) as WallMs;
         let jobs = sources.cluster.jobs.values();
         let crash_loops = jobs
-            .filter(|job| job.ended.is_none() && job.health.is_crash_looping())
+            .filter(|job| job.outcome.is_none() && job.health.is_crash_looping())
             .map(|job| job.id)
             .take(MAX_RECORDED_CRASH_LOOPS)
             .collect();
@@ -209,7 +209,7 @@
             return;
         }
         for id in self.completion_order() {
-            let job = jobs.get_mut(&id).filter(|job| job.ended.is_none() && !job.is_complete());
+            let job = jobs.get_mut(&id).filter(|job| job.outcome.is_none() && !job.is_complete());
             let Some(job) = job else {
                 self.unwritten_jobs.remove(&id);
                 continue;
--- a/crates/basaltrail-core/src/leader/scheduler/backfill.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/backfill.rs
@@ -23,7 +23,7 @@
             .filter(|_| ctx.holds_valid_lease && ctx.job_cache_is_fresh);
         let Some(capacity) = capacity else { return };
         let Some(mut snapshot) = self.last_cycle.take() else { return };
-        self.visited += 1;
+        self.visit_count += 1;
         let used = std::mem::take(&mut snapshot.used);
         let assigner = Assigner { scheduler: self, inputs, free: vec![capacity], used };
         let mut backfill = Backfill { assigner };
@@ -76,8 +76,9 @@
     fn may_start(&self, id: JobId) -> bool {
         let inputs = &self.assigner.inputs;
         let job = inputs.cluster.jobs.get(&id);
-        job.is_some_and(|job| job.pending() > 0 && job.health.back_off_until() <= inputs.ctx.now)
-            && !inputs.unknown_jobs.contains(&id)
+        job.is_some_and(|job| {
+            job.pending_tasks() > 0 && job.health.back_off_until() <= inputs.ctx.now
+        }) && !inputs.unknown_jobs.contains(&id)
     }
 
     /// Assigns the remaining capacity by fair share. The number of jobs that are tried is bounded,
--- a/crates/basaltrail-core/src/leader/scheduler/cycle.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/cycle.rs
@@ -57,10 +57,10 @@
         if ctx.now < self.earliest_cycle_at || ctx.machine_types.is_empty() {
             return CycleOutcome::default();
         }
-        self.changed = false;
+        self.cycle_due = false;
         self.earliest_cycle_at = ctx.now + ctx.cfg.heartbeat_interval_ms / MAX_CYCLES_PER_HEARTBEAT;
         self.fleet_cpus = accounting::accrue_shares(ctx, inputs.cluster, inputs.ledger);
-        self.visited +=
+        self.visit_count +=
             inputs.cluster.machines.values().map(|m| 1 + m.slots.len() as u64).sum::<u64>();
         let mut cycle = Cycle::begin(self, inputs);
         cycle.run();
@@ -71,9 +71,9 @@
     /// without capacity.
     fn update_guarantee_waits(&mut self, ctx: &Context, cluster: &Cluster, blocked: &[JobId]) {
         let mut demands = vec![TeamDemand::default(); ctx.cfg.teams.len()];
-        let adds_demand = |job: &&JobState| job.ended.is_none() && !job.health.is_crash_looping();
+        let adds_demand = |job: &&JobState| job.outcome.is_none() && !job.health.is_crash_looping();
         for job in cluster.jobs.values().filter(adds_demand) {
-            let tasks = job.pending() as f64 + job.placed.len() as f64;
+            let tasks = job.pending_tasks() as f64 + job.placed.len() as f64;
             demands[job.team].unfinished_cpus += tasks * job.spec.cpus;
         }
         for job in blocked.iter().filter_map(|id| cluster.jobs.get(id)) {
@@ -86,7 +86,7 @@
     /// Returns when a cycle is due even if nothing changes: the next back-off ends, or the next
     /// team has waited too long for its guarantee.
     fn next_wake_at(&self, ctx: &Context, cluster: &Cluster) -> Ms {
-        let waiting_jobs = || cluster.jobs.values().filter(|job| job.pending() > 0);
+        let waiting_jobs = || cluster.jobs.values().filter(|job| job.pending_tasks() > 0);
         let job_back_offs = waiting_jobs().map(|job| job.health.back_off_until());
         let avoided_machines =
             waiting_jobs().filter_map(|job| job.health.next_avoidance_end(ctx.now));
@@ -96,7 +96,7 @@
         let guarantee_overdue_at = ctx
             .cfg
             .guarantee_wait_ms()
-            .and_then(|patience_ms| self.guarantee_waits.next_overdue_at(ctx.now, patience_ms));
+            .and_then(|max_wait_ms| self.guarantee_waits.next_overdue_at(ctx.now, max_wait_ms));
         back_off_ends.min().into_iter().chain(guarantee_overdue_at).min().unwrap_or(Ms::MAX)
     }
 }
@@ -158,7 +158,7 @@
         let Cycle { assigner, blocked, mut snapshot, .. } = self;
         let Assigner { scheduler, inputs, free, used } = assigner;
         let SchedulerInputs { ctx, cluster, .. } = inputs;
-        scheduler.short_of_capacity = !blocked.is_empty();
+        scheduler.has_blocked_jobs = !blocked.is_empty();
         scheduler.update_guarantee_waits(ctx, cluster, &blocked);
         scheduler.wake_at = scheduler.next_wake_at(ctx, cluster);
         let preempted_tasks = scheduler.preempt(ctx, cluster, &blocked, &used, &free);
@@ -221,7 +221,7 @@
     fn reserve_capacity(&mut self) {
         let Assigner { scheduler, inputs, free, used } = &mut self.assigner;
         self.snapshot.reserved_capacity =
-            reserve_capacity(inputs.ctx, &scheduler.replica_sizes, free, used);
+            reserve_capacity(inputs.ctx, &scheduler.recent_services, free, used);
     }
 
     /// Returns the jobs that have waited too long for their first task, the longest wait first.
@@ -236,7 +236,7 @@
             .iter()
             .flatten()
             .filter_map(|id| cluster.jobs.get(id))
-            .filter(|job| !job.started && ctx.wall_clock_ms - job.accepted_at > max_wait_ms)
+            .filter(|job| !job.has_started && ctx.wall_clock_ms - job.accepted_at > max_wait_ms)
             .map(|job| (job.accepted_at, job.id, job.team))
             .collect();
         overdue.sort();
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -53,7 +53,7 @@
     schedule(&test, &mut leader_of_two, 100);
     assert_eq!(machines_of(&leader_of_two, 1).len(), 2);
     assert_eq!(
-        leader_of_two.cluster.jobs[&JobId(1)].pending(),
+        leader_of_two.cluster.jobs[&JobId(1)].pending_tasks(),
         0,
         "replicas share machines rather than wait"
     );
@@ -73,7 +73,7 @@
             free >= reserved && free <= reserved + 8.0,
             "guarantee {guarantee}: {free} reserved"
         );
-        assert_eq!(leader.cluster.jobs[&JobId(1)].pending(), 0);
+        assert_eq!(leader.cluster.jobs[&JobId(1)].pending_tasks(), 0);
     }
 }
 
@@ -86,7 +86,7 @@
     schedule(&test, &mut leader, 100);
     assert!(machines_of(&leader, 2).is_empty(), "all free capacity is reserved");
     for m in leader.cluster.machines.values_mut() {
-        m.last_heartbeat = Some(50_000);
+        m.last_heartbeat_at = Some(50_000);
     }
     schedule(&test, &mut leader, 50_000);
     assert_eq!(machines_of(&leader, 2).len(), 1);
@@ -104,7 +104,7 @@
     let now = 10_000;
     let set_heartbeats = |leader: &mut Leader, silent: &[MachineId], silent_since: Ms| {
         for m in leader.cluster.machines.values_mut() {
-            m.last_heartbeat = Some(if silent.contains(&m.id) { silent_since } else { now });
+            m.last_heartbeat_at = Some(if silent.contains(&m.id) { silent_since } else { now });
         }
     };
     let silent = |leader: &Leader| {
@@ -143,8 +143,8 @@
     let leader = leader_with_machines(&test, 1);
     let kind = |zone: &str, spot| MachineKind { machine_type: "x".into(), zone: zone.into(), spot };
     let machines = |test: &TestCluster, leader: &Leader, kind: &MachineKind| {
-        let sizes = &leader.scheduler.replica_sizes;
-        machines_for_services(&test.context(0), &leader.cluster, sizes, kind)
+        let services = &leader.scheduler.recent_services;
+        machines_for_services(&test.context(0), &leader.cluster, services, kind)
     };
     // Each zone needs capacity for three replicas of the service, and reserved capacity for two
     // times three: 18 CPUs.
--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -16,19 +16,19 @@
 /// A key range that is listed before the watch of the jobs begins. The ranges are listed in
 /// sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListPart {
+pub enum ListRange {
     /// Active jobs.
     Jobs,
     /// Admission quotas and the controller records.
     Admission,
 }
 
-impl ListPart {
+impl ListRange {
     /// Returns the key prefix of the range.
     pub fn prefix(self) -> &'static str {
         match self {
-            ListPart::Jobs => ACTIVE_JOBS_PREFIX,
-            ListPart::Admission => ADMISSION_PREFIX,
+            ListRange::Jobs => ACTIVE_JOBS_PREFIX,
+            ListRange::Admission => ADMISSION_PREFIX,
         }
     }
 }
@@ -41,16 +41,16 @@
     /// Reads a page of the list of the jobs or of admission records.
     ListJobs {
         /// The key range.
-        part: ListPart,
+        range: ListRange,
         /// The last key of the previous page.
         after: Option<String>,
         /// The time at which the first page of the list was requested.
-        sent: Ms,
+        sent_at: Ms,
     },
     /// Watches the jobs.
     WatchJobs {
         /// The time at which the watch was sent.
-        sent: Ms,
+        sent_at: Ms,
         /// The kind of the watch.
         kind: WatchKind,
     },
@@ -147,11 +147,11 @@
     cloud_calls: HashMap<CallId, CloudPurpose>,
     last_id: u64,
     /// Limits calls to the store.
-    pub store_rate: TokenBucket,
+    pub store_limiter: TokenBucket,
     /// Limits changes to the store; the calls that contain them count separately.
-    pub write_rate: TokenBucket,
+    pub write_limiter: TokenBucket,
     /// Limits calls to the cloud.
-    pub cloud_rate: TokenBucket,
+    pub cloud_limiter: TokenBucket,
     /// Effects of the current step, in the order in which the program executes them.
     pub effects: Vec<Effect>,
 }
@@ -190,13 +190,13 @@
 
     /// Acquires one call to the store and returns whether it may be sent now.
     pub fn try_acquire(&mut self, now: Ms, priority: CallPriority) -> bool {
-        self.store_rate.try_acquire(now, 1.0, priority)
+        self.store_limiter.try_acquire(now, 1.0, priority)
     }
 
     /// Acquires one call to the store with `changes` changes and returns whether it may be sent
     /// now. The changes are acquired first, and stay acquired if the call itself is not admitted.
     pub fn try_acquire_write(&mut self, now: Ms, changes: usize, priority: CallPriority) -> bool {
-        self.write_rate.try_acquire(now, changes as f64, priority)
+        self.write_limiter.try_acquire(now, changes as f64, priority)
             && self.try_acquire(now, priority)
     }
 
