--- a/crates/basaltrail-core/src/io.rs
+++ b/crates/basaltrail-core/src/io.rs
@@ -243,7 +243,7 @@
     Tick,
     /// A user submits a job.
     Submit {
-        /// The request to answer.
+        /// The ID of the request to answer.
         request_id: RequestId,
         /// The ID of the job, chosen by its user.
         job: JobId,
@@ -252,40 +252,40 @@
     },
     /// A user requests the status of a job.
     Poll {
-        /// The request to answer.
+        /// The ID of the request to answer.
         request_id: RequestId,
         /// The job.
         job: JobId,
     },
     /// A user cancels a job.
     Cancel {
-        /// The request to answer.
+        /// The ID of the request to answer.
         request_id: RequestId,
         /// The job.
         job: JobId,
     },
     /// An operator requests limits, usage and quotas.
     Inspect {
-        /// The request to answer.
+        /// The ID of the request to answer.
         request_id: RequestId,
     },
     /// A worker sends a heartbeat.
     Heartbeat {
-        /// The request to answer.
+        /// The ID of the request to answer.
         request_id: RequestId,
         /// The heartbeat.
         heartbeat: Box<Heartbeat>,
     },
     /// The store replied to a call, or the call timed out.
     Store {
-        /// The call.
+        /// The ID of the call.
         call_id: CallId,
         /// The reply.
         reply: StoreReply,
     },
     /// The cloud replied to a call, or the call timed out.
     Cloud {
-        /// The call.
+        /// The ID of the call.
         call_id: CallId,
         /// The reply.
         reply: CloudReply,
@@ -302,14 +302,14 @@
 pub enum Effect {
     /// Answers a request.
     Answer {
-        /// The request to answer.
+        /// The ID of the request to answer.
         request_id: RequestId,
         /// The answer.
         answer: Answer,
     },
     /// Calls the store.
     Store {
-        /// The call; the [`Input`] with the reply names it.
+        /// The ID of the call, which the [`Input`] with its reply repeats.
         call_id: CallId,
         /// The request.
         request: StoreRequest,
@@ -318,7 +318,7 @@
     },
     /// Calls the cloud.
     Cloud {
-        /// The call; the [`Input`] with the reply names it.
+        /// The ID of the call, which the [`Input`] with its reply repeats.
         call_id: CallId,
         /// The request.
         request: CloudRequest,
--- a/crates/basaltrail-core/tests/scale.rs
+++ b/crates/basaltrail-core/tests/scale.rs
@@ -133,7 +133,7 @@
     lease_id: u64,
     /// Replies in transit, by the time at which they arrive.
     replies_in_transit: BTreeMap<(u64, u64), Input>,
-    /// Open watches: call, prefix, revision, and the time at which the wait ends.
+    /// Open watches: call ID, prefix, revision, and the time at which the wait ends.
     watches: Vec<(CallId, String, u64, u64)>,
     last_id: u64,
     /// The machines that wait for the answer to a heartbeat, by request.
