--- a/crates/basaltrail-core/src/jobs/job_state.rs
+++ b/crates/basaltrail-core/src/jobs/job_state.rs
@@ -8,6 +8,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// The machine and the attempt of a placed task.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TaskPlacement {
+    /// The machine.
+    pub machine: MachineId,
+    /// The attempt.
+    pub attempt: Attempt,
+}
+
 /// The leader's state of one job. Each task is in exactly one of the states done, placed and
 /// pending.
 pub struct JobState {
@@ -29,8 +38,8 @@
     pub dirty_segments: BTreeSet<u32>,
     /// Segments that are stored, to be deleted after the job has ended.
     pub stored_segments: BTreeSet<u32>,
-    /// The machine and attempt of each placed task; the task may be running there.
-    pub placed: BTreeMap<u32, (MachineId, Attempt)>,
+    /// The placement of each placed task; the task may be running there.
+    pub placed: BTreeMap<u32, TaskPlacement>,
     /// Tasks that are pending again after a placement ended.
     requeued: BTreeSet<u32>,
     /// The lowest task that has not been placed yet.
@@ -126,8 +135,8 @@
     /// Ends the placement of a task and makes it pending unless it is done. Returns false if the
     /// task is not placed on this machine by this attempt.
     pub fn end_placement(&mut self, task: u32, machine: &MachineId, attempt: Attempt) -> bool {
-        let is_this_placement = |(placed_on, placed_by): &(MachineId, Attempt)| {
-            placed_on == machine && *placed_by == attempt
+        let is_this_placement = |placement: &TaskPlacement| {
+            placement.machine == *machine && placement.attempt == attempt
         };
         if !self.placed.get(&task).is_some_and(is_this_placement) {
             return false;
--- a/crates/basaltrail-core/src/jobs/mod.rs
+++ b/crates/basaltrail-core/src/jobs/mod.rs
@@ -6,4 +6,4 @@
 pub mod watch;
 
 pub use job_cache::{ActiveJob, JobCache};
-pub use job_state::JobState;
+pub use job_state::{JobState, TaskPlacement};
--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -1,7 +1,7 @@
 //! Reconciliation of jobs with the task states that machines report.
 
 use crate::events::JobEvent;
-use crate::jobs::JobState;
+use crate::jobs::{JobState, TaskPlacement};
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::services::another_replica_runs;
 use crate::leader::{Context, Leader};
@@ -116,14 +116,14 @@
             return effects;
         };
         job.has_started = true;
-        let place = (machine.clone(), attempt);
+        let placement = TaskPlacement { machine: machine.clone(), attempt };
         let is_placed_elsewhere =
-            job.placed.get(&task.index).is_some_and(|placed| *placed != place);
+            job.placed.get(&task.index).is_some_and(|placed| *placed != placement);
         if job.outcome.is_some() || job.done.contains(task.index) || is_placed_elsewhere {
             // Only this attempt is stopped; one on another machine keeps running.
             slot.stop_at_once();
         } else {
-            job.placed.insert(task.index, place);
+            job.placed.insert(task.index, placement);
         }
         effects
     }
--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -5,7 +5,7 @@
 use super::fair_share_order::JobOrder;
 use super::Scheduler;
 use crate::fairness::Ledger;
-use crate::jobs::JobState;
+use crate::jobs::{JobState, TaskPlacement};
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
 use crate::machines::{TaskDemand, TaskPhase, TaskSlot};
@@ -180,7 +180,7 @@
         let avoid = |machine: &MachineId| job.health.avoids(machine, ctx.now);
         // Prefers separate machines for replicas, so that a lost machine takes only one of them.
         let machines_with_replica: BTreeSet<&MachineId> = match is_service {
-            true => job.placed.values().map(|(machine, _)| machine).collect(),
+            true => job.placed.values().map(|placement| &placement.machine).collect(),
             false => BTreeSet::new(),
         };
         let avoid_replicas =
@@ -214,7 +214,7 @@
             let Some(counter) = self.scheduler.attempt_counter.checked_add(1) else { break };
             self.scheduler.attempt_counter = counter;
             let attempt = Attempt((token.0 << ATTEMPT_COUNTER_BITS) | u64::from(counter));
-            job.placed.insert(index, (machine.id.clone(), attempt));
+            job.placed.insert(index, TaskPlacement { machine: machine.id.clone(), attempt });
             let slot = assigned_slot(ctx, demand, !job.has_started);
             machine.slots.insert((TaskId { job: id, index }, attempt), slot);
             placed += 1;
--- a/crates/basaltrail-core/src/leader/scheduler/services.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services.rs
@@ -25,9 +25,10 @@
         return false;
     };
     let others = job.placed.iter().filter(|(index, _)| **index != task.index);
-    others.take(MAX_REPLICAS_EXAMINED).any(|(index, (machine, attempt))| {
-        let key = (TaskId { job: task.job, index: *index }, *attempt);
-        let slot = cluster.machines.get(machine).and_then(|machine| machine.slots.get(&key));
+    others.take(MAX_REPLICAS_EXAMINED).any(|(index, placement)| {
+        let key = (TaskId { job: task.job, index: *index }, placement.attempt);
+        let slot =
+            cluster.machines.get(&placement.machine).and_then(|machine| machine.slots.get(&key));
         slot.and_then(|slot| slot.running_since)
             .is_some_and(|since| ctx.now >= since + ctx.cfg.lease_ms / 2)
     })
