--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -4,7 +4,7 @@
 use crate::io::{CloudReply, CloudRequest};
 use crate::leader::cluster::Cluster;
 use crate::leader::Context;
-use crate::machines::{Decommission, Machine};
+use crate::machines::{Decommission, LastListing, Machine};
 use crate::model::{FencingToken, ListedMachine, ListedState, MachineId, Ms};
 use crate::store::calls::{Calls, CloudPurpose};
 use crate::store::rate_limiter::CallPriority;
@@ -133,7 +133,7 @@
     let booting_since = (listed.state == ListedState::Booting).then_some(requested_at);
     if let Some(machine) = cluster.machines.get_mut(&listed.machine) {
         machine.requested_at = machine.requested_at.or(booting_since);
-        machine.last_listed = Some((listed.state, ctx.now));
+        machine.last_listing = Some(LastListing { state: listed.state, listed_at: ctx.now });
         machine.first_listed_at.get_or_insert(ctx.now);
         if machine.endpoint.is_empty() {
             machine.endpoint = listed.endpoint;
@@ -143,7 +143,7 @@
     let ListedMachine { machine: id, machine_type, zone, spot, .. } = listed;
     let mut machine = Machine::new(id, &machine_type, &zone, spot, ctx.now);
     machine.endpoint = listed.endpoint;
-    machine.last_listed = Some((listed.state, ctx.now));
+    machine.last_listing = Some(LastListing { state: listed.state, listed_at: ctx.now });
     machine.first_listed_at = Some(ctx.now);
     machine.known_since = requested_at;
     machine.requested_at = booting_since;
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -8,7 +8,7 @@
 use crate::leader::cluster::Cluster;
 use crate::leader::scheduler::capacity::machine_type;
 use crate::leader::Context;
-use crate::machines::{Decommission, Machine};
+use crate::machines::{Decommission, LastListing, Machine};
 use crate::model::{FencingToken, ListedState, MachineId, Ms};
 use crate::store::calls::{Calls, CloudPurpose};
 use crate::store::rate_limiter::CallPriority;
@@ -149,12 +149,13 @@
         let silence_ms = self.silence_ms(machine);
         let age_ms = now - machine.known_since;
         let listed_within_ms = cfg.list_lag_ms * LIST_LAGS + LIST_MARGIN_MS;
-        let is_listed = machine.last_listed.is_some_and(|(_, at)| now <= at + listed_within_ms);
+        let is_listed =
+            machine.last_listing.is_some_and(|listing| now <= listing.listed_at + listed_within_ms);
         let was_never_heard = machine.last_heartbeat_at.is_none();
         let is_partitioned = self.autoscaler.partitions.contains(&machine.zone);
         let max_boot_wait_ms =
             self.boot_ms * ABANDONED_BOOT_TIMES + NEVER_HEARD_LEASES * cfg.lease_ms as f64;
-        if matches!(machine.last_listed, Some((ListedState::Failed, _))) {
+        if matches!(machine.last_listing, Some(LastListing { state: ListedState::Failed, .. })) {
             Some(ReleaseReason::Failed)
         } else if !is_listed
             && silence_ms > cfg.lease_ms + listed_within_ms
--- a/crates/basaltrail-core/src/machines/machine.rs
+++ b/crates/basaltrail-core/src/machines/machine.rs
@@ -32,6 +32,15 @@
 /// Longest reclaim notice in seconds; longer ones are shortened to it.
 const MAX_RECLAIM_NOTICE_S: f64 = 1e6;
 
+/// The last entry of a machine in the cloud's inventory.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LastListing {
+    /// State of the machine in the inventory.
+    pub state: ListedState,
+    /// When the inventory listed the machine.
+    pub listed_at: Ms,
+}
+
 /// A machine that may hold tasks, or that is being provisioned.
 pub struct Machine {
     /// Name given by the cloud.
@@ -101,8 +110,8 @@
     /// When the machine was requested, if known from this leader's own request or from the cloud's
     /// inventory.
     pub requested_at: Option<Ms>,
-    /// State in the cloud's inventory and the time at which it was last listed there.
-    pub last_listed: Option<(ListedState, Ms)>,
+    /// Last entry of the machine in the cloud's inventory.
+    pub last_listing: Option<LastListing>,
     /// When the cloud's inventory first listed the machine.
     pub first_listed_at: Option<Ms>,
     /// Images in its cache with their sizes in gigabytes, the most recently used one last.
@@ -157,7 +166,7 @@
             overdue: false,
             abandoned: false,
             requested_at: None,
-            last_listed: None,
+            last_listing: None,
             first_listed_at: None,
             images: Vec::new(),
             health: MachineHealth::default(),
--- a/crates/basaltrail-core/src/machines/mod.rs
+++ b/crates/basaltrail-core/src/machines/mod.rs
@@ -9,6 +9,6 @@
 pub mod task_slot;
 pub mod types;
 
-pub use machine::{Decommission, Machine};
+pub use machine::{Decommission, LastListing, Machine};
 pub use machine_kind::MachineKind;
 pub use task_slot::{TaskChange, TaskDemand, TaskExit, TaskPhase, TaskSlot};
