--- a/crates/basaltrail-core/tests/simulation/simulated/upgrades.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/upgrades.rs
@@ -41,16 +41,16 @@
         }
         sim.reschedule_users();
         sim.run_until(40_000);
-        largest = largest.max(sim.largest_registry_part());
+        largest = largest.max(sim.largest_registry_segment());
         scenario(&mut sim);
         sim.run_until(sim.faults_over_at.max(sim.now) + 200_000);
         sim.check_all_jobs_ended();
         sim.violations.truncate(5);
         assert!(sim.violations.is_empty(), "seed {seed}, {version:?}: {:#?}", sim.violations);
         assert!(
-            sim.largest_registry_part() <= NEXT_STORE_LIMITS.0,
+            sim.largest_registry_segment() <= NEXT_STORE_LIMITS.0,
             "seed {seed}: {}",
-            sim.largest_registry_part()
+            sim.largest_registry_segment()
         );
     }
     assert!(
@@ -60,9 +60,9 @@
 }
 
 impl Simulation {
-    fn largest_registry_part(&self) -> usize {
-        let parts = self.store.keys.iter().filter(|(key, _)| key.starts_with("r/"));
-        parts.map(|(_, stored)| stored.value.len()).max().unwrap_or(0)
+    fn largest_registry_segment(&self) -> usize {
+        let segments = self.store.keys.iter().filter(|(key, _)| key.starts_with("r/"));
+        segments.map(|(_, stored)| stored.value.len()).max().unwrap_or(0)
     }
 }
 
