--- a/crates/basaltrail-core/src/leader/failover/reconciliation.rs
+++ b/crates/basaltrail-core/src/leader/failover/reconciliation.rs
@@ -10,14 +10,16 @@
 use crate::store::calls::Calls;
 use std::collections::BTreeSet;
 
-/// Milliseconds during which no task is placed on a machine after its agent had no room for one.
+/// Milliseconds for which no task is placed on a machine after its worker refused a start for lack
+/// of free resources.
 const NO_ROOM_BACK_OFF_MS: Ms = 2000;
-/// Back-off of a job, in milliseconds, after an attempt that its agent does not know.
-const UNKNOWN_EXIT_BACK_OFF_MS: Ms = 2000;
+/// Back-off of a job, in milliseconds, after a worker refused a start because it does not know the
+/// job.
+const UNKNOWN_JOB_BACK_OFF_MS: Ms = 2000;
 
-/// Effects of reconciling one change on the other components of the leader.
+/// Updates that one reconciled change requires in the other components of the leader.
 #[derive(Debug, Default, PartialEq)]
-pub struct ReconcileEffects {
+pub struct RequiredUpdates {
     /// Whether a scheduling cycle is due, since capacity was freed or tasks are pending.
     pub is_scheduling_due: bool,
     /// Whether more resources may be in use than the last scheduling cycle counted.
@@ -55,7 +57,7 @@
         machine: &MachineId,
         change: TaskChange,
     ) -> Option<JobEvent> {
-        let effects = match change {
+        let updates = match change {
             TaskChange::Gone { task, attempt } => {
                 self.cluster.reconcile_gone(machine, task, attempt)
             }
@@ -64,31 +66,32 @@
             }
             TaskChange::Exited(exit) => self.cluster.reconcile_exited(ctx, machine, exit),
         };
-        self.scheduler.cycle_due |= effects.is_scheduling_due;
-        if effects.usage_may_have_grown {
+        self.scheduler.cycle_due |= updates.is_scheduling_due;
+        if updates.usage_may_have_grown {
             self.scheduler.last_cycle = None;
         }
-        if let Some(job) = effects.unknown_job {
+        if let Some(job) = updates.unknown_job {
             self.failover.request_job_record(ctx.cfg, job);
         }
-        self.writer.unwritten_jobs.extend(effects.job_with_completion);
-        self.writer.complete_jobs.extend(effects.complete_job);
-        effects.event
+        self.writer.unwritten_jobs.extend(updates.job_with_completion);
+        self.writer.complete_jobs.extend(updates.complete_job);
+        updates.event
     }
 }
 
 impl Cluster {
-    /// Records that an attempt is certainly not on the machine; its task is pending again.
+    /// Records that an attempt is certainly not on the machine. Its task becomes pending again if
+    /// this attempt was its placement.
     fn reconcile_gone(
         &mut self,
         machine: &MachineId,
         task: TaskId,
         attempt: Attempt,
-    ) -> ReconcileEffects {
+    ) -> RequiredUpdates {
         let job = self.jobs.get_mut(&task.job);
         let was_placed_here =
             job.is_some_and(|job| job.end_placement(task.index, machine, attempt));
-        ReconcileEffects { is_scheduling_due: was_placed_here, ..ReconcileEffects::default() }
+        RequiredUpdates { is_scheduling_due: was_placed_here, ..RequiredUpdates::default() }
     }
 
     /// Records that an attempt is on the machine, and stops it if it should not run there.
@@ -98,34 +101,34 @@
         machine: &MachineId,
         task: TaskId,
         attempt: Attempt,
-    ) -> ReconcileEffects {
-        let mut effects =
-            ReconcileEffects { usage_may_have_grown: true, ..ReconcileEffects::default() };
+    ) -> RequiredUpdates {
+        let mut updates =
+            RequiredUpdates { usage_may_have_grown: true, ..RequiredUpdates::default() };
         let demand = self.task_demand(task.job);
         let machine_state = self.machines.get_mut(machine);
         let Some(slot) = machine_state.and_then(|state| state.slots.get_mut(&(task, attempt)))
         else {
-            return effects;
+            return updates;
         };
         slot.demand = demand;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             match ctx.job_cache.outcome(task.job) {
                 Some(_) => slot.stop_grace_s = Some(0.0),
-                None => effects.unknown_job = Some(task.job),
+                None => updates.unknown_job = Some(task.job),
             }
-            return effects;
+            return updates;
         };
         job.has_started = true;
-        let place = (machine.clone(), attempt);
+        let placement = (machine.clone(), attempt);
         let is_placed_elsewhere =
-            job.placed.get(&task.index).is_some_and(|placed| *placed != place);
+            job.placed.get(&task.index).is_some_and(|placed| *placed != placement);
         if job.outcome.is_some() || job.done.contains(task.index) || is_placed_elsewhere {
             // Only this attempt is stopped; one on another machine keeps running.
             slot.stop_at_once();
         } else {
-            job.placed.insert(task.index, place);
+            job.placed.insert(task.index, placement);
         }
-        effects
+        updates
     }
 
     /// Records the exit of an attempt in its job and in the machine's health.
@@ -134,52 +137,52 @@
         ctx: &Context,
         machine_id: &MachineId,
         exit: TaskExit,
-    ) -> ReconcileEffects {
+    ) -> RequiredUpdates {
         let TaskExit { task, attempt, reason, ran_ms } = exit;
-        let mut effects =
-            ReconcileEffects { is_scheduling_due: true, ..ReconcileEffects::default() };
-        let runs_elsewhere = another_replica_runs(ctx, self, task);
+        let mut updates = RequiredUpdates { is_scheduling_due: true, ..RequiredUpdates::default() };
+        let another_replica_is_running = another_replica_runs(ctx, self, task);
         let demand = self.task_demand(task.job);
-        let Some(machine) = self.machines.get_mut(machine_id) else { return effects };
+        let Some(machine) = self.machines.get_mut(machine_id) else { return updates };
         if let Some(slot) = machine.slots.get_mut(&(task, attempt)) {
             slot.demand = demand;
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            effects.unknown_job = Some(task.job);
-            return effects;
+            updates.unknown_job = Some(task.job);
+            return updates;
         };
         let is_service = job.spec.is_service();
-        let ran_long = ran_ms.is_some_and(|ran| ran >= ctx.cfg.worker_lease_ms);
-        let mut failed_on = BTreeSet::new();
+        let ran_for_a_lease = ran_ms.is_some_and(|ran| ran >= ctx.cfg.worker_lease_ms);
+        let mut earlier_failure_machines = BTreeSet::new();
         if reason == ExitReason::Done && !is_service {
-            effects.job_with_completion = job.mark_done(task.index).then_some(task.job);
-            effects.complete_job = job.is_complete().then_some(task.job);
-            failed_on = job.health.record_success(machine_id);
+            updates.job_with_completion = job.mark_done(task.index).then_some(task.job);
+            updates.complete_job = job.is_complete().then_some(task.job);
+            earlier_failure_machines = job.health.record_success(machine_id);
             machine.health.record_success();
         }
-        if is_service && (ran_long || runs_elsewhere) {
-            // An exit after a long run, or while another replica runs, is not attributed to the
-            // service.
-            failed_on = job.health.record_success(machine_id);
+        if is_service && (ran_for_a_lease || another_replica_is_running) {
+            // An exit after a run of at least one worker lease, or while another replica runs,
+            // clears the earlier failures of the service, so that such exits do not add up to a
+            // crash loop.
+            earlier_failure_machines = job.health.record_success(machine_id);
         }
         let was_placed_here = job.end_placement(task.index, machine_id, attempt);
         if !was_placed_here || job.outcome.is_some() {
-            return effects;
+            return updates;
         }
         match reason {
-            // A replica that exits soon counts as failed, since it would otherwise restart in an
-            // endless loop without a back-off.
-            ExitReason::Done if !is_service || ran_long => {}
+            // A replica that exits within one worker lease counts as failed even without an error.
+            // It would otherwise restart in an endless loop without a back-off.
+            ExitReason::Done if !is_service || ran_for_a_lease => {}
             ExitReason::Error | ExitReason::Done => {
-                effects.event = record_failure(ctx, job, machine, exit);
-                return effects;
+                updates.event = record_failure(ctx, job, machine, exit);
+                return updates;
             }
             ExitReason::NoRoom => machine.no_room_until = ctx.now + NO_ROOM_BACK_OFF_MS,
-            ExitReason::Unknown => job.health.extend_back_off(ctx.now + UNKNOWN_EXIT_BACK_OFF_MS),
+            ExitReason::Unknown => job.health.extend_back_off(ctx.now + UNKNOWN_JOB_BACK_OFF_MS),
             ExitReason::Stopped | ExitReason::Busy => {}
         }
-        self.record_machine_failures(ctx.now, machine_id, task.job, failed_on);
-        effects
+        self.record_machine_failures(ctx.now, machine_id, task.job, earlier_failure_machines);
+        updates
     }
 
     /// Records a failure in the health of the machines on which a job failed before it succeeded on
@@ -189,9 +192,9 @@
         now: Ms,
         succeeded_on: &MachineId,
         job: JobId,
-        failed_on: BTreeSet<MachineId>,
+        earlier_failure_machines: BTreeSet<MachineId>,
     ) {
-        for other in failed_on.iter().filter(|other| *other != succeeded_on) {
+        for other in earlier_failure_machines.iter().filter(|other| *other != succeeded_on) {
             if let Some(machine) = self.machines.get_mut(other) {
                 machine.health.record_failure(job, now);
             }
@@ -199,10 +202,11 @@
     }
 }
 
-/// Records a failure in the job, and in the machine's health if the job has succeeded elsewhere.
+/// Records a failure in the job, and in the machine's health if the job has ever succeeded on any
+/// machine.
 ///
-/// Returns an event only for the first failure of the job on the machine: an array would otherwise
-/// log thousands of lines, one for each task.
+/// Returns an event only for the first failure of the job on the machine since the job's last
+/// success. An array could otherwise log thousands of lines, one for each task.
 fn record_failure(
     ctx: &Context,
     job: &mut JobState,
