--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -1,7 +1,8 @@
 //! Processing of workers' heartbeats by the leader, and the commands in its answers (PROTOCOL,
 //! `POST /checkin`).
 //!
-//! [`crate::lease_renewal`] decides whether an answer may renew a worker lease.
+//! An answer that renews a worker lease requires a permit from [`crate::lease_renewal`]. This
+//! module refuses the renewal for further reasons that depend on the leader's state.
 
 use crate::answer::Answer;
 use crate::events::MachineEvent;
@@ -22,12 +23,12 @@
     /// Applies and answers a heartbeat received while this controller holds a valid leader lease.
     ///
     /// `permit` is the result of [`crate::lease_renewal::RenewalEvidence::permit`] for the
-    /// heartbeat. A heartbeat that is refused because of an unknown job is applied as well, since
-    /// its content is true.
+    /// heartbeat. A heartbeat without a permit, because of an unknown job or too many stops, is
+    /// applied like any other, since the states that it reports do not depend on the permit.
     ///
     /// # Errors
     ///
-    /// The reason if the worker lease is not renewed.
+    /// Returns the reason why the worker lease is not renewed.
     pub fn answer_heartbeat(
         &mut self,
         ctx: &Context,
@@ -37,7 +38,8 @@
         rng: &mut SmallRng,
     ) -> Result<Answer, RenewalRefusal> {
         if heartbeat.token > self.token {
-            // The worker would drop the answer, since its token is higher than ours.
+            // The worker would ignore the answer, since it has seen a higher token than this
+            // leader's.
             return Err(RenewalRefusal::HigherToken);
         }
         if !self.is_loaded() {
@@ -52,12 +54,12 @@
             && !machine.as_ref().is_some_and(|m| m.provisioned_by_this_leader)
         {
             let permit = permit?;
-            if machine.is_some_and(|m| !m.answer_without_token(ctx.now)) {
+            if machine.is_some_and(|m| !m.try_record_answer_without_token(ctx.now)) {
                 return Err(RenewalRefusal::TokenNotAdopted);
             }
             // The heartbeat may be a delayed copy, so its content is not applied. The answer
-            // renews the lease like any other. It carries our token, which the next heartbeat
-            // will carry as well.
+            // renews the lease like any other. It carries this leader's token, which the agent
+            // adopts for its next heartbeat.
             return Ok(permit.answer(self.token, Vec::new()));
         }
         self.adopt_machine(ctx, calls, heartbeat);
@@ -72,11 +74,11 @@
         Ok(permit.answer(self.token, commands))
     }
 
-    /// Adds the machine of a heartbeat if it is not known, since a delayed request or an earlier
-    /// leader provisioned it.
+    /// Adds the machine of a heartbeat to the cluster and the machine registry, unless they already
+    /// contain it. An unknown machine was provisioned by a delayed request or an earlier leader.
     ///
-    /// No task is started on a machine before the machine registry lists it, so an unknown machine
-    /// runs none.
+    /// No task is started on a machine before the stored machine registry lists it as in use, so an
+    /// unknown machine runs none.
     fn adopt_machine(&mut self, ctx: &Context, calls: &mut Calls, heartbeat: &Heartbeat) {
         if !self.cluster.machines.contains_key(&heartbeat.machine) {
             let id = heartbeat.machine.clone();
@@ -99,7 +101,8 @@
         let machine = self.cluster.machines.get_mut(id).filter(|m| m.is_newer(heartbeat));
         let Some(machine) = machine else { return Err(RenewalRefusal::StaleHeartbeat) };
         let is_first = machine.last_heartbeat_at.is_none();
-        let was_usable = machine.reconciled && !machine.lease_expired && machine.receives_answers;
+        let was_reachable =
+            machine.reconciled && !machine.lease_expired && machine.receives_answers;
         let changes = machine.apply_heartbeat(ctx.now, heartbeat, ctx.cfg.worker_lease_ms);
         if is_first {
             self.record_machine_up(ctx, calls, id);
@@ -108,17 +111,17 @@
         self.reconcile_all(ctx, calls, id, changes);
         self.set_registered_free(id, false);
         self.cluster.record_images(ctx.machine_types, id);
-        // Tasks can now be placed on a machine that was not usable before, and a waiting job may
-        // fit into the free capacity of the machine.
+        // A cycle is due if the machine was not reachable before, since it may now accept tasks, or
+        // if it has free CPUs and the last cycle left jobs blocked.
         let machine = &self.cluster.machines[id];
         let has_room = type_index(ctx.machine_types, &machine.machine_type)
             .is_some_and(|index| machine.used().cpus < ctx.machine_types[index].cpus);
-        self.scheduler.cycle_due |= !was_usable || (has_room && self.scheduler.has_blocked_jobs);
+        self.scheduler.cycle_due |= !was_reachable || (has_room && self.scheduler.has_blocked_jobs);
         Ok(())
     }
 
-    /// Logs the first heartbeat of a machine that this leader applies, and records its provisioning
-    /// time.
+    /// Logs that a machine has come up, and records its provisioning time if the time of the request
+    /// is known.
     fn record_machine_up(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         self.scheduler.cycle_due = true;
         let Some(machine) = self.cluster.machines.get(id) else { return };
@@ -130,13 +133,13 @@
         });
         let machine_type = machine_type(ctx.machine_types, &machine.machine_type);
         if let (Some(at), Some(machine_type)) = (machine.requested_at, machine_type) {
-            let took_ms = ctx.now - at;
+            let provisioning_ms = ctx.now - at;
             let times = &mut self.autoscaler.provisioning_times;
-            times.record_arrival(machine_type, &machine.zone, ctx.now, took_ms);
+            times.record_arrival(machine_type, &machine.zone, ctx.now, provisioning_ms);
         }
     }
 
-    /// Drains a machine for which the cloud has sent a reclaim notice.
+    /// Drains a machine with a reclaim notice, unless it is draining or terminating already.
     fn apply_reclaim_notice(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         let Some(machine) = self.cluster.machines.get_mut(id) else { return };
         if machine.has_reclaim_notice(ctx.now) && machine.decommission == Decommission::No {
@@ -165,17 +168,18 @@
             }
             match slot.phase {
                 TaskPhase::Confirmed(TaskState::Exited(reason)) => {
-                    let is_durable = match self.jobs.get(&task.job) {
+                    let may_forget = match self.jobs.get(&task.job) {
                         Some(job) => {
-                            // The exit of a replica is not stored, so nothing has to be durable.
+                            // Of all exits, only the completion of an array task is stored. The
+                            // worker reports it until it is durable.
                             job.outcome.is_some()
                                 || reason != ExitReason::Done
                                 || job.spec.is_service()
                                 || job.durable.contains(task.index)
                         }
-                        None => has_ended(ctx.job_cache, task),
+                        None => has_cached_outcome(ctx.job_cache, task),
                     };
-                    if is_durable {
+                    if may_forget {
                         commands.push(TaskCommand::Forget { task, attempt });
                     }
                 }
@@ -191,16 +195,17 @@
     }
 }
 
-/// Returns whether the job of a task has ended.
-fn has_ended(job_cache: &JobCache, task: TaskId) -> bool {
+/// Returns whether the job cache holds the outcome of the task's job.
+fn has_cached_outcome(job_cache: &JobCache, task: TaskId) -> bool {
     job_cache.outcome(task.job).is_some()
 }
 
-/// Returns the stop command for a task that has to stop, if it is to be sent now.
+/// Returns the stop command for a task that has to stop, if the command is due.
 ///
-/// A stop without a grace period is in every answer that renews the lease: an agent that does not
-/// receive the stop does not receive the renewal either, so the task ends in both cases. A stop
-/// with a grace period is repeated only after `repeat_ms`, so that it does not interrupt a save.
+/// A stop without a grace period is repeated in every answer that has room for it. An agent that
+/// does not receive the answer receives neither the stop nor the lease renewal, so the task ends in
+/// either case. A stop with a grace period is repeated only after `repeat_ms`, so that it does not
+/// interrupt a save.
 fn stop_command(
     now: Ms,
     repeat_ms: Ms,
--- a/crates/basaltrail-core/src/leader/failover/loading_answers.rs
+++ b/crates/basaltrail-core/src/leader/failover/loading_answers.rs
@@ -1,4 +1,4 @@
-//! Answers to heartbeats that arrive while the previous leader's records are loaded.
+//! Answers to heartbeats that arrive while the previous leader's records are being loaded.
 
 use crate::answer::Answer;
 use crate::lease_renewal::{RenewalPermit, RenewalRefusal};
@@ -16,7 +16,7 @@
     without_token: u32,
 }
 
-/// Answers given while the previous leader's records are loaded, by machine.
+/// Answers given while the previous leader's records are being loaded, by machine.
 ///
 /// The answers renew the workers' leases. If heartbeats were refused instead, all leases would
 /// expire when the state service is slow or fails just after the election. The answers start no
@@ -28,12 +28,13 @@
 }
 
 impl LoadingAnswers {
-    /// Answers a heartbeat with the commands of the permit only. `token` is the leader's fencing
-    /// token, and `max_machines` limits the number of machines whose answers are recorded.
+    /// Answers a heartbeat with the stops that the permit requires and no other commands. `token` is
+    /// the leader's fencing token, and `max_machines` limits the number of machines that are
+    /// answered.
     ///
     /// # Errors
     ///
-    /// The reason if the worker lease is not renewed.
+    /// Returns the reason why the worker lease is not renewed.
     pub(in crate::leader) fn answer(
         &mut self,
         now: Ms,
--- a/crates/basaltrail-core/src/machines/machine.rs
+++ b/crates/basaltrail-core/src/machines/machine.rs
@@ -260,7 +260,7 @@
     /// our answer may renew is recorded. A machine of the machine registry whose heartbeats never
     /// carry our token is no longer answered after a few times. Its lease then certainly expires,
     /// which ends whatever earlier leaders started there.
-    pub fn answer_without_token(&mut self, now: Ms) -> bool {
+    pub fn try_record_answer_without_token(&mut self, now: Ms) -> bool {
         if !self.reconciled {
             if self.answers_without_token >= MAX_ANSWERS_WITHOUT_TOKEN {
                 return false;
