--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -68,7 +68,7 @@
     pub cluster: Cluster,
     /// State recovered from the previous leader.
     pub failover: Failover,
-    /// Durable list of the machines that may hold tasks.
+    /// Durable list of the machines, each marked as free or in use.
     registry: MachineRegistry,
     /// Pending writes and the transaction in flight.
     writer: Writer,
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
@@ -1,4 +1,5 @@
-//! The machine registry: the durable list of the machines that may hold tasks.
+//! The machine registry: the durable list of machines, each marked as free if it certainly holds no
+//! tasks and as in use otherwise.
 //!
 //! A machine is removed from the registry only once it has certainly terminated, and no stored
 //! segment lists a machine as free while tasks may run on it.
@@ -13,13 +14,14 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Limit of the segment numbers that are read. 1,000 full segments hold far more machines than a
-/// leader tracks, so a higher number was not written by a leader.
+/// Maximum number of segments; a stored segment whose number is not below it is logged as
+/// unreadable. 1,000 full segments hold far more machines than a leader tracks, so no leader writes
+/// more.
 const MAX_SEGMENTS: usize = 1000;
 /// Encoded size of an empty list, in bytes: two brackets.
 const EMPTY_LIST_BYTES: usize = 2;
 
-/// Machines known to this leader, by id.
+/// Machines known to this leader, by ID.
 type Machines = BTreeMap<MachineId, Machine>;
 
 /// The durable list of machines, in segments that each fit into one value of the store.
@@ -27,13 +29,14 @@
 pub struct MachineRegistry {
     /// Records of each segment.
     segments: Vec<Vec<MachineRecord>>,
-    /// Encoded size of each segment, in bytes.
+    /// Approximate encoded size of each segment, in bytes. It may be off by about one byte per
+    /// record, since "false" is longer than "true".
     segment_bytes: Vec<usize>,
-    /// Segments that differ from the store.
+    /// Segments with changes that are neither stored nor in the transaction in flight.
     pub(in crate::leader) dirty: BTreeSet<usize>,
-    /// Segment that was written last; the next transaction continues after it.
+    /// Segment that was last added to a transaction; the next transaction continues after it.
     pub(in crate::leader) last_written: usize,
-    /// Segments that are written only after others, with the others that are not written yet.
+    /// Segments that must not be written yet, each with the segments that must be stored before it.
     write_dependencies: BTreeMap<usize, BTreeSet<usize>>,
 }
 
@@ -43,7 +46,7 @@
         &self.segments[segment]
     }
 
-    /// Returns the encoded size of one segment, in bytes.
+    /// Returns the approximate encoded size of one segment, in bytes.
     pub(in crate::leader) fn segment_bytes(&self, segment: usize) -> usize {
         self.segment_bytes[segment]
     }
@@ -56,13 +59,13 @@
             .map(|record| &record.id)
     }
 
-    /// Returns whether other segments have to be written before this one.
+    /// Returns whether other segments must be stored before this one is written.
     pub(in crate::leader) fn is_write_deferred(&self, segment: usize) -> bool {
         self.write_dependencies.get(&segment).is_some_and(|others| !others.is_empty())
     }
 
-    /// Returns the dirty segments in round-robin order. Only a few fit into one transaction, and
-    /// tasks start on a machine only after its segment is written.
+    /// Returns the dirty segments in round-robin order, so that each is written in turn. Only a few
+    /// fit into one transaction, and no task starts on a machine before its segment is stored.
     pub(in crate::leader) fn write_order(&self) -> Vec<usize> {
         let after = self.dirty.range((Excluded(self.last_written), Unbounded));
         after.chain(self.dirty.range(..=self.last_written)).copied().collect()
@@ -121,9 +124,9 @@
         machine.registry_segment = Some(segment);
     }
 
-    /// Records whether a machine is free. No task is started on a machine while the stored
-    /// registry lists it as free, or a write in flight may do so: the next leader does not wait for
-    /// a heartbeat of a free machine.
+    /// Records whether a machine is free. No task starts on the machine until it is stored as in
+    /// use: the stored registry or a write in flight may list it as free, and the next leader does
+    /// not wait for a heartbeat of a free machine.
     fn set_free(&mut self, machine: &mut Machine, free: bool) {
         let Some(segment) = machine.registry_segment else { return };
         let record = self.segments[segment].iter_mut().find(|record| record.id == machine.id);
@@ -156,19 +159,22 @@
         }
     }
 
-    /// Splits a segment; all chunks but the first go to new segments.
+    /// Splits a segment: the first chunk remains in it, and the others become new segments that must
+    /// be stored before it.
     fn split(&mut self, segment: usize, machines: &mut Machines, max_value_bytes: usize) {
         let records = std::mem::take(&mut self.segments[segment]);
-        for (n, chunk) in
+        for (index, chunk) in
             split_records(records, max_segment_bytes(max_value_bytes)).into_iter().enumerate()
         {
-            let target = if n == 0 { segment } else { self.push_segment() };
-            if n > 0 {
+            let target = if index == 0 { segment } else { self.push_segment() };
+            if index > 0 {
                 self.write_dependencies.entry(segment).or_default().insert(target);
                 for record in &chunk {
                     let Some(machine) = machines.get_mut(&record.id) else { continue };
                     machine.registry_segment = Some(target);
-                    machine.free_in_segments.extend(record.holds_no_tasks.then_some(segment));
+                    machine
+                        .listed_free_in_segments
+                        .extend(record.holds_no_tasks.then_some(segment));
                 }
             }
             self.segments[target] = chunk;
@@ -177,8 +183,8 @@
         }
     }
 
-    /// Keeps a machine that is listed more than once only in the first segment, as free only if all
-    /// its records say so.
+    /// Merges the records of each machine that is listed more than once into the first of them, which
+    /// lists the machine as free only if all of them do.
     fn merge_duplicates(&mut self, machines: &mut Machines) {
         for (first, second, duplicate) in self.remove_duplicates() {
             let kept = self.segments[first].iter_mut().find(|record| record.id == duplicate.id);
@@ -192,8 +198,8 @@
                 // Either stored segment may still list the machine as free.
                 machine.registered_in_use = !kept_free && !duplicate.holds_no_tasks;
                 machine.registry_segment = Some(first);
-                machine.free_in_segments.extend(kept_free.then_some(first));
-                machine.free_in_segments.extend(duplicate.holds_no_tasks.then_some(second));
+                machine.listed_free_in_segments.extend(kept_free.then_some(first));
+                machine.listed_free_in_segments.extend(duplicate.holds_no_tasks.then_some(second));
             }
             self.dirty.extend([first, second]);
             if first != second {
@@ -204,8 +210,8 @@
         }
     }
 
-    /// Removes all records of a machine but the first. Returns for each removed record the segment
-    /// of the first, its own segment, and the record.
+    /// Removes all records of each machine but the first. Returns for each removed record the segment
+    /// of the first record, the segment of the removed one, and the removed record.
     fn remove_duplicates(&mut self) -> Vec<(usize, usize, MachineRecord)> {
         let mut first_segments: HashMap<MachineId, usize> = HashMap::new();
         let mut duplicates = Vec::new();
@@ -224,9 +230,9 @@
         duplicates
     }
 
-    /// Records that a segment was written. Its machines may hold tasks if both the written and the
-    /// current records list them as in use, and no stored segment lists them as free. True if tasks
-    /// can now be placed on another machine.
+    /// Records that a segment was stored. Tasks may start on those of its machines that both the
+    /// stored and the current records list as in use and that no stored segment lists as free.
+    /// Returns whether a machine is among them on which tasks could not start before.
     pub(in crate::leader) fn record_committed_segment(
         &mut self,
         written: &WrittenSegment,
@@ -236,7 +242,7 @@
         let in_use: HashSet<&MachineId> = self.in_use(written.segment).collect();
         let mut any_newly_usable = false;
         for id in written.in_use.iter().filter(|id| in_use.contains(id)) {
-            let machine = machines.get_mut(id).filter(|m| m.free_in_segments.is_empty());
+            let machine = machines.get_mut(id).filter(|m| m.listed_free_in_segments.is_empty());
             if let Some(machine) = machine {
                 any_newly_usable |= !machine.registered_in_use;
                 machine.registered_in_use = true;
@@ -245,15 +251,16 @@
         any_newly_usable
     }
 
-    /// Releases the segments that had to be written after this one, and removes it from the
-    /// segments that list machines as free by their old content.
+    /// Releases the segments and machines that depend on the write of a segment: the segments that
+    /// must be stored after it, and the machines that its previous content listed as free. The
+    /// segments that now list these machines are written again, so that tasks may start on them.
     fn release_dependents(&mut self, segment: usize, machines: &mut Machines) {
         for others in self.write_dependencies.values_mut() {
             others.remove(&segment);
         }
         self.write_dependencies.retain(|_, others| !others.is_empty());
         for machine in machines.values_mut() {
-            if machine.free_in_segments.remove(&segment) {
+            if machine.listed_free_in_segments.remove(&segment) {
                 self.dirty.extend(machine.registry_segment);
             }
         }
@@ -275,7 +282,8 @@
     bytes
 }
 
-/// Splits records into chunks of at most `limit` encoded bytes each.
+/// Splits records into chunks of at most `limit` encoded bytes each. A larger record gets a chunk of
+/// its own.
 fn split_records(records: Vec<MachineRecord>, limit: usize) -> Vec<Vec<MachineRecord>> {
     let mut chunks: Vec<Vec<MachineRecord>> = vec![Vec::new()];
     let mut bytes = EMPTY_LIST_BYTES;
@@ -308,8 +316,8 @@
         }
     }
 
-    /// Removes a machine that has certainly terminated: the cloud answered the request to terminate
-    /// it, or no longer lists it.
+    /// Removes a machine that has certainly terminated: the cloud confirmed its termination, or no
+    /// longer lists it.
     pub(in crate::leader) fn remove_terminated(
         &mut self,
         ctx: &Context,
--- a/crates/basaltrail-core/src/machines/machine.rs
+++ b/crates/basaltrail-core/src/machines/machine.rs
@@ -85,7 +85,7 @@
     pub registry_segment: Option<usize>,
     /// Segments of the machine registry that still state that the machine is free, because they
     /// have not been rewritten yet.
-    pub free_in_segments: BTreeSet<usize>,
+    pub listed_free_in_segments: BTreeSet<usize>,
     /// When the cloud reclaims the machine, according to its reclaim notice.
     pub reclaim_at: Option<Ms>,
     /// Progress of its return to the cloud.
@@ -149,7 +149,7 @@
             slots: BTreeMap::new(),
             registered_in_use: false,
             registry_segment: None,
-            free_in_segments: BTreeSet::new(),
+            listed_free_in_segments: BTreeSet::new(),
             reclaim_at: None,
             decommission: Decommission::No,
             idle_since: None,
--- a/crates/basaltrail-core/src/store/records.rs
+++ b/crates/basaltrail-core/src/store/records.rs
@@ -97,7 +97,7 @@
     }
 }
 
-/// An entry of the machine registry: a machine that may hold tasks.
+/// An entry of the machine registry: a machine, and whether it holds no tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
     /// The machine.
