--- a/crates/basaltrail-core/src/leader/failover/mod.rs
+++ b/crates/basaltrail-core/src/leader/failover/mod.rs
@@ -21,10 +21,10 @@
 use loading_answers::LoadingAnswers;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Limit of jobs whose record is to be read, per megabyte of memory. Jobs that heartbeats report
-/// beyond the limit are read once they are reported again.
+/// Limit of the unknown jobs that wait for a lookup, per megabyte of memory. A job that a heartbeat
+/// reports beyond the limit is added once it is reported again.
 const MAX_UNKNOWN_JOBS_PER_MB: f64 = 40.0;
-/// Lower bound of the limit of jobs whose record is to be read, for controllers with little memory.
+/// Lower bound of the limit of unknown jobs, for controllers with little memory.
 const MIN_UNKNOWN_JOBS_LIMIT: f64 = 64.0;
 /// Records on one page of a list. The store returns at most 1,000 (PROTOCOL, `GET /kv`).
 const PAGE_RECORDS: u32 = 500;
@@ -60,13 +60,14 @@
     next_page_after: Option<String>,
     /// Earliest time of the next request.
     next_request_at: Ms,
-    /// Answers given to heartbeats while the records are loaded.
+    /// Answers given to heartbeats while the records are being loaded.
     pub(in crate::leader) loading_answers: LoadingAnswers,
     /// Completions read for jobs that are not known yet.
     completions: BTreeMap<JobId, Vec<CompletionSegment>>,
     /// Jobs that the previous leader recorded as crash-looping.
     crash_loops: BTreeSet<JobId>,
-    /// Jobs that a worker or a record refers to and the job cache does not contain.
+    /// Jobs that a worker or a record refers to and the job cache does not contain. A job is removed
+    /// once a lookup of its record is queued.
     pub unknown_jobs: BTreeSet<JobId>,
 }
 
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Stores a segment of completions until its job is known.
+    /// Keeps a segment of completions until its job is known.
     fn add_completions(&mut self, job: JobId, segment: CompletionSegment) {
         self.completions.entry(job).or_default().push(segment);
     }
@@ -137,7 +138,8 @@
             .extend(record.crash_looping_jobs.into_iter().take(MAX_RECORDED_CRASH_LOOPS));
     }
 
-    /// Applies the recovered completions and crash loop to a job; true if all its tasks are done.
+    /// Applies the recovered completions and crash loop to a job. Returns whether all its tasks are
+    /// done.
     pub(in crate::leader) fn recover_job(&mut self, job: &mut JobState) -> bool {
         for (segment, text) in self.remove_completions(job.id) {
             if job.spec.is_service() {
--- a/crates/basaltrail-core/src/leader/failover/recovery.rs
+++ b/crates/basaltrail-core/src/leader/failover/recovery.rs
@@ -13,8 +13,8 @@
 use crate::store::records::{decode, parse_completions_key, LedgerRecord, MachineRecord};
 
 impl Leader {
-    /// Requests the next of the previous leader's records, if a request is due and within the rate
-    /// limit.
+    /// Requests the next page of the previous leader's records, if a request is due and within the
+    /// rate limit.
     pub(in crate::leader) fn request_next_record(&mut self, ctx: &Context, calls: &mut Calls) {
         if !self.failover.is_request_due(ctx.now)
             || !calls.try_acquire(ctx.now, CallPriority::Lease)
@@ -112,8 +112,8 @@
         });
     }
 
-    /// Applies the current state of a job in the job cache to the cluster. The record of a job that
-    /// the cache no longer contains is read.
+    /// Applies the state of a job in the job cache to the cluster. The record of an unfinished job
+    /// that the cache no longer contains is queued for a lookup.
     pub fn sync_job(&mut self, ctx: &Context, job: JobId) {
         self.failover.unknown_jobs.remove(&job);
         if let Some(active) = ctx.job_cache.active.get(&job) {
@@ -162,8 +162,8 @@
 
 /// Returns the state of a machine of the registry for a leader elected at `elected_at`.
 ///
-/// Unless its record says that the machine is free, it may run tasks of an earlier leader until it
-/// sends a heartbeat with this leader's token.
+/// A machine that its record does not list as free may run tasks unknown to this leader until it
+/// sends a heartbeat with this leader's token or its lease has expired.
 fn recovered_machine(
     ctx: &Context,
     record: &MachineRecord,
