--- a/crates/basaltrail-core/src/leader/persistence/flush.rs
+++ b/crates/basaltrail-core/src/leader/persistence/flush.rs
@@ -19,7 +19,8 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Lower bound of the limit of changes in one transaction, since a job's outcome takes two.
+/// Lower bound of the configured limit of changes in one transaction, since a job's outcome takes
+/// two.
 const MIN_TRANSACTION_OPS: usize = 2;
 /// Upper bound of the size of the ledger record, in bytes.
 const MAX_LEDGER_BYTES: usize = 4096;
@@ -225,7 +226,7 @@
         self.next_completions_at = ctx.now + ctx.cfg.heartbeat_interval_ms;
     }
 
-    /// Adds the completions of one job; false if the transaction or the write budget is
+    /// Adds the completions of one job. Returns false if the transaction or the write budget is
     /// exhausted.
     fn add_job_completions(
         &self,
--- a/crates/basaltrail-core/src/leader/persistence/replies.rs
+++ b/crates/basaltrail-core/src/leader/persistence/replies.rs
@@ -9,7 +9,7 @@
 /// Back-off of a key whose write the state service rejected, in worker lease durations.
 const REJECTED_BACK_OFF_LEASES: Ms = 6;
 
-/// Effects of the reply to a transaction on the controller.
+/// Updates that the reply to a transaction requires in the controller.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct WriteOutcome {
     /// Whether another controller leads.
@@ -18,7 +18,7 @@
     pub completed_jobs: Vec<JobId>,
     /// Jobs whose record has to be read.
     pub jobs_to_read: Vec<JobId>,
-    /// Keys of a write that the state service rejects, separated by commas.
+    /// Keys of a write that the state service rejected on its own, separated by commas.
     pub rejected_keys: Option<String>,
 }
 
@@ -81,8 +81,8 @@
         WriteOutcome { deposed, jobs_to_read, ..WriteOutcome::default() }
     }
 
-    /// Halves the limit of changes in one transaction, and backs off keys that were rejected on
-    /// their own. An unchanged transaction would be rejected on each retry and block all later
+    /// Limits the next transaction to half as many changes, and backs off keys that were rejected
+    /// on their own. An unchanged transaction would be rejected on each retry and block all later
     /// writes.
     fn handle_rejected(&mut self, ctx: &Context, mut pending: PendingTransaction) -> WriteOutcome {
         let mut outcome = WriteOutcome::default();
--- a/crates/basaltrail-core/src/leader/persistence/transaction.rs
+++ b/crates/basaltrail-core/src/leader/persistence/transaction.rs
@@ -107,12 +107,13 @@
 }
 
 impl WriteBudget<'_> {
-    /// Acquires a number of changes; false if the budget has fewer left.
+    /// Acquires a number of changes from the budget. Returns false if it does not allow them at this
+    /// priority.
     pub(in crate::leader) fn acquire(&mut self, changes: usize, priority: CallPriority) -> bool {
         self.writes.try_acquire(self.now, changes as f64, priority)
     }
 
-    /// Acquires the changes for a job's outcome; false if the budget has fewer left.
+    /// Acquires the changes for a job's outcome. Returns false if the budget does not allow them.
     pub(in crate::leader) fn acquire_outcome(&mut self) -> bool {
         self.acquire(OUTCOME_CHANGES, CallPriority::Completion)
     }
--- a/crates/basaltrail-core/src/leader/persistence/writer.rs
+++ b/crates/basaltrail-core/src/leader/persistence/writer.rs
@@ -12,7 +12,8 @@
 /// Pending writes, the mod revisions of the leader's keys, and the state of the transaction in
 /// flight.
 pub struct Writer {
-    /// Limit of changes in one transaction. It is lowered after a rejected transaction.
+    /// Limit of changes in one transaction. It is lowered after a rejected transaction and doubled
+    /// after a committed one.
     pub(super) max_changes: usize,
     /// Keys whose write was rejected on its own, with the end of their back-off.
     pub(super) back_off: BTreeMap<String, Ms>,
@@ -30,9 +31,10 @@
     pub(super) next_completions_at: Ms,
     /// Jobs whose tasks are all done. Their outcome has to be written unless they have ended.
     pub(in crate::leader) complete_jobs: BTreeSet<JobId>,
-    /// Jobs with completions that are not written yet.
+    /// Jobs with completions that are neither stored nor in the transaction in flight.
     pub(in crate::leader) unwritten_jobs: BTreeSet<JobId>,
-    /// Job whose completions were written last; the next transaction continues after it.
+    /// Job whose completions were last added to a transaction; the next transaction continues after
+    /// it.
     pub(super) last_written_job: JobId,
     /// Whether the fairness ledger has to be written.
     pub(in crate::leader) ledger_due: bool,
@@ -110,7 +112,7 @@
     }
 
     /// Returns the jobs with unwritten completions, in round-robin order. With a fixed order,
-    /// completions of jobs with high ids would not be written as long as more completions arrive
+    /// completions of jobs with high IDs would not be written as long as more completions arrive
     /// than can be written.
     pub(super) fn completion_order(&self) -> Vec<JobId> {
         let last = self.last_written_job;
@@ -118,7 +120,7 @@
         after.chain(self.unwritten_jobs.range(..=last)).copied().collect()
     }
 
-    /// Removes the pending writes of an ended job without tasks on machines, and schedules the
+    /// Removes the pending writes of an ended job that has no tasks on machines, and schedules the
     /// deletion of its completions.
     pub(in crate::leader) fn remove_job(&mut self, job: &JobState) {
         self.complete_jobs.remove(&job.id);
