--- a/crates/basaltrail-core/src/leader/cluster.rs
+++ b/crates/basaltrail-core/src/leader/cluster.rs
@@ -10,7 +10,7 @@
 use crate::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Fraction of its estimated run time that a task nearly always runs; estimates are often too high.
+/// Fraction of its estimated run time that nearly every task reaches; estimates are often too high.
 const MIN_RUN_FRACTION_OF_ESTIMATE: f64 = 0.7;
 /// Seconds of grace added to the time that a task needs to save its progress.
 pub(in crate::leader) const SAVE_MARGIN_S: f64 = 1.0;
@@ -30,7 +30,8 @@
         self.jobs.get(&job).map(task_demand)
     }
 
-    /// Removes assignments to a machine that were never sent; true if there were any.
+    /// Removes the assignments to a machine whose start has not been sent. Returns whether there were
+    /// any.
     pub(in crate::leader) fn withdraw_unsent(&mut self, id: &MachineId) -> bool {
         let Some(machine) = self.machines.get_mut(id) else { return false };
         let unsent: Vec<(TaskId, Attempt)> = machine
@@ -48,8 +49,8 @@
         !unsent.is_empty()
     }
 
-    /// Stops tasks on a machine that the cloud is about to reclaim, and withdraws unsent
-    /// assignments; true if there were any.
+    /// Stops tasks on a machine that the cloud is about to reclaim, and withdraws unsent assignments.
+    /// Returns whether there were any unsent assignments.
     ///
     /// Stops replicas of services, tasks that can save their progress, and tasks that cannot finish
     /// before the reclaim. The latter lose their work in any case, and restart sooner elsewhere if
--- a/crates/basaltrail-core/src/leader/liveness.rs
+++ b/crates/basaltrail-core/src/leader/liveness.rs
@@ -2,16 +2,18 @@
 
 use crate::model::Ms;
 
-/// Scans of all machines in one heartbeat interval. A scan for every input would take all of the
-/// leader's time, since both inputs and the cost of a scan grow with the number of machines.
+/// Number of scans of all machines in one heartbeat interval. A scan for every input would take all
+/// of the leader's time, since both inputs and the cost of a scan grow with the number of machines.
 const CHECKS_PER_HEARTBEAT_INTERVAL: Ms = 20;
 
 /// Reachability of the workers as seen by this leader.
 pub struct WorkerLiveness {
     /// Time since which this process has been able to answer workers: the end of its last pause or
-    /// of its last gap without a valid leader lease. Silence of machines counts from this time.
+    /// of its last gap without a valid leader lease; 0 if there was neither since the election.
+    /// Silence of machines counts from this time.
     pub(in crate::leader) reachable_since: Ms,
-    /// Whether most workers are silent although this process is able to answer them.
+    /// Whether this controller seems to be partitioned from the workers: most of them are silent
+    /// although this process is able to answer them.
     pub workers_unreachable: bool,
     /// Whether this controller held a valid leader lease at the last tick.
     held_valid_lease: bool,
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -25,11 +25,12 @@
     /// Planned quotas that are not written yet.
     unwritten: VecDeque<QuotaWrite>,
     in_flight: bool,
-    /// CPU-seconds received by each team in total, as of the last plan.
+    /// CPU-seconds received by each team in total, as of the last update of `served_cpus`.
     received_cpu_s: Vec<f64>,
     /// CPUs used by each team, as a moving average over the rounds.
     served_cpus: Vec<f64>,
-    planned_at: Ms,
+    /// Time of the last update of `served_cpus`.
+    served_cpus_updated_at: Ms,
 }
 
 impl QuotaAllocator {
@@ -41,19 +42,20 @@
             in_flight: false,
             received_cpu_s: Vec::new(),
             served_cpus: Vec::new(),
-            planned_at: now,
+            served_cpus_updated_at: now,
         }
     }
 
     /// Updates the average CPU use of each team. `received_cpu_s` holds the CPU-seconds received by
     /// each team in total.
     fn update_served_cpus(&mut self, now: Ms, received_cpu_s: Vec<f64>) {
-        let seconds = now.saturating_sub(self.planned_at) as f64 / 1000.0;
-        self.planned_at = now;
+        let seconds = now.saturating_sub(self.served_cpus_updated_at) as f64 / 1000.0;
+        self.served_cpus_updated_at = now;
         if self.received_cpu_s.len() == received_cpu_s.len() && seconds > 0.0 {
-            for (team, (now, before)) in received_cpu_s.iter().zip(&self.received_cpu_s).enumerate()
+            for (team, (current, previous)) in
+                received_cpu_s.iter().zip(&self.received_cpu_s).enumerate()
             {
-                let rate = (now - before).max(0.0) / seconds;
+                let rate = (current - previous).max(0.0) / seconds;
                 self.served_cpus[team] =
                     self.served_cpus[team] * SERVED_CPUS_DECAY + rate * (1.0 - SERVED_CPUS_DECAY);
             }
@@ -96,7 +98,7 @@
         calls.send_to_store(StorePurpose::WriteQuotas { token, writes }, request, timeout_ms);
     }
 
-    /// Handles the reply to a write of quotas; true if another controller leads.
+    /// Handles the reply to a write of quotas. Returns whether another controller leads.
     pub fn handle_reply(&mut self, writes: &[QuotaWrite], reply: &StoreReply) -> bool {
         self.in_flight = false;
         let result = match reply {
@@ -119,7 +121,7 @@
         let Some(bounds) = ctx.cfg.admission_bounds() else { return };
         let received_cpu_s = self.ledger.teams.iter().map(|team| team.received).collect();
         self.quota_allocator.update_served_cpus(ctx.now, received_cpu_s);
-        // Quotas that are not written yet are replaced by the new plan.
+        // Quotas that are not written yet are dropped; the next plan replaces them.
         for write in std::mem::take(&mut self.quota_allocator.unwritten) {
             self.quota_allocator.planner.record_result(&write, WriteResult::NotExecuted);
         }
