--- a/crates/basaltrail-core/src/leader/cluster.rs
+++ b/crates/basaltrail-core/src/leader/cluster.rs
@@ -30,8 +30,8 @@
         self.jobs.get(&job).map(task_demand)
     }
 
-    /// Removes the assignments to a machine whose start has not been sent. Returns whether there were
-    /// any.
+    /// Removes the assignments to a machine whose start has not been sent. Returns whether there
+    /// were any.
     pub(in crate::leader) fn withdraw_unsent(&mut self, id: &MachineId) -> bool {
         let Some(machine) = self.machines.get_mut(id) else { return false };
         let unsent: Vec<(TaskId, Attempt)> = machine
@@ -49,8 +49,8 @@
         !unsent.is_empty()
     }
 
-    /// Stops tasks on a machine that the cloud is about to reclaim, and withdraws unsent assignments.
-    /// Returns whether there were any unsent assignments.
+    /// Stops tasks on a machine that the cloud is about to reclaim, and withdraws unsent
+    /// assignments. Returns whether there were any unsent assignments.
     ///
     /// Stops replicas of services, tasks that can save their progress, and tasks that cannot finish
     /// before the reclaim. The latter lose their work in any case, and restart sooner elsewhere if
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -120,8 +120,8 @@
         Ok(())
     }
 
-    /// Logs that a machine has come up, and records its provisioning time if the time of the request
-    /// is known.
+    /// Logs that a machine has come up, and records its provisioning time if the time of the
+    /// request is known.
     fn record_machine_up(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         self.scheduler.cycle_due = true;
         let Some(machine) = self.cluster.machines.get(id) else { return };
--- a/crates/basaltrail-core/src/leader/failover/loading_answers.rs
+++ b/crates/basaltrail-core/src/leader/failover/loading_answers.rs
@@ -28,8 +28,8 @@
 }
 
 impl LoadingAnswers {
-    /// Answers a heartbeat with the stops that the permit requires and no other commands. `token` is
-    /// the leader's fencing token, and `max_machines` limits the number of machines that are
+    /// Answers a heartbeat with the stops that the permit requires and no other commands. `token`
+    /// is the leader's fencing token, and `max_machines` limits the number of machines that are
     /// answered.
     ///
     /// # Errors
--- a/crates/basaltrail-core/src/leader/failover/mod.rs
+++ b/crates/basaltrail-core/src/leader/failover/mod.rs
@@ -66,8 +66,8 @@
     completions: BTreeMap<JobId, Vec<CompletionSegment>>,
     /// Jobs that the previous leader recorded as crash-looping.
     crash_loops: BTreeSet<JobId>,
-    /// Jobs that a worker or a record refers to and the job cache does not contain. A job is removed
-    /// once a lookup of its record is queued.
+    /// Jobs that a worker or a record refers to and the job cache does not contain. A job is
+    /// removed once a lookup of its record is queued.
     pub unknown_jobs: BTreeSet<JobId>,
 }
 
--- a/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
+++ b/crates/basaltrail-core/src/leader/persistence/machine_registry.rs
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Splits a segment: the first chunk remains in it, and the others become new segments that must
-    /// be stored before it.
+    /// Splits a segment: the first chunk remains in it, and the others become new segments that
+    /// must be stored before it.
     fn split(&mut self, segment: usize, machines: &mut Machines, max_value_bytes: usize) {
         let records = std::mem::take(&mut self.segments[segment]);
         for (index, chunk) in
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Merges the records of each machine that is listed more than once into the first of them, which
-    /// lists the machine as free only if all of them do.
+    /// Merges the records of each machine that is listed more than once into the first of them,
+    /// which lists the machine as free only if all of them do.
     fn merge_duplicates(&mut self, machines: &mut Machines) {
         for (first, second, duplicate) in self.remove_duplicates() {
             let kept = self.segments[first].iter_mut().find(|record| record.id == duplicate.id);
@@ -210,8 +210,8 @@
         }
     }
 
-    /// Removes all records of each machine but the first. Returns for each removed record the segment
-    /// of the first record, the segment of the removed one, and the removed record.
+    /// Removes all records of each machine but the first. Returns for each removed record the
+    /// segment of the first record, the segment of the removed one, and the removed record.
     fn remove_duplicates(&mut self) -> Vec<(usize, usize, MachineRecord)> {
         let mut first_segments: HashMap<MachineId, usize> = HashMap::new();
         let mut duplicates = Vec::new();
@@ -282,8 +282,8 @@
     bytes
 }
 
-/// Splits records into chunks of at most `limit` encoded bytes each. A larger record gets a chunk of
-/// its own.
+/// Splits records into chunks of at most `limit` encoded bytes each. A larger record gets a chunk
+/// of its own.
 fn split_records(records: Vec<MachineRecord>, limit: usize) -> Vec<Vec<MachineRecord>> {
     let mut chunks: Vec<Vec<MachineRecord>> = vec![Vec::new()];
     let mut bytes = EMPTY_LIST_BYTES;
--- a/crates/basaltrail-core/src/leader/persistence/transaction.rs
+++ b/crates/basaltrail-core/src/leader/persistence/transaction.rs
@@ -107,8 +107,8 @@
 }
 
 impl WriteBudget<'_> {
-    /// Acquires a number of changes from the budget. Returns false if it does not allow them at this
-    /// priority.
+    /// Acquires a number of changes from the budget. Returns false if it does not allow them at
+    /// this priority.
     pub(in crate::leader) fn acquire(&mut self, changes: usize, priority: CallPriority) -> bool {
         self.writes.try_acquire(self.now, changes as f64, priority)
     }
