--- a/crates/basaltrail-core/src/machines/machine.rs
+++ b/crates/basaltrail-core/src/machines/machine.rs
@@ -94,7 +94,7 @@
     pub registry_segment: Option<usize>,
     /// Segments of the machine registry that still state that the machine is free, because they
     /// have not been rewritten yet.
-    pub free_in_segments: BTreeSet<usize>,
+    pub listed_free_in_segments: BTreeSet<usize>,
     /// When the cloud reclaims the machine, according to its reclaim notice.
     pub reclaim_at: Option<Ms>,
     /// Progress of its return to the cloud.
@@ -158,7 +158,7 @@
             slots: BTreeMap::new(),
             registered_in_use: false,
             registry_segment: None,
-            free_in_segments: BTreeSet::new(),
+            listed_free_in_segments: BTreeSet::new(),
             reclaim_at: None,
             decommission: Decommission::No,
             idle_since: None,
@@ -269,7 +269,7 @@
     /// our answer may renew is recorded. A machine of the machine registry whose heartbeats never
     /// carry our token is no longer answered after a few times. Its lease then certainly expires,
     /// which ends whatever earlier leaders started there.
-    pub fn answer_without_token(&mut self, now: Ms) -> bool {
+    pub fn try_record_answer_without_token(&mut self, now: Ms) -> bool {
         if !self.reconciled {
             if self.answers_without_token >= MAX_ANSWERS_WITHOUT_TOKEN {
                 return false;
