--- a/crates/basaltrail-core/src/fairness.rs
+++ b/crates/basaltrail-core/src/fairness.rs
@@ -54,8 +54,9 @@
         Ledger { teams, accrued_at: now }
     }
 
-    /// Returns a team's quota in CPUs, independent of its use (paper, equations 6 and 16).
-    pub fn quota(settings: &Settings, team: usize, fleet_cpus: f64) -> f64 {
+    /// Returns a team's fair share of CPUs, independent of its use (quota in the paper, equations 6
+    /// and 16).
+    pub fn fair_share_cpus(settings: &Settings, team: usize, fleet_cpus: f64) -> f64 {
         fleet_cpus * settings.weight_share(team)
     }
 
@@ -72,7 +73,7 @@
         self.accrued_at = now;
         for (team, account) in self.teams.iter_mut().enumerate() {
             account.received += running_cpus[team] * elapsed_s;
-            account.fair += Self::quota(settings, team, fleet_cpus) * elapsed_s;
+            account.fair += Self::fair_share_cpus(settings, team, fleet_cpus) * elapsed_s;
         }
         elapsed_s
     }
--- a/crates/basaltrail-core/src/leader/scheduler/accounting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/accounting.rs
@@ -13,8 +13,8 @@
     by_job: HashMap<JobId, f64>,
 }
 
-/// Accrues the received and fair time of all teams and jobs since the last call (paper, equations
-/// 2, 11, 13 and 14). Returns the CPUs of all machines with a valid worker lease.
+/// Accrues the received and fair time of all teams and jobs since the last call (ASTRAEA,
+/// equations 2, 11, 13 and 14). Returns the CPUs of all machines with a valid worker lease.
 pub(in crate::leader) fn accrue_shares(
     ctx: &Context,
     cluster: &mut Cluster,
@@ -31,15 +31,16 @@
     for job in cluster.jobs.values_mut().filter(|job| job.outcome.is_none()) {
         let unfinished = job.spec.tasks - job.done.len().min(job.spec.tasks);
         let demand_cpus = unfinished as f64 * job.spec.cpus;
-        let quota_cpus = Ledger::quota(ctx.cfg, job.team, fleet_cpus);
-        let share_cpus = quota_cpus / active_jobs[job.team].max(1) as f64;
-        job.account.fair += share_cpus.min(demand_cpus) * elapsed_s;
+        let team_share_cpus = Ledger::fair_share_cpus(ctx.cfg, job.team, fleet_cpus);
+        let job_share_cpus = team_share_cpus / active_jobs[job.team].max(1) as f64;
+        job.account.fair += job_share_cpus.min(demand_cpus) * elapsed_s;
         job.account.received += running.by_job.get(&job.id).copied().unwrap_or(0.0) * elapsed_s;
     }
     fleet_cpus
 }
 
-/// Counts the CPUs of all machines with a valid worker lease, and those that run tasks there.
+/// Counts the CPUs of all machines with a valid worker lease, and the CPUs of the tasks that run
+/// there.
 fn count_cpus(ctx: &Context, cluster: &Cluster) -> (f64, RunningCpus) {
     let mut running =
         RunningCpus { by_team: vec![0.0; ctx.cfg.teams.len()], by_job: HashMap::new() };
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility.rs
@@ -1,9 +1,11 @@
 //! Selection of the jobs that can still meet an objective under overload.
 //!
-//! If jobs were ordered by deadline alone, an overload would make every job a little late. The
-//! algorithm of Moore and Hodgson minimises the number of late jobs: it adds jobs in the order of
-//! their deadlines and, whenever those added cannot all start in time, removes the largest. A
-//! removed job is added again with its next objective (paper, section 5.2.1: urgent jobs).
+//! If jobs were ordered by deadline alone, an overload would make nearly every job late. This
+//! module adapts the algorithm of Moore and Hodgson, which minimizes the number of late jobs: it
+//! adds jobs in the order of their slack and, whenever the added jobs cannot all start in time,
+//! removes the one with the most pending CPUs. Unlike in the original, a removed job is added again
+//! with its next objective. The selection corresponds to the urgent jobs of ASTRAEA (section
+//! 5.2.1).
 
 use crate::fairness::Ledger;
 use crate::jobs::JobState;
@@ -14,18 +16,19 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// Lateness with which a job still counts as feasible, as a fraction of its estimate. Estimates are
-/// often wrong.
-const TOLERATED_LATENESS: f64 = 0.3;
+/// Expected lateness up to which a completion objective still counts as feasible, as a fraction of
+/// the job's estimate, since estimates are often wrong.
+const MAX_LATENESS_FRACTION: f64 = 0.3;
 
-/// A job that may meet an objective.
+/// A job that is checked for objectives that it can still meet.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The job.
     pub job: JobId,
     /// CPUs of its pending tasks.
     pub pending_cpus: f64,
-    /// Seconds until its last task must have started, by objective, the nearest last.
+    /// Slack for each objective that it may still meet: the seconds until its last task must have
+    /// started. In descending order, so that the least slack is popped first.
     pub slacks_s: Vec<f64>,
 }
 
@@ -64,8 +67,9 @@
 
 impl Eq for QueuedCandidate {}
 
-/// Returns the jobs that can meet an objective, with their slack in seconds, if tasks with
-/// `available_cpus` CPUs can start now and tasks with `cpus_per_s` more in every second.
+/// Returns the jobs that can meet an objective, each with its slack in seconds. Tasks with a total
+/// of `available_cpus` CPUs, which may be negative, can start now, and tasks with a total of
+/// `cpus_per_s` CPUs in each second after that.
 pub fn select_feasible_jobs(
     candidates: Vec<Candidate>,
     available_cpus: f64,
@@ -99,7 +103,7 @@
         .filter(|index| selected[*index].candidate.pending_cpus > 0.0)
 }
 
-/// Returns a job's slack in seconds for each objective that it may still meet, the nearest last.
+/// Returns a job's slack in seconds for each objective that it may still meet, in descending order.
 fn slacks_s(ctx: &Context, job: &JobState) -> Vec<f64> {
     let age_s = (ctx.wall_clock_ms - job.accepted_at) as f64 / 1000.0;
     let estimate_s = job.spec.estimate_s;
@@ -107,7 +111,7 @@
         .cfg
         .completion_objectives_s(&job.spec)
         .map(|due_s| due_s - age_s - estimate_s)
-        .filter(|slack_s| *slack_s > -TOLERATED_LATENESS * estimate_s);
+        .filter(|slack_s| *slack_s > -MAX_LATENESS_FRACTION * estimate_s);
     let by_start = ctx
         .cfg
         .start_objectives_s(&job.spec)
@@ -118,9 +122,9 @@
     slacks_s
 }
 
-/// Unfinished work of a team, as far as it matters for deadlines.
+/// Unfinished tasks of one team, from which the feasibility of its jobs is computed.
 #[derive(Default)]
-struct TeamLoad {
+struct UnfinishedWork {
     /// Candidates by priority, the highest first.
     candidates: BTreeMap<Reverse<Priority>, Vec<Candidate>>,
     /// CPUs of unfinished tasks of arrays.
@@ -132,10 +136,10 @@
     /// CPUs of pending replicas.
     pending_replica_cpus: f64,
     /// Services with pending replicas.
-    incomplete_services: Vec<JobId>,
+    services_with_pending_replicas: Vec<JobId>,
 }
 
-impl TeamLoad {
+impl UnfinishedWork {
     fn add_job(&mut self, ctx: &Context, job: &JobState) {
         if job.spec.is_service() {
             self.add_service(job);
@@ -144,13 +148,13 @@
         }
     }
 
-    /// Adds a service. It has neither an end nor a deadline: its missing replicas are late already,
-    /// and its running ones never end and free their capacity.
+    /// Adds a service, which has neither an end nor a deadline. Its pending replicas are due now,
+    /// and its placed replicas never release their capacity.
     fn add_service(&mut self, job: &JobState) {
         self.placed_replica_cpus += job.placed.len() as f64 * job.spec.cpus;
         if job.pending_tasks() > 0 {
             self.pending_replica_cpus += job.pending_tasks() as f64 * job.spec.cpus;
-            self.incomplete_services.push(job.id);
+            self.services_with_pending_replicas.push(job.id);
         }
     }
 
@@ -164,9 +168,10 @@
     }
 }
 
-/// Returns the slack in seconds of each job that can meet an objective. Each team is considered on
-/// its own, with higher priorities first. A team can start tasks at once up to its share, and
-/// further tasks at the rate at which its tasks end.
+/// Returns the slack in seconds of each array that can meet an objective, and zero for each service
+/// with pending replicas. Jobs in a crash loop are excluded. Each team is considered separately,
+/// with higher priorities first. It can start tasks at once up to its share or its present use, and
+/// further tasks at the estimated rate at which its array tasks end.
 pub(in crate::leader) fn find_feasible_slacks(
     ctx: &Context,
     cluster: &Cluster,
@@ -175,25 +180,26 @@
 ) -> HashMap<JobId, f64> {
     let mut feasible = HashMap::new();
     for (team, used) in used.iter().enumerate() {
-        let mut load = TeamLoad::default();
+        let mut work = UnfinishedWork::default();
         let is_unfinished = |job: &&JobState| job.team == team && job.outcome.is_none();
         for job in
             cluster.jobs.values().filter(is_unfinished).filter(|job| !job.health.is_crash_looping())
         {
-            load.add_job(ctx, job);
+            work.add_job(ctx, job);
         }
-        feasible.extend(load.incomplete_services.iter().map(|job| (*job, 0.0)));
+        feasible.extend(work.services_with_pending_replicas.iter().map(|job| (*job, 0.0)));
         let share_cpus = match ctx.cfg.teams[team].has_no_guarantee() {
-            // The capacity that other teams will leave to this one is unknown. Measured by its
-            // quota, none of its jobs would be feasible, and its longest tasks would start first.
+            // The capacity that other teams will leave to this team is unknown. With its fair share
+            // instead, none of its jobs would be feasible, and infeasible jobs are ordered by
+            // descending estimate.
             true => fleet_cpus,
-            false => Ledger::quota(ctx.cfg, team, fleet_cpus),
+            false => Ledger::fair_share_cpus(ctx.cfg, team, fleet_cpus),
         };
         let share_cpus = share_cpus.max(used.cpus);
-        let cpus_per_s = (share_cpus - load.placed_replica_cpus).max(0.0) * load.array_cpus
-            / load.array_cpu_s.max(1.0);
-        let mut available_cpus = share_cpus - used.cpus - load.pending_replica_cpus;
-        for (_, candidates) in load.candidates {
+        let cpus_per_s = (share_cpus - work.placed_replica_cpus).max(0.0) * work.array_cpus
+            / work.array_cpu_s.max(1.0);
+        let mut available_cpus = share_cpus - used.cpus - work.pending_replica_cpus;
+        for (_, candidates) in work.candidates {
             let pending_cpus: f64 = candidates.iter().map(|c| c.pending_cpus).sum();
             feasible.extend(select_feasible_jobs(candidates, available_cpus, cpus_per_s));
             available_cpus -= pending_cpus;
--- a/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/deadline_feasibility_tests.rs
@@ -33,8 +33,9 @@
     assert_eq!(by_id(select_feasible_jobs(all, 0.0, 10.0)), [(1, 90.0), (2, 5.0)]);
 }
 
-/// Measured by its quota, no job of a team without a guarantee was feasible. Its longest tasks
-/// started first, and an array that could have met its deadline only started after them.
+/// With the fair share of a team without a guarantee as its capacity, none of its jobs was
+/// feasible. Its longest tasks started first, and an array that could have met its deadline only
+/// started after them.
 #[test]
 fn feasibility_without_a_guarantee_is_measured_by_the_whole_fleet() {
     let mut test = TestCluster::new(0.0, &[job_spec(100, true)]);
--- a/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/fair_share_order.rs
@@ -1,5 +1,5 @@
 //! The order in which jobs get capacity: by degree of fairness between teams, and by priority,
-//! slack and degree within a team (paper, algorithm 1 and section 5.2.1).
+//! slack and degree within a team (ASTRAEA, algorithm 1 and section 5.2.1).
 
 use super::capacity::CPU_TOLERANCE;
 use crate::fairness::Ledger;
@@ -11,8 +11,8 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::HashMap;
 
-/// Weight with which a job's pending work, in seconds of its team's whole quota, is added to its
-/// slack. Of two jobs with the same slack, the one with less work comes first.
+/// Weight with which a job's pending work, in seconds of its team's whole fair share, is added to
+/// its slack. Of two jobs with the same slack, the one with less work comes first.
 const WORK_WEIGHT: f64 = 3.0;
 
 /// The first waiting job of a team.
@@ -33,7 +33,7 @@
     pub(in crate::leader) cluster: &'a Cluster,
     /// Received and fair time of teams.
     pub(in crate::leader) ledger: &'a Ledger,
-    /// Slack in seconds of each job that can still meet an objective.
+    /// Slack in seconds of each feasible job; see `find_feasible_slacks`.
     pub(in crate::leader) slack_s: &'a HashMap<JobId, f64>,
     /// CPUs of all machines with a valid worker lease.
     pub(in crate::leader) fleet_cpus: f64,
@@ -78,22 +78,24 @@
     fn rank_in_team(&self, job: &JobState) -> JobRank {
         let slack_s = self.slack_s.get(&job.id).copied();
         let work_cpu_s = job.pending_tasks() as f64 * job.spec.cpus * job.spec.estimate_s;
-        let quota = Ledger::quota(self.ctx.cfg, job.team, self.fleet_cpus).max(1.0);
+        let fair_share_cpus =
+            Ledger::fair_share_cpus(self.ctx.cfg, job.team, self.fleet_cpus).max(1.0);
         JobRank {
             priority: Reverse(job.spec.priority),
             is_infeasible: slack_s.is_none(),
             // An infeasible job is late in any case and only has to complete: longest first.
-            effective_slack_s: slack_s
-                .map_or(-job.spec.estimate_s, |slack_s| slack_s + WORK_WEIGHT * work_cpu_s / quota),
+            effective_slack_s: slack_s.map_or(-job.spec.estimate_s, |slack_s| {
+                slack_s + WORK_WEIGHT * work_cpu_s / fair_share_cpus
+            }),
             has_started: job.has_started,
             degree: job.account.degree(),
             accepted_at: job.accepted_at,
         }
     }
 
-    /// Returns the first job of the team with the lowest degree (paper, algorithm 1, line 5). Jobs
-    /// that may preempt others rank by priority first: by degree alone, other tasks could get the
-    /// capacity and would be preempted at once.
+    /// Returns the first job of the team with the lowest degree (ASTRAEA, algorithm 1, line 5).
+    /// Jobs that may preempt tasks rank by priority first: by degree alone, tasks of other jobs
+    /// could be assigned and would be preempted at once.
     pub(in crate::leader) fn select_next(
         &self,
         heads: impl Iterator<Item = TeamHead>,
