--- a/crates/basaltrail-core/src/leader/scheduler/backfill.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/backfill.rs
@@ -1,8 +1,8 @@
 //! Backfill of a machine whose heartbeat is being answered.
 //!
-//! Its free capacity is assigned to jobs in the order of the last cycle, so that the response to
-//! the heartbeat carries the starts. Tasks assigned by the next cycle would only start with the
-//! response to the next heartbeat, and the capacity would be idle until then.
+//! Tasks of the jobs that waited in the last cycle are assigned to its free capacity, so that the
+//! response to the heartbeat carries the starts. Tasks assigned by the next cycle would only start
+//! with the response to the next heartbeat, and the capacity would be idle until then.
 
 use super::assignment::{Assigner, SchedulerInputs};
 use super::capacity::{FreeCapacity, CPU_TOLERANCE};
@@ -12,7 +12,7 @@
 use crate::model::{JobId, MachineId};
 
 impl Scheduler {
-    /// Assigns tasks to one machine in the order of the last cycle.
+    /// Assigns tasks of the jobs that waited in the last cycle to one machine.
     pub(in crate::leader) fn backfill(&mut self, inputs: SchedulerInputs, machine: &MachineId) {
         let ctx = inputs.ctx;
         let capacity = inputs
@@ -40,7 +40,9 @@
 }
 
 impl Backfill<'_> {
-    /// Assigns tasks to `machine` in the same order as a cycle.
+    /// Assigns tasks to `machine`: of high-priority services, of expedited jobs, of jobs for which
+    /// tasks were preempted, and of all other jobs by fair share. A reserved machine only gets
+    /// tasks of the first two.
     fn run(&mut self, snapshot: &mut CycleSnapshot, machine: &MachineId) {
         for id in &snapshot.high_priority_services {
             self.assign(*id, u32::MAX);
@@ -57,9 +59,9 @@
         if snapshot.reserved_machine.as_ref() == Some(machine) {
             return;
         }
-        let preemptors: Vec<JobId> =
-            self.assigner.scheduler.preemption_reservations.keys().copied().collect();
-        for id in preemptors {
+        let preempting_jobs: Vec<JobId> =
+            self.assigner.scheduler.precedence_until.keys().copied().collect();
+        for id in preempting_jobs {
             self.assign(id, u32::MAX);
         }
         self.assign_by_fair_share(&snapshot.waiting);
@@ -81,8 +83,8 @@
         }) && !inputs.unknown_jobs.contains(&id)
     }
 
-    /// Assigns the remaining capacity by fair share. The number of jobs that are tried is bounded,
-    /// since backfill runs on every heartbeat.
+    /// Assigns tasks to the remaining capacity by fair share. The number of jobs that are tried is
+    /// bounded, since backfill runs on every heartbeat.
     fn assign_by_fair_share(&mut self, waiting: &[Vec<JobId>]) {
         let mut positions = vec![0; waiting.len()];
         for _ in 0..self.assigner.inputs.ctx.cfg.policy.placement_sample_size {
--- a/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/class_shares.rs
@@ -1,8 +1,8 @@
-//! The least share of each job class in its team's usage.
+//! The minimum share of each job class in the CPUs that its team uses.
 //!
 //! A team's jobs are ordered by priority first, so a class of low priority could wait for as long
 //! as more jobs of other classes are submitted than the team can run. The policy file may set a
-//! least share (`class-least`).
+//! minimum share (`class-least`).
 
 use super::capacity::CPU_TOLERANCE;
 use crate::jobs::JobState;
@@ -34,17 +34,17 @@
         usage
     }
 
-    /// Returns by how many CPUs a class is below its least share of its team's usage; negative if
-    /// it is above.
-    fn deficit_cpus(&self, team: usize, class: &str, least_share: f64) -> f64 {
+    /// Returns the number of CPUs by which a class is below its minimum share of its team's usage;
+    /// negative if it is above.
+    fn deficit_cpus(&self, team: usize, class: &str, min_share: f64) -> f64 {
         let used = self.by_class.get(&(team, class)).copied().unwrap_or(0.0);
-        self.by_team[team] * least_share - used
+        self.by_team[team] * min_share - used
     }
 }
 
-/// Returns the oldest waiting job of each class that is below its least share, and the number of
-/// its tasks that make up the deficit. `waiting` holds the waiting jobs by team.
-pub(in crate::leader) fn underserved_classes(
+/// Returns the oldest waiting job of each class that is below its minimum share, and the number of
+/// its tasks that make up the deficit. `waiting` holds the waiting jobs by team index.
+pub(in crate::leader) fn jobs_of_underserved_classes(
     ctx: &Context,
     cluster: &Cluster,
     waiting: &[Vec<JobId>],
--- a/crates/basaltrail-core/src/leader/scheduler/guarantees.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/guarantees.rs
@@ -12,7 +12,7 @@
 pub struct TeamDemand {
     /// CPUs of all unfinished tasks of the team.
     pub unfinished_cpus: f64,
-    /// Whether the cycle left any job of the team without capacity.
+    /// Whether the cycle could not assign a pending task of the team.
     pub blocked: bool,
 }
 
@@ -43,7 +43,7 @@
             .collect();
     }
 
-    /// Returns whether a team has waited for at least `max_wait_ms`.
+    /// Returns whether a team has waited for its guarantee for at least `max_wait_ms`.
     pub fn is_overdue(&self, team: usize, now: Ms, max_wait_ms: Ms) -> bool {
         self.waiting_since
             .get(team)
@@ -52,7 +52,8 @@
             .is_some_and(|since| now >= since + max_wait_ms)
     }
 
-    /// Returns when the next team will have waited for `max_wait_ms`.
+    /// Returns the earliest time after `now` at which a team will have waited for its guarantee for
+    /// `max_wait_ms`.
     pub fn next_overdue_at(&self, now: Ms, max_wait_ms: Ms) -> Option<Ms> {
         self.waiting_since
             .iter()
--- a/crates/basaltrail-core/src/leader/scheduler/mod.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/mod.rs
@@ -1,10 +1,9 @@
-//! The leader's scheduler: assigns tasks to machines, and preempts tasks for jobs that must not
-//! wait.
+//! The leader's scheduler: assigns tasks to machines, and preempts tasks for blocked jobs.
 //!
-//! The algorithm is ASTRAEA (paper, sections 4 and 5): the team with the lowest degree of fairness
-//! gets capacity first. A scheduling `cycle` covers all machines and runs at most once per
-//! twentieth of a heartbeat interval. Between cycles, `backfill` assigns tasks to the machine
-//! whose heartbeat is being answered.
+//! The algorithm is ASTRAEA (sections 4 and 5 of the paper): the team with the lowest degree of
+//! fairness gets capacity first. A scheduling `cycle` covers all machines and runs at most once per
+//! twentieth of a heartbeat interval. Between cycles, `backfill` assigns tasks to the machine whose
+//! heartbeat is being answered.
 
 pub(in crate::leader) mod assignment;
 pub(in crate::leader) mod capacity;
@@ -48,15 +47,16 @@
     pub(in crate::leader) earliest_cycle_at: Ms,
     /// Snapshot of the last cycle; `None` once teams may use more than the cycle counted.
     pub(in crate::leader) last_cycle: Option<CycleSnapshot>,
-    /// Whether the last cycle left jobs without capacity.
+    /// Whether the last cycle had blocked jobs, whose pending tasks it could not all assign.
     pub(in crate::leader) has_blocked_jobs: bool,
-    /// Time at which a cycle is due even if nothing has changed: a back-off ends, or a guarantee
-    /// becomes overdue.
+    /// Time at which a cycle is due even if nothing has changed, for example when a back-off ends;
+    /// `Ms::MAX` if there is none.
     pub(in crate::leader) wake_at: Ms,
-    /// Jobs for which others were preempted, each with the end of its reservation of the freed
-    /// capacity.
-    pub(in crate::leader) preemption_reservations: BTreeMap<JobId, Ms>,
-    /// Slack in seconds of each job that can still meet an objective.
+    /// Jobs for which tasks were preempted, each with the time until which its tasks are assigned
+    /// ahead of the fair-share order.
+    pub(in crate::leader) precedence_until: BTreeMap<JobId, Ms>,
+    /// Slack in seconds of each array that can still meet an objective, and zero for each service
+    /// with pending replicas.
     pub(in crate::leader) feasible_slack_s: HashMap<JobId, f64>,
     /// Largest recent high-priority service of each class.
     pub(in crate::leader) recent_services: RecentServices,
@@ -78,7 +78,7 @@
             last_cycle: None,
             has_blocked_jobs: false,
             wake_at: Ms::MAX,
-            preemption_reservations: BTreeMap::new(),
+            precedence_until: BTreeMap::new(),
             feasible_slack_s: HashMap::new(),
             recent_services: RecentServices::default(),
             guarantee_waits: GuaranteeWaits::default(),
@@ -89,7 +89,8 @@
 }
 
 impl Leader {
-    /// Runs a scheduling cycle if the minimum interval since the last one has passed.
+    /// Runs a scheduling cycle, unless no machine type is known or the minimum interval since the
+    /// last cycle has not passed. Logs the number of preempted tasks.
     pub(in crate::leader) fn schedule(
         &mut self,
         ctx: &Context,
@@ -97,9 +98,9 @@
         rng: &mut SmallRng,
     ) {
         let (scheduler, inputs) = self.scheduler_and_inputs(ctx, rng);
-        let outcome = scheduler.schedule(inputs);
-        if outcome.preempted_tasks > 0 {
-            calls.log(JobEvent::TasksPreempted { tasks: outcome.preempted_tasks });
+        let result = scheduler.schedule(inputs);
+        if result.preempted_tasks > 0 {
+            calls.log(JobEvent::TasksPreempted { tasks: result.preempted_tasks });
         }
     }
 
--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -150,7 +150,7 @@
         };
         for id in blocked {
             if preemption.preempt_for(self, *id) {
-                self.preemption_reservations.insert(*id, ctx.now + ctx.cfg.worker_lease_ms);
+                self.precedence_until.insert(*id, ctx.now + ctx.cfg.worker_lease_ms);
             }
         }
         preemption.preempted_tasks
--- a/crates/basaltrail-core/src/leader/scheduler/starvation.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/starvation.rs
@@ -7,9 +7,9 @@
 /// Time without a placed task after which a job counts as starved, in worker leases.
 const STARVED_LEASES: Ms = 4;
 
-/// Returns the starved jobs, the longest wait first. Also updates the time since which each job
-/// has had no placed task.
-pub(in crate::leader) fn find_starved_jobs(ctx: &Context, cluster: &mut Cluster) -> Vec<JobId> {
+/// Updates the time since which each job has had no placed task, and returns the starved jobs, the
+/// longest wait first.
+pub(in crate::leader) fn update_starved_jobs(ctx: &Context, cluster: &mut Cluster) -> Vec<JobId> {
     let max_wait_ms = ctx.cfg.worker_lease_ms * STARVED_LEASES;
     let mut starved = Vec::new();
     for job in cluster.jobs.values_mut() {
--- a/crates/basaltrail-core/src/settings.rs
+++ b/crates/basaltrail-core/src/settings.rs
@@ -113,7 +113,7 @@
     pub policy: Policy,
 }
 
-/// The bound of each team's backlog, and the least share of each class.
+/// The bound of each team's backlog, and the minimum share of each class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionPolicy {
     /// Maximum backlog of a team: seconds of work at the rate at which the team is served.
@@ -132,8 +132,8 @@
 const ACTIVE_JOBS_PER_MB: f64 = 100.0;
 /// Lower bound of [`Settings::max_active_jobs`].
 const MIN_ACTIVE_JOBS: f64 = 100.0;
-/// Puts and deletes in the store per job: one for its acceptance, two for its outcome, and a part of
-/// the writes of completion records.
+/// Puts and deletes in the store per job: one for its acceptance, two for its outcome, and a part
+/// of the writes of completion records.
 const WRITES_PER_JOB: f64 = 4.0;
 /// Fraction of the store's write rate that the leader may use for job outcomes.
 const OUTCOME_WRITE_FRACTION: f64 = 0.4;
