--- a/crates/basaltrail-core/src/leader/scheduler/preemption.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption.rs
@@ -1,9 +1,10 @@
-//! Preemption: stops tasks for jobs that must not wait (PROTOCOL, "Preemption").
+//! Preemption: stops tasks for blocked jobs that are urgent or within the guarantee of their team
+//! (PROTOCOL, "Preemption").
 
 use super::assignment::{pending_within_limit, zone_spread};
 use super::bin_packing::ZoneSpread;
 use super::capacity::{FreeCapacity, CPU_TOLERANCE};
-use super::victims::{guarantee_victims, priority_victims, Victim};
+use super::victims::{all_victims, savable_victims, Victim};
 use super::Scheduler;
 use crate::jobs::JobState;
 use crate::leader::cluster::{Cluster, SAVE_MARGIN_S};
@@ -14,24 +15,25 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Slack below which a job may preempt others, in worker leases. A job with more slack waits for
-/// tasks to end, since each preemption costs a save and a restart.
-const URGENT_LEASES: f64 = 2.0;
+/// Slack below which a job is urgent and may preempt tasks of lower priority, in worker leases. A
+/// job with more slack waits for such tasks to end, since each preemption costs a save and a
+/// restart.
+const URGENT_SLACK_LEASES: f64 = 2.0;
 
-/// CPUs that are free or soon will be, by kind of machine.
+/// CPUs that are free or held by stopping tasks.
 #[derive(Default)]
-struct UpcomingCapacity {
-    cpus_by_kind: BTreeMap<MachineKind, f64>,
+struct FreeAndStoppingCpus {
+    by_kind: BTreeMap<MachineKind, f64>,
 }
 
-impl UpcomingCapacity {
-    /// Counts the CPUs that are free and those of tasks that are stopping.
+impl FreeAndStoppingCpus {
+    /// Counts the free CPUs, and those of tasks whose stop has been decided.
     fn collect(ctx: &Context, cluster: &Cluster, free: &[FreeCapacity]) -> Self {
-        let mut upcoming = UpcomingCapacity::default();
+        let mut free_and_stopping = FreeAndStoppingCpus::default();
         for capacity in free {
             let machine_type = ctx.machine_types[capacity.type_index].name.clone();
             let (zone, spot) = (capacity.zone.clone(), capacity.spot);
-            upcoming.add(MachineKind { machine_type, zone, spot }, capacity.free.cpus);
+            free_and_stopping.add(MachineKind { machine_type, zone, spot }, capacity.free.cpus);
         }
         for machine in cluster.machines.values() {
             let stopping = machine
@@ -41,26 +43,26 @@
             let cpus: f64 =
                 stopping.filter_map(|slot| slot.demand).map(|demand| demand.resources.cpus).sum();
             if cpus > 0.0 {
-                upcoming.add(machine.kind(), cpus);
+                free_and_stopping.add(machine.kind(), cpus);
             }
         }
-        upcoming
+        free_and_stopping
     }
 
     fn add(&mut self, kind: MachineKind, cpus: f64) {
-        *self.cpus_by_kind.entry(kind).or_default() += cpus;
+        *self.by_kind.entry(kind).or_default() += cpus;
     }
 
-    /// Claims up to `wanted_cpus` CPUs on kinds of machine that are usable. Returns the number
-    /// claimed.
-    fn claim(&mut self, wanted_cpus: f64, is_usable: impl Fn(&MachineKind) -> bool) -> f64 {
-        let mut claimed_cpus = 0.0;
-        for (_, cpus) in self.cpus_by_kind.iter_mut().filter(|(kind, _)| is_usable(kind)) {
-            let part = cpus.min(wanted_cpus - claimed_cpus);
+    /// Deducts up to `wanted_cpus` CPUs from the machine kinds for which `is_usable` returns true.
+    /// Returns the number of deducted CPUs.
+    fn deduct(&mut self, wanted_cpus: f64, is_usable: impl Fn(&MachineKind) -> bool) -> f64 {
+        let mut deducted_cpus = 0.0;
+        for (_, cpus) in self.by_kind.iter_mut().filter(|(kind, _)| is_usable(kind)) {
+            let part = cpus.min(wanted_cpus - deducted_cpus);
             *cpus -= part;
-            claimed_cpus += part;
+            deducted_cpus += part;
         }
-        claimed_cpus
+        deducted_cpus
     }
 }
 
@@ -69,43 +71,52 @@
     team: usize,
     spec: Arc<JobSpec>,
     spread: ZoneSpread,
-    /// CPUs that its pending tasks still need.
+    /// CPUs that its pending tasks within the team's limit need, less those that are free, stopping
+    /// or preempted for the job.
     missing_cpus: f64,
-    /// CPUs of its team's guarantee that the team does not use.
+    /// CPUs of its team's guarantee that the team does not use, less those preempted for the job.
     unused_guarantee_cpus: f64,
-    /// Whether it can meet an objective only if it does not wait for tasks to end.
+    /// Whether its slack is below [`URGENT_SLACK_LEASES`].
     is_urgent: bool,
-    /// Whether its team has waited too long for its guarantee.
+    /// Whether the team has waited for its guarantee for at least `Settings::guarantee_wait_ms`.
     is_guarantee_overdue: bool,
 }
 
 impl Preemptor {
-    /// Returns whether tasks of the job may run on such a machine. Preempting tasks on any other
-    /// machine would not help the job.
-    fn may_use(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
+    /// Returns whether the constraints of the job permit one more of its tasks on a machine of this
+    /// type and zone, which is a spot machine if `spot` is true. Preempting tasks on any other
+    /// machine would free no capacity for the job.
+    fn permits_machine(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         self.spec.permits(machine_type, zone, spot)
             && self.spread.tasks_allowed_in(&self.spec, zone) > 0
     }
 
-    fn is_satisfied(&self) -> bool {
+    /// Returns whether no more CPUs have to be preempted for the job.
+    fn has_enough_cpus(&self) -> bool {
         self.missing_cpus <= CPU_TOLERANCE
     }
 
-    /// Returns whether its team's guarantee covers one more of its tasks.
+    /// Returns whether the unused part of the team's guarantee covers one more task of the job.
     fn is_within_guarantee(&self) -> bool {
         self.unused_guarantee_cpus >= self.spec.cpus - CPU_TOLERANCE
     }
 
-    /// Returns whether the job may preempt this task (PROTOCOL, "Preemption"): a task of lower
-    /// priority, or one that another team runs beyond its guarantee. `borrowed_cpus` is the number
-    /// of CPUs that the task's team uses beyond its guarantee.
-    fn may_preempt(&self, victim: &TaskDemand, borrowed_cpus: f64) -> bool {
-        let is_borrowed = borrowed_cpus >= victim.resources.cpus - CPU_TOLERANCE;
-        let reclaims = victim.team != self.team && self.is_within_guarantee() && is_borrowed;
-        let outranks = victim.priority < self.spec.priority
-            && (self.is_within_guarantee() || is_borrowed)
+    /// Returns whether the job may preempt a task (PROTOCOL, "Preemption"). One of these must hold:
+    ///
+    /// - The job is within the guarantee of its team, and another team runs the task on borrowed
+    ///   capacity.
+    /// - The job is urgent and has the higher priority, and either it is within the guarantee or
+    ///   the task uses borrowed capacity. This does not apply while the guarantee is overdue.
+    ///
+    /// `borrowed_cpus` is the number of CPUs that the task's team uses beyond its guarantee.
+    fn may_preempt(&self, demand: &TaskDemand, borrowed_cpus: f64) -> bool {
+        let uses_borrowed_capacity = borrowed_cpus >= demand.resources.cpus - CPU_TOLERANCE;
+        let enforces_guarantee =
+            demand.team != self.team && self.is_within_guarantee() && uses_borrowed_capacity;
+        let preempts_by_priority = demand.priority < self.spec.priority
+            && (self.is_within_guarantee() || uses_borrowed_capacity)
             && self.is_urgent;
-        reclaims || (outranks && !self.is_guarantee_overdue)
+        enforces_guarantee || (preempts_by_priority && !self.is_guarantee_overdue)
     }
 }
 
@@ -115,20 +126,20 @@
     cluster: &'a mut Cluster,
     /// Upper bound of the resources that each team uses, by team index.
     used: &'a [Resources],
-    upcoming: UpcomingCapacity,
-    /// CPUs of preempted tasks, by team index.
-    freed_cpus: BTreeMap<usize, f64>,
-    /// Tasks that may be preempted by higher priorities; collected when first needed.
-    priority_victims: Option<Vec<Victim>>,
+    free_and_stopping: FreeAndStoppingCpus,
+    /// CPUs of the tasks preempted in this cycle, by team index.
+    preempted_cpus: BTreeMap<usize, f64>,
+    /// Tasks that may be preempted if the guarantee is not overdue; collected when first needed.
+    savable_victims: Option<Vec<Victim>>,
     /// Tasks that may be preempted for an overdue guarantee; collected when first needed.
-    guarantee_victims: Option<Vec<Victim>>,
+    all_victims: Option<Vec<Victim>>,
     /// Number of preempted tasks.
     preempted_tasks: usize,
 }
 
 impl Scheduler {
-    /// Preempts tasks for the blocked jobs that must not wait, and reserves the freed capacity for
-    /// these jobs. Returns the number of preempted tasks.
+    /// Preempts tasks for blocked jobs, and records that the pending tasks of these jobs take
+    /// precedence for one worker lease. Returns the number of preempted tasks.
     pub(in crate::leader) fn preempt(
         &mut self,
         ctx: &Context,
@@ -137,15 +148,15 @@
         used: &[Resources],
         free: &[FreeCapacity],
     ) -> usize {
-        let upcoming = UpcomingCapacity::collect(ctx, cluster, free);
+        let free_and_stopping = FreeAndStoppingCpus::collect(ctx, cluster, free);
         let mut preemption = Preemption {
             ctx,
             cluster,
             used,
-            upcoming,
-            freed_cpus: BTreeMap::new(),
-            priority_victims: None,
-            guarantee_victims: None,
+            free_and_stopping,
+            preempted_cpus: BTreeMap::new(),
+            savable_victims: None,
+            all_victims: None,
             preempted_tasks: 0,
         };
         for id in blocked {
@@ -158,44 +169,44 @@
 }
 
 impl Preemption<'_> {
-    /// Preempts tasks for a blocked job. Returns true if any task was preempted.
+    /// Preempts tasks for a blocked job. Returns whether any task was preempted.
     fn preempt_for(&mut self, scheduler: &Scheduler, id: JobId) -> bool {
         let Some(mut preemptor) = self.build_preemptor(scheduler, id) else { return false };
         let (ctx, cluster) = (self.ctx, &self.cluster);
-        // Moved out of `self` during the preemptions, and put back afterwards.
         let is_guarantee_overdue = preemptor.is_guarantee_overdue;
+        // Moved out of `self`, which `preempt_task` borrows mutably, and put back below.
         let victims = match is_guarantee_overdue {
-            true => self.guarantee_victims.take(),
-            false => self.priority_victims.take(),
+            true => self.all_victims.take(),
+            false => self.savable_victims.take(),
         };
         let victims = victims.unwrap_or_else(|| match is_guarantee_overdue {
-            true => guarantee_victims(ctx, cluster),
-            false => priority_victims(ctx, cluster, &scheduler.feasible_slack_s),
+            true => all_victims(ctx, cluster),
+            false => savable_victims(ctx, cluster, &scheduler.feasible_slack_s),
         });
         let preempted_before = self.preempted_tasks;
         for victim in &victims {
-            if preemptor.is_satisfied() {
+            if preemptor.has_enough_cpus() {
                 break;
             }
             self.preempt_task(&mut preemptor, victim);
         }
         match is_guarantee_overdue {
-            true => self.guarantee_victims = Some(victims),
-            false => self.priority_victims = Some(victims),
+            true => self.all_victims = Some(victims),
+            false => self.savable_victims = Some(victims),
         }
         self.preempted_tasks > preempted_before
     }
 
-    /// Returns a blocked job as a preemptor. Claims the upcoming capacity that it may use; returns
-    /// `None` if that is enough or if the job may not preempt.
+    /// Deducts the free and stopping CPUs that a blocked job may use, and returns the job as a
+    /// preemptor. Returns `None` if it needs no more CPUs, may preempt no task, or is unknown.
     fn build_preemptor(&mut self, scheduler: &Scheduler, id: JobId) -> Option<Preemptor> {
         let (ctx, job) = (self.ctx, self.cluster.jobs.get(&id)?);
-        let allowed = pending_within_limit(ctx, self.cluster, id, self.used);
+        let startable_tasks = pending_within_limit(ctx, self.cluster, id, self.used);
         let mut preemptor = Preemptor {
             team: job.team,
             spec: job.spec.clone(),
             spread: zone_spread(self.cluster, id),
-            missing_cpus: job.spec.cpus * allowed as f64,
+            missing_cpus: job.spec.cpus * startable_tasks as f64,
             unused_guarantee_cpus: (ctx.cfg.teams[job.team].guaranteed_cpus
                 - self.used[job.team].cpus)
                 .max(0.0),
@@ -204,18 +215,18 @@
                 scheduler.guarantee_waits.is_overdue(job.team, ctx.now, max_wait_ms)
             }),
         };
-        preemptor.missing_cpus -= self.upcoming.claim(preemptor.missing_cpus, |kind| {
-            preemptor.may_use(&kind.machine_type, &kind.zone, kind.spot)
+        preemptor.missing_cpus -= self.free_and_stopping.deduct(preemptor.missing_cpus, |kind| {
+            preemptor.permits_machine(&kind.machine_type, &kind.zone, kind.spot)
         });
-        let may_preempt = preemptor.is_urgent || preemptor.is_within_guarantee();
-        (!preemptor.is_satisfied() && may_preempt).then_some(preemptor)
+        let may_preempt_any = preemptor.is_urgent || preemptor.is_within_guarantee();
+        (!preemptor.has_enough_cpus() && may_preempt_any).then_some(preemptor)
     }
 
-    /// Preempts a task if the job may preempt it and may use its machine.
+    /// Preempts a task if the job may preempt it and its constraints permit the machine.
     fn preempt_task(&mut self, preemptor: &mut Preemptor, victim: &Victim) {
         let demand = &victim.demand;
         let borrowed_cpus = self.used[demand.team].cpus
-            - self.freed_cpus.get(&demand.team).copied().unwrap_or(0.0)
+            - self.preempted_cpus.get(&demand.team).copied().unwrap_or(0.0)
             - self.ctx.cfg.teams[demand.team].guaranteed_cpus;
         if !preemptor.may_preempt(demand, borrowed_cpus) {
             return;
@@ -224,7 +235,7 @@
             .cluster
             .machines
             .get_mut(&victim.machine)
-            .filter(|m| preemptor.may_use(&m.machine_type, &m.zone, m.spot))
+            .filter(|m| preemptor.permits_machine(&m.machine_type, &m.zone, m.spot))
             .and_then(|machine| machine.slots.get_mut(&victim.key))
             .filter(|slot| slot.stop_grace_s.is_none());
         let Some(slot) = slot else { return };
@@ -232,16 +243,17 @@
         slot.stop_sent_at = None;
         preemptor.missing_cpus -= demand.resources.cpus;
         preemptor.unused_guarantee_cpus -= demand.resources.cpus;
-        *self.freed_cpus.entry(demand.team).or_default() += demand.resources.cpus;
+        *self.preempted_cpus.entry(demand.team).or_default() += demand.resources.cpus;
         self.preempted_tasks += 1;
     }
 }
 
-/// Returns whether a job can meet an objective only if it does not wait for tasks to end.
+/// Returns whether the slack of a job is below [`URGENT_SLACK_LEASES`]. The slack of a service with
+/// pending replicas is zero. An array that can meet no objective is not urgent.
 fn is_urgent(ctx: &Context, scheduler: &Scheduler, job: &JobState) -> bool {
-    let urgent_ms = URGENT_LEASES * ctx.cfg.worker_lease_ms as f64;
+    let urgent_slack_ms = URGENT_SLACK_LEASES * ctx.cfg.worker_lease_ms as f64;
     let slack_s = scheduler.feasible_slack_s.get(&job.id);
-    slack_s.is_some_and(|slack_s| slack_s * 1000.0 < urgent_ms)
+    slack_s.is_some_and(|slack_s| slack_s * 1000.0 < urgent_slack_ms)
 }
 
 #[cfg(test)]
--- a/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/preemption_tests.rs
@@ -26,7 +26,7 @@
     let mut victims = |now| {
         leader.cluster.machines.get_mut(&id).unwrap().last_heartbeat_at = Some(now);
         let slack_s = &leader.scheduler.feasible_slack_s;
-        priority_victims(&test.context(now), &leader.cluster, slack_s).len()
+        savable_victims(&test.context(now), &leader.cluster, slack_s).len()
     };
     assert_eq!((victims(5_000), victims(30_500), victims(36_000)), (0, 1, 2));
 }
--- a/crates/basaltrail-core/src/leader/scheduler/victims.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/victims.rs
@@ -32,9 +32,10 @@
 /// jobs that can meet no objective, then tasks with more slack, then younger tasks.
 type VictimRank = (Priority, i64, Ms);
 
-/// Returns the tasks that may be preempted by higher priorities, in the order of preemption. Only
-/// tasks that can save are included, since any other would lose all its progress.
-pub(in crate::leader) fn priority_victims(
+/// Returns the tasks that may be preempted while the guarantee of the preempting team is not
+/// overdue, in the order of preemption: tasks that can save and have run for a minimum time. A
+/// task that cannot save would lose all its progress.
+pub(in crate::leader) fn savable_victims(
     ctx: &Context,
     cluster: &Cluster,
     feasible_slack_s: &HashMap<JobId, f64>,
@@ -74,10 +75,10 @@
     ran_s < (MIN_RUN_PER_SAVE * save_s).max(first_task_min_s)
 }
 
-/// Returns the tasks that may be preempted for a team that has waited too long for its guarantee,
-/// in the order of preemption: all that hold capacity, including those that cannot save or have
-/// just started. Replicas of services come last.
-pub(in crate::leader) fn guarantee_victims(ctx: &Context, cluster: &Cluster) -> Vec<Victim> {
+/// Returns the tasks that may be preempted for an overdue guarantee, in the order of preemption:
+/// all that hold capacity, including those that cannot save or have just started. Replicas of
+/// services come last.
+pub(in crate::leader) fn all_victims(ctx: &Context, cluster: &Cluster) -> Vec<Victim> {
     let mut ranked: Vec<((bool, VictimRank), Victim)> = Vec::new();
     for machine in cluster.machines.values().filter(|machine| accepts_tasks(ctx, machine)) {
         for (key, slot) in &machine.slots {
