--- a/crates/basaltrail-core/src/leader/scheduler/assignment.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/assignment.rs
@@ -48,8 +48,8 @@
     }
 }
 
-/// Returns how many pending tasks of a job its team may start within its limit, given the resources
-/// that the teams use.
+/// Returns how many pending tasks of a job may start within the limit of its team, given the
+/// resources that the teams use.
 pub(in crate::leader) fn pending_within_limit(
     ctx: &Context,
     cluster: &Cluster,
@@ -111,7 +111,7 @@
         self.inputs.cluster.jobs.get(&id).is_some_and(|job| job.pending_tasks() > 0)
     }
 
-    /// Returns how many pending tasks of a job its team may start within its limit.
+    /// Returns how many pending tasks of a job may start within the limit of its team.
     pub(in crate::leader) fn pending_within_limit(&self, id: JobId) -> u32 {
         pending_within_limit(self.inputs.ctx, self.inputs.cluster, id, &self.used)
     }
@@ -140,7 +140,7 @@
     }
 
     /// Assigns up to `max_tasks` tasks of a job to one machine and records the granted CPU time in
-    /// the ledger (paper, algorithm 1, lines 10 to 15). Returns false if no task was assigned.
+    /// the ledger (ASTRAEA, algorithm 1, lines 10 to 15). Returns whether any task was assigned.
     pub(in crate::leader) fn assign(&mut self, id: JobId, max_tasks: u32) -> bool {
         let assigned = self.assign_to_one_machine(id, max_tasks);
         let SchedulerInputs { ctx, cluster, ledger, .. } = &mut self.inputs;
@@ -159,21 +159,21 @@
 
     /// Assigns up to `max_tasks` tasks of a job to the best machine. Returns the number assigned.
     fn assign_to_one_machine(&mut self, id: JobId, max_tasks: u32) -> u32 {
-        let allowed = self.pending_within_limit(id).min(max_tasks);
-        if allowed == 0 {
+        let startable_tasks = self.pending_within_limit(id).min(max_tasks);
+        if startable_tasks == 0 {
             return 0;
         }
-        let Some(placement) = self.choose_machine(id, allowed) else { return 0 };
+        let Some(placement) = self.choose_machine(id, startable_tasks) else { return 0 };
         self.place_tasks(id, placement)
     }
 
-    /// Returns the best machine for up to `allowed` tasks of a job, and how many it takes.
-    fn choose_machine(&mut self, id: JobId, allowed: u32) -> Option<Placement> {
+    /// Returns the best machine for up to `max_tasks` tasks of a job, and how many it takes.
+    fn choose_machine(&mut self, id: JobId, max_tasks: u32) -> Option<Placement> {
         let SchedulerInputs { ctx, cluster, rng, .. } = &mut self.inputs;
         let spread = zone_spread(cluster, id);
         let job = cluster.jobs.get(&id)?;
         let is_service = job.spec.is_service();
-        let tasks = allowed.min(job.allowed_starts()).min(if is_service { 1 } else { u32::MAX });
+        let tasks = max_tasks.min(job.allowed_starts()).min(if is_service { 1 } else { u32::MAX });
         let has_image = |machine: &MachineId| {
             cluster.machines.get(machine).is_some_and(|m| m.has_image(&job.spec.image))
         };
--- a/crates/basaltrail-core/src/leader/scheduler/bin_packing.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/bin_packing.rs
@@ -1,4 +1,4 @@
-//! Bin packing of a job's tasks: prefers few machines (paper, section 5.1.2), machines that have
+//! Bin packing of a job's tasks: prefers few machines (ASTRAEA, section 5.1.2), machines that have
 //! the image, and cheap machines.
 
 use super::capacity::FreeCapacity;
--- a/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/reserved_capacity.rs
@@ -31,7 +31,8 @@
 }
 
 impl RecentService {
-    /// Returns the largest number of replicas that a single zone may have to hold.
+    /// Returns the number of replicas that a single zone must be able to hold: all of them if
+    /// the service runs in one zone or there is only one zone, otherwise half.
     fn replicas_per_zone(&self, zones: usize) -> u32 {
         match self.spec.one_zone || zones < 2 {
             true => self.spec.tasks,
--- a/crates/basaltrail-core/src/leader/scheduler/waiting.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/waiting.rs
@@ -19,7 +19,7 @@
 
 impl WaitingJobs {
     /// Collects the jobs with pending tasks that are not in a back-off, whose record is known, and
-    /// of which no unreported task may be running.
+    /// that cannot have tasks running on machines that have not reported to this leader.
     pub(in crate::leader) fn collect(inputs: &SchedulerInputs) -> Self {
         let SchedulerInputs { ctx, cluster, unknown_jobs, .. } = inputs;
         let unreconciled = unreconciled_kinds(cluster);
