--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -1,8 +1,8 @@
 //! The state of a leading controller and the wiring of its components.
 //!
-//! Each component owns its state: [`Cluster`] holds the machines and jobs, [`Failover`] recovers
-//! the state of the previous leader, [`MachineRegistry`] and [`Writer`] persist state in the store,
-//! [`Scheduler`] and [`Autoscaler`] make the decisions, and [`WorkerLiveness`] tracks whether the
+//! Each component owns its state: `Cluster` holds the machines and jobs, `Failover` recovers
+//! the state of the previous leader, `MachineRegistry` and `Writer` persist state in the store,
+//! `Scheduler` and `Autoscaler` make the decisions, and `WorkerLiveness` tracks whether the
 //! workers are reachable. [`Leader`] calls the components in order and passes results between them.
 
 use crate::events::{LeadershipEvent, MachineEvent};
--- a/crates/basaltrail-core/src/lease_renewal.rs
+++ b/crates/basaltrail-core/src/lease_renewal.rs
@@ -47,7 +47,7 @@
     JobsNotRead,
     /// A reported task belongs to a job whose state is unknown.
     JobUnknown,
-    /// The answer would need more than [`MAX_STOPS`] stops.
+    /// The answer would need more than `MAX_STOPS` stops.
     TooManyStops,
     /// The worker still reports an older fencing token after several answers.
     TokenNotAdopted,
