--- a/crates/basaltrail-core/src/controller/heartbeats.rs
+++ b/crates/basaltrail-core/src/controller/heartbeats.rs
@@ -120,7 +120,7 @@
         if leader == self.logged_leader.as_deref() {
             return;
         }
-        let (token, revision) = self.election.last_term_and_revision();
+        let (token, revision) = self.election.last_token_and_revision();
         let leader = leader.map(str::to_string);
         self.logged_leader.clone_from(&leader);
         self.calls.log(LeadershipEvent::LeaderSeen { leader, term: token, revision });
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -268,7 +268,7 @@
         for due in self.election.due_requests(self.now, jitter) {
             // Election requests are few. They are counted by the rate limiter but never delayed.
             self.calls.try_acquire(self.now, CallPriority::Lease);
-            let purpose = StorePurpose::Election(due.call);
+            let purpose = StorePurpose::Election(due.purpose);
             self.calls.send_to_store(purpose, due.request, due.timeout_ms);
         }
         let holds_valid_lease = self.election.holds_valid_lease(self.now);
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -1,7 +1,7 @@
 //! Dispatches replies of the store to the part of the controller that made the call.
 
 use super::Controller;
-use crate::election::ElectionCall;
+use crate::election::ElectionPurpose;
 use crate::events::{JobEvent, StoreEvent};
 use crate::io::{StoreReply, StoreRequest};
 use crate::leader::WriteOutcome;
@@ -25,7 +25,7 @@
             self.last_store_reply_at = self.now;
         }
         match purpose {
-            StorePurpose::Election(call) => self.handle_election_reply(call, reply),
+            StorePurpose::Election(purpose) => self.handle_election_reply(purpose, reply),
             StorePurpose::ListJobs { range, after, sent_at } => {
                 self.handle_list_reply(range, after, sent_at, reply);
             }
@@ -67,9 +67,9 @@
         }
     }
 
-    fn handle_election_reply(&mut self, call: ElectionCall, reply: StoreReply) {
-        if let Some(lease_id) = self.election.handle_reply(self.now, call, reply) {
-            let purpose = StorePurpose::Election(ElectionCall::RevokeLease { lease_id });
+    fn handle_election_reply(&mut self, purpose: ElectionPurpose, reply: StoreReply) {
+        if let Some(lease_id) = self.election.handle_reply(self.now, purpose, reply) {
+            let purpose = StorePurpose::Election(ElectionPurpose::RevokeLease { lease_id });
             let request = StoreRequest::RevokeLease { lease_id };
             self.calls.send_to_store(purpose, request, REVOKE_TIMEOUT_MS);
         }
@@ -78,7 +78,7 @@
             // ignored.
             let changes = CAMPAIGN_CHANGES;
             self.calls.write_limiter.try_acquire(self.now, changes, CallPriority::Lease);
-            let purpose = StorePurpose::Election(due.call);
+            let purpose = StorePurpose::Election(due.purpose);
             self.calls.send_to_store(purpose, due.request, due.timeout_ms);
         }
     }
--- a/crates/basaltrail-core/src/election.rs
+++ b/crates/basaltrail-core/src/election.rs
@@ -1,13 +1,15 @@
-//! Leader election: the leader key of the store, which is attached to a lease, and a fencing token
-//! that grows with each term.
+//! Leader election. The leader is the controller that holds the leader key of the store, which is
+//! attached to the leader lease. Each term has a higher fencing token than the previous one.
 //!
-//! The validity of a leader lease counts from the time at which its last successful keep-alive was
-//! *sent* and lasts for the time to live less clock drift. The store may end a lease late but never
-//! early, so at most one controller holds a valid lease at any time (PROTOCOL, `POST /grants`).
-//! Messages from peers have no influence on the election.
+//! A leader lease is valid for its time to live less clock drift, counted from the time at which
+//! its grant request or its last successful keep-alive was *sent*. The store may expire a lease
+//! late but never early, so at most one controller holds a valid lease at any time (PROTOCOL,
+//! `POST /grants`). Messages from peers have no influence on the election.
 //!
 //! The election is a state machine without I/O: [`Election::due_requests`] returns the requests to
-//! send to the store now, and [`Election::handle_reply`] applies the replies.
+//! send to the store now, and [`Election::handle_reply`] applies the replies. After each reply, the
+//! caller revokes the lease that `handle_reply` returns and sends the request that
+//! [`Election::campaign_request`] returns, if any.
 
 use crate::io::{KeyValue, Precondition, PutRequest, StoreReply, StoreRequest, WatchEvent};
 use crate::model::{FencingToken, LeaseId, Ms, Revision};
@@ -15,25 +17,27 @@
     decode, encode, LeaderRecord, CONTROL_PREFIX, LEADER_KEY, PRIMARY_ZONE_KEY, TERM_KEY,
 };
 
-/// Page size of the list of the control prefix, which holds three keys.
-const CONTROL_KEYS: u32 = 10;
-/// Keep-alives per time to live of a lease, so that several may be lost before it expires. The
-/// timeout of a keep-alive equals the interval between two.
-const KEEP_ALIVES_PER_TTL: Ms = 5;
-/// Delays before the retry of a failed request, per time to live of a lease.
-const RETRY_DELAYS_PER_TTL: Ms = 20;
-/// Attempts to revoke the lease of an earlier process, per time to live of a lease.
-const REVOCATIONS_PER_TTL: Ms = 10;
-/// Watches per time to live of a lease: each waits for this fraction of it.
-const WATCHES_PER_TTL: Ms = 2;
-/// Request timeouts per time to live of a lease.
-const TIMEOUTS_PER_TTL: Ms = 4;
-/// Value of `next_campaign` until the jitter of the next campaign is added.
+/// Maximum number of keys in the list of the control prefix, which holds three.
+const CONTROL_LIST_LIMIT: u32 = 10;
+/// Divisor of the lease's time to live that gives the interval between two keep-alives, so that
+/// several may be lost before the lease expires. The timeout of a keep-alive equals the interval.
+const KEEP_ALIVE_INTERVAL_DIVISOR: Ms = 5;
+/// Divisor of the lease's time to live that gives the delay before a failed request is retried.
+const RETRY_DELAY_DIVISOR: Ms = 20;
+/// Divisor of the lease's time to live that gives the minimum interval between two attempts to
+/// revoke the lease of an earlier process or term of this controller.
+const REVOCATION_INTERVAL_DIVISOR: Ms = 10;
+/// Divisor of the lease's time to live that gives the time for which a watch waits for changes.
+const WATCH_WAIT_DIVISOR: Ms = 2;
+/// Divisor of the lease's time to live that gives the timeout of the other requests. A watch has
+/// this timeout after its wait.
+const TIMEOUT_DIVISOR: Ms = 4;
+/// Value of `next_campaign_at` while the jitter of the next campaign is not drawn yet.
 const JITTER_NOT_DRAWN: Ms = Ms::MAX;
 
-/// The leader key as it is stored.
+/// The leader key, as last read from the store.
 #[derive(Clone, Debug, PartialEq)]
-struct Holder {
+struct LeaderKey {
     record: LeaderRecord,
     mod_revision: Revision,
     lease_id: Option<LeaseId>,
@@ -42,22 +46,24 @@
 /// The keys under the control prefix as they were last read.
 #[derive(Clone, Debug, Default)]
 struct View {
-    holder: Option<Holder>,
-    /// The fencing token of the last leader.
-    term: FencingToken,
-    term_mod_revision: Revision,
+    leader_key: Option<LeaderKey>,
+    /// The fencing token of the latest term.
+    token: FencingToken,
+    /// The mod revision of the term key.
+    term_key_mod_revision: Revision,
     primary_zone: Option<String>,
     /// The store revision up to which changes are known.
     revision: Revision,
 }
 
+/// The role of this controller. A leader without a valid lease is `Leading` until it steps down.
 #[derive(Clone, Debug, PartialEq)]
 enum Role {
     Following,
     Leading(LeaderTerm),
 }
 
-/// The term of a leader and its lease.
+/// The term that this controller leads, with its leader lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaderTerm {
     /// The fencing token of the term.
@@ -65,7 +71,8 @@
     /// The mod revision of the leader key.
     pub mod_revision: Revision,
     lease_id: LeaseId,
-    /// The time from which another controller may hold a valid lease.
+    /// The time at which the lease ceases to be valid. Another controller may hold a valid lease
+    /// from then on.
     lease_valid_until: Ms,
 }
 
@@ -79,7 +86,7 @@
 
 /// The purpose of an election request, which is passed back with the reply.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ElectionCall {
+pub enum ElectionPurpose {
     /// Reads the keys under the control prefix.
     List,
     /// Watches the keys under the control prefix.
@@ -103,7 +110,7 @@
         /// The time at which the request was sent.
         sent_at: Ms,
     },
-    /// Revokes a lease with which no controller leads.
+    /// Revokes a lease under which no controller acts as the leader.
     RevokeLease {
         /// The lease.
         lease_id: LeaseId,
@@ -114,7 +121,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ElectionRequest {
     /// The purpose of the request.
-    pub call: ElectionCall,
+    pub purpose: ElectionPurpose,
     /// The request.
     pub request: StoreRequest,
     /// Milliseconds after which the result counts as unknown.
@@ -126,7 +133,7 @@
 pub struct ElectionSettings {
     /// The controller's name.
     pub controller: String,
-    /// A number that grows with each process of the controller.
+    /// Identifier of this run of the process, different at each start.
     pub incarnation: u64,
     /// True if the controller allocates admission quotas while it leads.
     pub allocates_quotas: bool,
@@ -137,17 +144,17 @@
     pub lease_validity_ms: Ms,
 }
 
-/// The kinds of requests that are in flight.
+/// Flags of the requests that are in flight, by kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct InFlight {
     list: bool,
     watch: bool,
-    /// A grant, a campaign or a revocation.
-    campaign: bool,
+    /// A request that only a follower sends: a grant, a campaign or a revocation.
+    follower_request: bool,
     keep_alive: bool,
 }
 
-/// The election as one controller sees it.
+/// The state of the election at one controller.
 pub struct Election {
     settings: ElectionSettings,
     /// The keys as last read; `None` if they must be listed again.
@@ -157,15 +164,16 @@
     /// A granted lease whose campaign request is not sent yet.
     granted_lease: Option<GrantedLease>,
     /// The earliest time of the next list or watch.
-    next_read: Ms,
+    next_read_at: Ms,
     /// The earliest time of the next lease request for a campaign.
-    next_campaign: Ms,
-    /// The earliest time of the next revocation of an earlier process's lease.
-    next_revocation: Ms,
+    next_campaign_at: Ms,
+    /// The earliest time of the next revocation of the lease of an earlier process or term of this
+    /// controller.
+    next_revocation_at: Ms,
     /// The end of the pause after a resignation, during which no campaign begins.
     resigned_until: Ms,
     /// The earliest time of the next keep-alive.
-    next_keep_alive: Ms,
+    next_keep_alive_at: Ms,
 }
 
 impl Election {
@@ -177,11 +185,11 @@
             role: Role::Following,
             in_flight: InFlight::default(),
             granted_lease: None,
-            next_read: 0,
-            next_campaign: 0,
-            next_revocation: 0,
+            next_read_at: 0,
+            next_campaign_at: 0,
+            next_revocation_at: 0,
             resigned_until: 0,
-            next_keep_alive: 0,
+            next_keep_alive_at: 0,
         }
     }
 
@@ -198,8 +206,8 @@
         self.leader_term().is_some_and(|term| now < term.lease_valid_until)
     }
 
-    fn holder(&self) -> Option<&Holder> {
-        self.view.as_ref()?.holder.as_ref()
+    fn leader_key(&self) -> Option<&LeaderKey> {
+        self.view.as_ref()?.leader_key.as_ref()
     }
 
     /// Returns the preferred zone of the next leader, as recorded by the last one.
@@ -207,49 +215,50 @@
         self.view.as_ref()?.primary_zone.as_deref()
     }
 
-    /// Returns the controller that held the leader key when it was last read. It may lead no
-    /// longer.
+    /// Returns the controller that held the leader key when it was last read. Its term may have
+    /// ended since.
     pub fn leader_hint(&self) -> Option<&str> {
-        self.holder().map(|holder| holder.record.controller.as_str())
+        self.leader_key().map(|leader_key| leader_key.record.controller.as_str())
     }
 
     /// Returns whether the leader allocates admission quotas, as of the last read.
     pub fn leader_allocates_quotas(&self) -> Option<bool> {
-        self.holder().map(|holder| holder.record.allocates_quotas)
+        self.leader_key().map(|leader_key| leader_key.record.allocates_quotas)
     }
 
-    /// Returns the fencing token of the last known term, and the store revision at which it was
-    /// read.
-    pub fn last_term_and_revision(&self) -> (FencingToken, Revision) {
+    /// Returns the fencing token of the latest known term, and the store revision up to which
+    /// changes are known; 0 and [`Revision::NONE`] while the keys must be listed.
+    pub fn last_token_and_revision(&self) -> (FencingToken, Revision) {
         let view = self.view.as_ref();
-        view.map_or((FencingToken(0), Revision::NONE), |view| (view.term, view.revision))
+        view.map_or((FencingToken(0), Revision::NONE), |view| (view.token, view.revision))
     }
 
-    /// Ends this controller's leadership, if any, and lists the keys again.
+    /// Makes this controller a follower that lists the keys again with its next request.
     pub fn step_down(&mut self, now: Ms) {
         self.role = Role::Following;
         self.view = None;
-        self.next_read = now;
+        self.next_read_at = now;
     }
 
-    /// Gives up leadership and does not campaign for `pause_ms`, so that another controller can be
-    /// elected. The lease is then revoked like that of an earlier process.
+    /// Steps down and does not campaign for `pause_ms` milliseconds, so that another controller can
+    /// be elected. A later request revokes the lease, as for an earlier process.
     pub fn resign(&mut self, now: Ms, pause_ms: Ms) {
         self.step_down(now);
         self.resigned_until = now + pause_ms;
     }
 
-    fn new_request(&self, call: ElectionCall, request: StoreRequest) -> ElectionRequest {
-        let timeout_ms = self.settings.lease_ttl_ms / TIMEOUTS_PER_TTL;
-        ElectionRequest { call, request, timeout_ms }
+    fn new_request(&self, purpose: ElectionPurpose, request: StoreRequest) -> ElectionRequest {
+        let timeout_ms = self.settings.lease_ttl_ms / TIMEOUT_DIVISOR;
+        ElectionRequest { purpose, request, timeout_ms }
     }
 
     fn retry_delay_ms(&self) -> Ms {
-        self.settings.lease_ttl_ms / RETRY_DELAYS_PER_TTL
+        self.settings.lease_ttl_ms / RETRY_DELAY_DIVISOR
     }
 
-    /// Returns the requests to send now. `jitter_ms` delays a campaign, so that controllers do not
-    /// campaign at the same time.
+    /// Returns the requests that are due and marks them as in flight; the caller must send them.
+    /// `jitter_ms` is the delay before a campaign, which keeps controllers from campaigning at the
+    /// same time.
     pub fn due_requests(&mut self, now: Ms, jitter_ms: Ms) -> Vec<ElectionRequest> {
         let mut requests = Vec::new();
         requests.extend(self.read_request(now));
@@ -260,10 +269,10 @@
         requests
     }
 
-    /// Returns the list request if the keys must be listed, otherwise the watch request, unless it
-    /// is in flight.
+    /// Returns the list request if the keys must be listed, otherwise the watch request; `None`
+    /// if that request is in flight or not due yet.
     fn read_request(&mut self, now: Ms) -> Option<ElectionRequest> {
-        if now < self.next_read {
+        if now < self.next_read_at {
             return None;
         }
         let Some(view) = &self.view else {
@@ -274,86 +283,90 @@
             let list = StoreRequest::List {
                 prefix: CONTROL_PREFIX.into(),
                 after: None,
-                limit: CONTROL_KEYS,
+                limit: CONTROL_LIST_LIMIT,
             };
-            return Some(self.new_request(ElectionCall::List, list));
+            return Some(self.new_request(ElectionPurpose::List, list));
         };
         if self.in_flight.watch {
             return None;
         }
-        let wait_ms = self.settings.lease_ttl_ms / WATCHES_PER_TTL;
+        let wait_ms = self.settings.lease_ttl_ms / WATCH_WAIT_DIVISOR;
         let (prefix, after) = (CONTROL_PREFIX.into(), view.revision);
         let watch = StoreRequest::Watch { prefix, after, wait_ms };
         self.in_flight.watch = true;
-        let request = self.new_request(ElectionCall::Watch, watch);
+        let request = self.new_request(ElectionPurpose::Watch, watch);
         Some(ElectionRequest { timeout_ms: wait_ms + request.timeout_ms, ..request })
     }
 
     fn keep_alive_request(&mut self, now: Ms, lease_id: LeaseId) -> Option<ElectionRequest> {
-        if self.in_flight.keep_alive || now < self.next_keep_alive {
+        if self.in_flight.keep_alive || now < self.next_keep_alive_at {
             return None;
         }
         self.in_flight.keep_alive = true;
         Some(ElectionRequest {
-            call: ElectionCall::KeepAlive { sent_at: now },
+            purpose: ElectionPurpose::KeepAlive { sent_at: now },
             request: StoreRequest::KeepAlive { lease_id },
-            timeout_ms: self.settings.lease_ttl_ms / KEEP_ALIVES_PER_TTL,
+            timeout_ms: self.settings.lease_ttl_ms / KEEP_ALIVE_INTERVAL_DIVISOR,
         })
     }
 
-    /// Returns the request that revokes the lease of an earlier process of this controller, or the
-    /// one that begins a campaign if there is no leader.
+    /// Returns the request that revokes the lease of an earlier process or term of this controller,
+    /// or the one that begins a campaign if there is no leader.
     fn follower_request(&mut self, now: Ms, jitter_ms: Ms) -> Option<ElectionRequest> {
-        let view = self.view.as_ref().filter(|_| !self.in_flight.campaign)?;
-        match &view.holder {
-            // An earlier process of this controller, or a campaign whose result is unknown, holds
-            // the key. No process acts as that leader, so the lease can be revoked at once.
-            Some(holder)
-                if holder.record.controller == self.settings.controller
-                    && now >= self.next_revocation =>
+        let view = self.view.as_ref().filter(|_| !self.in_flight.follower_request)?;
+        match &view.leader_key {
+            // The key belongs to an earlier process of this controller, to a campaign whose result
+            // is unknown, or to a term from which this process has stepped down. No process acts as
+            // that leader, so its lease can be revoked at once.
+            Some(leader_key)
+                if leader_key.record.controller == self.settings.controller
+                    && now >= self.next_revocation_at =>
             {
-                let lease_id = holder.lease_id?;
-                self.in_flight.campaign = true;
-                self.next_revocation = now + self.settings.lease_ttl_ms / REVOCATIONS_PER_TTL;
-                let call = ElectionCall::RevokeLease { lease_id };
-                Some(self.new_request(call, StoreRequest::RevokeLease { lease_id }))
+                let lease_id = leader_key.lease_id?;
+                self.in_flight.follower_request = true;
+                self.next_revocation_at =
+                    now + self.settings.lease_ttl_ms / REVOCATION_INTERVAL_DIVISOR;
+                let purpose = ElectionPurpose::RevokeLease { lease_id };
+                Some(self.new_request(purpose, StoreRequest::RevokeLease { lease_id }))
             }
-            None if self.next_campaign == JITTER_NOT_DRAWN => {
-                self.next_campaign = now + jitter_ms;
+            None if self.next_campaign_at == JITTER_NOT_DRAWN => {
+                self.next_campaign_at = now + jitter_ms;
                 None
             }
-            None if now >= self.next_campaign.max(self.resigned_until) => {
-                self.in_flight.campaign = true;
+            None if now >= self.next_campaign_at.max(self.resigned_until) => {
+                self.in_flight.follower_request = true;
                 let grant = StoreRequest::GrantLease { ttl_ms: self.settings.lease_ttl_ms };
-                Some(self.new_request(ElectionCall::GrantLease { sent_at: now }, grant))
+                Some(self.new_request(ElectionPurpose::GrantLease { sent_at: now }, grant))
             }
             _ => None,
         }
     }
 
-    /// Applies the present value of a key under the control prefix; `None` if it was deleted.
+    /// Applies the current value of a key under the control prefix; `item` is `None` if the key was
+    /// deleted.
     fn apply_key(&mut self, key: &str, item: Option<&KeyValue>, now: Ms) {
         let Some(view) = self.view.as_mut() else { return };
         if key == LEADER_KEY {
-            view.holder = item.and_then(|item| {
+            view.leader_key = item.and_then(|item| {
                 let record = decode(&item.value)?;
                 let KeyValue { mod_revision, lease_id, .. } = *item;
-                Some(Holder { record, mod_revision, lease_id })
+                Some(LeaderKey { record, mod_revision, lease_id })
             });
-            if view.holder.is_none() {
-                self.next_campaign = JITTER_NOT_DRAWN;
+            if view.leader_key.is_none() {
+                self.next_campaign_at = JITTER_NOT_DRAWN;
             }
         } else if key == TERM_KEY {
             if let Some(item) = item {
-                view.term = decode(&item.value).unwrap_or_default();
-                view.term_mod_revision = item.mod_revision;
+                view.token = decode(&item.value).unwrap_or_default();
+                view.term_key_mod_revision = item.mod_revision;
             }
         } else if key == PRIMARY_ZONE_KEY {
             view.primary_zone = item.and_then(|item| decode(&item.value));
         }
-        let holder_revision = view.holder.as_ref().map(|holder| holder.mod_revision);
-        if let (Role::Leading(term), Some(holder_revision)) = (&self.role, holder_revision) {
-            if holder_revision > term.mod_revision {
+        let key_revision = view.leader_key.as_ref().map(|leader_key| leader_key.mod_revision);
+        if let (Role::Leading(term), Some(key_revision)) = (&self.role, key_revision) {
+            // A later put of the leader key belongs to a later term.
+            if key_revision > term.mod_revision {
                 self.step_down(now);
             }
         }
@@ -363,23 +376,23 @@
     pub fn handle_reply(
         &mut self,
         now: Ms,
-        call: ElectionCall,
+        purpose: ElectionPurpose,
         reply: StoreReply,
     ) -> Option<LeaseId> {
-        match call {
-            ElectionCall::List => self.handle_list_reply(now, reply),
-            ElectionCall::Watch => self.handle_watch_reply(now, reply),
-            ElectionCall::GrantLease { sent_at } => {
+        match purpose {
+            ElectionPurpose::List => self.handle_list_reply(now, reply),
+            ElectionPurpose::Watch => self.handle_watch_reply(now, reply),
+            ElectionPurpose::GrantLease { sent_at } => {
                 return self.handle_grant_reply(now, sent_at, reply)
             }
-            ElectionCall::Campaign { lease_id, lease_requested_at, token } => {
+            ElectionPurpose::Campaign { lease_id, lease_requested_at, token } => {
                 let granted = GrantedLease { lease_id, requested_at: lease_requested_at };
                 return self.handle_campaign_reply(now, granted, token, reply);
             }
-            ElectionCall::KeepAlive { sent_at } => {
+            ElectionPurpose::KeepAlive { sent_at } => {
                 self.handle_keep_alive_reply(now, sent_at, reply)
             }
-            ElectionCall::RevokeLease { .. } => self.handle_revoke_reply(now, reply),
+            ElectionPurpose::RevokeLease { .. } => self.handle_revoke_reply(now, reply),
         }
         None
     }
@@ -387,11 +400,11 @@
     fn handle_list_reply(&mut self, now: Ms, reply: StoreReply) {
         self.in_flight.list = false;
         let StoreReply::Page { items, revision, .. } = reply else {
-            self.next_read = now + self.retry_delay_ms();
+            self.next_read_at = now + self.retry_delay_ms();
             return;
         };
         self.view = Some(View { revision, ..View::default() });
-        self.next_campaign = JITTER_NOT_DRAWN;
+        self.next_campaign_at = JITTER_NOT_DRAWN;
         for item in &items {
             self.apply_key(&item.key, Some(item), now);
         }
@@ -400,10 +413,10 @@
     fn handle_watch_reply(&mut self, now: Ms, reply: StoreReply) {
         self.in_flight.watch = false;
         let StoreReply::Events { revision, events } = reply else {
-            // Also drops the leader hint: a partitioned controller would keep sending workers to a
-            // leader that may be gone, until their leases expire.
+            // This also clears the leader hint. A partitioned controller would otherwise redirect
+            // workers to a controller that may no longer lead, until their leases expire.
             self.view = None;
-            self.next_read = now + self.retry_delay_ms();
+            self.next_read_at = now + self.retry_delay_ms();
             return;
         };
         for event in &events {
@@ -418,18 +431,18 @@
     }
 
     fn handle_grant_reply(&mut self, now: Ms, sent_at: Ms, reply: StoreReply) -> Option<LeaseId> {
-        self.in_flight.campaign = false;
+        self.in_flight.follower_request = false;
         let StoreReply::LeaseGranted { lease_id } = reply else {
-            self.next_campaign = now + self.retry_delay_ms();
+            self.next_campaign_at = now + self.retry_delay_ms();
             return None;
         };
         // Another controller may have been elected after the request was sent.
-        let has_no_leader = self.view.as_ref().is_some_and(|view| view.holder.is_none());
+        let has_no_leader = self.view.as_ref().is_some_and(|view| view.leader_key.is_none());
         if !has_no_leader || self.leader_term().is_some() {
             return Some(lease_id);
         }
         // The caller sends the campaign at once; see `campaign_request`.
-        self.in_flight.campaign = true;
+        self.in_flight.follower_request = true;
         self.granted_lease = Some(GrantedLease { lease_id, requested_at: sent_at });
         None
     }
@@ -441,12 +454,12 @@
         token: FencingToken,
         reply: StoreReply,
     ) -> Option<LeaseId> {
-        self.in_flight.campaign = false;
+        self.in_flight.follower_request = false;
         let StoreReply::Committed { revision } = reply else {
-            // The campaign was refused or lost, or its result is unknown. Revoking the lease also
-            // removes the leader key if the store executes the transaction late.
+            // The campaign failed, or its result is unknown. Revoking the lease also removes the
+            // leader key if the store executes the transaction late.
             self.view = None;
-            self.next_read = now + self.retry_delay_ms();
+            self.next_read_at = now + self.retry_delay_ms();
             return Some(granted.lease_id);
         };
         self.role = Role::Leading(LeaderTerm {
@@ -455,7 +468,7 @@
             lease_id: granted.lease_id,
             lease_valid_until: granted.requested_at + self.settings.lease_validity_ms,
         });
-        self.next_keep_alive = now;
+        self.next_keep_alive_at = now;
         None
     }
 
@@ -463,7 +476,8 @@
         self.in_flight.keep_alive = false;
         match reply {
             StoreReply::LeaseUpdated => {
-                self.next_keep_alive = sent_at + self.settings.lease_ttl_ms / KEEP_ALIVES_PER_TTL;
+                self.next_keep_alive_at =
+                    sent_at + self.settings.lease_ttl_ms / KEEP_ALIVE_INTERVAL_DIVISOR;
                 let valid_until = sent_at + self.settings.lease_validity_ms;
                 if let Role::Leading(term) = &mut self.role {
                     term.lease_valid_until = term.lease_valid_until.max(valid_until);
@@ -474,23 +488,24 @@
                     self.step_down(now);
                 }
             }
-            _ => self.next_keep_alive = now + self.retry_delay_ms(),
+            _ => self.next_keep_alive_at = now + self.retry_delay_ms(),
         }
     }
 
     fn handle_revoke_reply(&mut self, now: Ms, reply: StoreReply) {
-        self.in_flight.campaign = false;
+        self.in_flight.follower_request = false;
         if matches!(reply, StoreReply::LeaseUpdated | StoreReply::NotFound) {
             self.view = None;
-            self.next_read = now;
+            self.next_read_at = now;
         }
     }
 
-    /// Returns the campaign request for a lease that was just granted; the caller sends it at once.
+    /// Returns the campaign request if the last handled reply granted a lease. The caller must send
+    /// it at once, since the time to live of the lease has begun.
     pub fn campaign_request(&mut self) -> Option<ElectionRequest> {
         let GrantedLease { lease_id, requested_at } = self.granted_lease.take()?;
         let view = self.view.as_ref()?;
-        let token = FencingToken(view.term.0 + 1);
+        let token = FencingToken(view.token.0 + 1);
         let record = LeaderRecord {
             controller: self.settings.controller.clone(),
             incarnation: self.settings.incarnation,
@@ -501,7 +516,7 @@
         let transaction = StoreRequest::Transaction {
             preconditions: vec![
                 Precondition::absent(LEADER_KEY),
-                Precondition::new(TERM_KEY, view.term_mod_revision),
+                Precondition::new(TERM_KEY, view.term_key_mod_revision),
             ],
             puts: vec![
                 put(LEADER_KEY, encode(&record), Some(lease_id)),
@@ -509,7 +524,8 @@
             ],
             deletes: Vec::new(),
         };
-        let call = ElectionCall::Campaign { lease_id, lease_requested_at: requested_at, token };
-        Some(self.new_request(call, transaction))
+        let purpose =
+            ElectionPurpose::Campaign { lease_id, lease_requested_at: requested_at, token };
+        Some(self.new_request(purpose, transaction))
     }
 }
