--- a/crates/basaltrail-core/src/controller/heartbeats.rs
+++ b/crates/basaltrail-core/src/controller/heartbeats.rs
@@ -4,7 +4,7 @@
 use super::Controller;
 use crate::answer::Answer;
 use crate::events::{HeartbeatEvent, HeartbeatSummary, HeartbeatVerdict, LeadershipEvent};
-use crate::lease_renewal::{AnswerCounters, RenewalEvidence, RenewalRefusal};
+use crate::lease_renewal::{AnswerCounters, RenewalConditions, RenewalRefusal};
 use crate::model::{FencingToken, Heartbeat, RequestId, Revision};
 use std::collections::BTreeSet;
 
@@ -26,10 +26,10 @@
         self.calls.answer(id, answer);
     }
 
-    /// Returns the evidence on which an answer to a heartbeat may rely now.
-    fn renewal_evidence(&self) -> RenewalEvidence<'_> {
+    /// Returns the conditions under which a heartbeat is answered now.
+    fn renewal_conditions(&self) -> RenewalConditions<'_> {
         let holds_valid_lease = self.election.holds_valid_lease(self.now);
-        RenewalEvidence {
+        RenewalConditions {
             cfg: &self.cfg,
             job_cache: &self.job_cache,
             now: self.now,
@@ -41,15 +41,15 @@
 
     /// Decides on the answer to a heartbeat and applies the heartbeat to the leader state.
     fn decide_answer(&mut self, heartbeat: &Heartbeat) -> Result<Answer, RenewalRefusal> {
-        let evidence = self.renewal_evidence();
-        let permit = evidence.permit(heartbeat);
+        let conditions = self.renewal_conditions();
+        let permit = conditions.permit(heartbeat);
         let unknown_jobs = match permit {
             // Without a valid lease or a fresh job cache, the heartbeat is not applied to the
             // leader state.
             Err(refusal @ (RenewalRefusal::NoValidLease | RenewalRefusal::JobsNotRead)) => {
                 return Err(refusal)
             }
-            Err(_) => evidence.unknown_jobs(heartbeat),
+            Err(_) => conditions.unknown_jobs(heartbeat),
             Ok(_) => BTreeSet::new(),
         };
         self.with_leader(|leader, ctx, calls, rng| {
@@ -61,13 +61,14 @@
         .unwrap_or(Err(RenewalRefusal::NoValidLease))
     }
 
-    /// Checks the invariant of [`crate::lease_renewal`] on the final answer alone. A violation is
-    /// logged and the answer is sent anyway, since ending the process would not help any user.
+    /// Checks the invariant of [`crate::lease_renewal`] on the final answer, without its permit. A
+    /// violation is logged and the answer is sent anyway, since ending the process would not help
+    /// any user.
     fn check_renewal_invariant(&mut self, heartbeat: &Heartbeat, answer: &Answer) {
         let Answer::Commands { commands, .. } = answer else { return };
         self.heartbeat_counters.count_renewal(commands);
-        let kept_tasks = self.renewal_evidence().kept_without_evidence(heartbeat, answer);
-        for task in &kept_tasks {
+        let unverified_tasks = self.renewal_conditions().unverified_tasks(heartbeat, answer);
+        for task in &unverified_tasks {
             self.heartbeat_counters.violations += 1;
             let machine = heartbeat.machine.clone();
             self.calls.log(HeartbeatEvent::RenewalViolation { machine, task: *task });
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -21,7 +21,7 @@
 impl Leader {
     /// Applies and answers a heartbeat received while this controller holds a valid leader lease.
     ///
-    /// `permit` is the result of [`crate::lease_renewal::RenewalEvidence::permit`] for the
+    /// `permit` is the result of [`crate::lease_renewal::RenewalConditions::permit`] for the
     /// heartbeat. A heartbeat that is refused because of an unknown job is applied as well, since
     /// its content is true.
     ///
--- a/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/services_tests.rs
@@ -6,7 +6,7 @@
 use crate::leader::scheduler::reserved_capacity::machines_for_services;
 use crate::leader::scheduler::test_cluster::{ready_machine, service, TestCluster};
 use crate::leader::Leader;
-use crate::lease_renewal::RenewalEvidence;
+use crate::lease_renewal::RenewalConditions;
 use crate::machines::{MachineKind, TaskPhase};
 use crate::model::{
     AgentEpoch, FencingToken, Heartbeat, JobId, Ms, TaskCommand, TaskState, TaskStatus,
@@ -200,8 +200,8 @@
     let ctx = test.context(200);
     let (cfg, job_cache) = (ctx.cfg, ctx.job_cache);
     let (lease_held_since, jobs_as_of) = (Some(0), Some(100));
-    let evidence = RenewalEvidence { cfg, job_cache, now: 200, lease_held_since, jobs_as_of };
-    let permit = evidence.permit(&heartbeat);
+    let conditions = RenewalConditions { cfg, job_cache, now: 200, lease_held_since, jobs_as_of };
+    let permit = conditions.permit(&heartbeat);
     let answer = leader.answer_heartbeat(&ctx, &mut Calls::default(), &heartbeat, permit, &mut rng);
     let Ok(Answer::Commands { commands, .. }) = answer else { panic!("{answer:?}") };
     let stops_replica =
--- a/crates/basaltrail-core/src/lease_renewal.rs
+++ b/crates/basaltrail-core/src/lease_renewal.rs
@@ -1,12 +1,19 @@
-//! Decides whether the answer to a heartbeat renews the worker lease; no other module does.
+//! The conditions under which the answer to a heartbeat may renew the worker lease. Only this
+//! module creates a [`RenewalPermit`], and only [`RenewalPermit::answer`] builds an answer that
+//! renews a lease. Other modules may refuse the renewal for further reasons ([`RenewalRefusal`]).
 //!
-//! A 200 response renews the lease of all tasks on the machine (PROTOCOL, Leases), including tasks
-//! of cancelled jobs. It therefore requires a [`RenewalPermit`]: for each live task of the
-//! heartbeat, either a recent enough read shows that the job is active, or the answer stops the
-//! task. Let `C` be the time at which a user received the confirmation of a cancellation. An answer
-//! at time `t` that does not stop the job's tasks relies on a read that was sent before `C` and at
-//! most [`Settings::max_job_cache_age_ms`] before `t`, so the renewed lease expires no later than
-//! `C + cancel_s`. This holds for each answer by itself, regardless of earlier leaders.
+//! A 200 response renews the worker lease and so keeps all tasks on the machine running, including
+//! tasks of cancelled jobs (PROTOCOL, Leases). It therefore requires a permit: for each live task
+//! of the heartbeat, either a recent enough read shows that the job is active, or the answer stops
+//! the task.
+//!
+//! Let `C` be the time at which a user received the confirmation of a cancellation. A read that was
+//! sent after `C` shows the cancellation. An answer at time `t` that does not stop the tasks of the
+//! job therefore relies on a read that was sent before `C`, and at most
+//! [`Settings::max_job_cache_age_ms`] before `t`. The renewed lease expires at most
+//! [`Settings::max_cancellation_ms`] after `C`, provided that a worker lease with its drift margin
+//! takes at most three quarters of that time. This holds for each answer by itself, regardless of
+//! earlier leaders.
 
 use crate::answer::{Answer, UnavailableReason};
 use crate::jobs::JobCache;
@@ -16,11 +23,11 @@
 use crate::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The maximum number of commands in one answer, required stops included, which keeps the answer
+/// Number of commands up to which an answer is filled, required stops included. It keeps the answer
 /// under PROTOCOL's limit for a line. Required stops alone may exceed it, up to [`MAX_STOPS`].
 const MAX_COMMANDS: usize = 200;
-/// The maximum number of required stops in one answer. With more, the lease is not renewed and
-/// expires.
+/// Maximum number of required stops in one answer. A heartbeat that requires more is refused, so
+/// that the worker lease expires.
 const MAX_STOPS: usize = 600;
 /// Seconds after which a refused worker may send its next heartbeat.
 const RETRY_AFTER_S: u32 = 1;
@@ -53,7 +60,7 @@
     TokenNotAdopted,
     /// The machine has been terminated.
     MachineTerminated,
-    /// A newer heartbeat of the machine was already applied.
+    /// The heartbeat or a newer one was already applied, or its agent epoch has ended.
     StaleHeartbeat,
     /// The leader is still loading and already tracks the maximum number of machines.
     Loading,
@@ -89,9 +96,9 @@
     }
 }
 
-/// The facts on which a controller bases the answer to a heartbeat.
+/// The state of a controller that determines whether it may renew worker leases.
 #[derive(Clone, Copy)]
-pub struct RenewalEvidence<'a> {
+pub struct RenewalConditions<'a> {
     /// The settings.
     pub cfg: &'a Settings,
     /// The known jobs.
@@ -105,7 +112,7 @@
     pub jobs_as_of: Option<Ms>,
 }
 
-impl RenewalEvidence<'_> {
+impl RenewalConditions<'_> {
     /// Checks whether this controller may renew worker leases at all.
     ///
     /// # Errors
@@ -144,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// The errors of [`RenewalEvidence::check_eligibility`], [`RenewalRefusal::JobUnknown`] and
+    /// The errors of [`RenewalConditions::check_eligibility`], [`RenewalRefusal::JobUnknown`] and
     /// [`RenewalRefusal::TooManyStops`].
     pub fn permit(&self, heartbeat: &Heartbeat) -> Result<RenewalPermit, RenewalRefusal> {
         self.check_eligibility()?;
@@ -164,14 +171,15 @@
 
     /// Returns the jobs of the heartbeat's live tasks whose state is unknown and must be read.
     pub fn unknown_jobs(&self, heartbeat: &Heartbeat) -> BTreeSet<JobId> {
-        let unknown = |job: &JobId| self.job_state(*job) == KnownJobState::Unknown;
-        live_tasks(heartbeat).map(|task| task.task.job).filter(unknown).collect()
+        let is_unknown = |job: &JobId| self.job_state(*job) == KnownJobState::Unknown;
+        live_tasks(heartbeat).map(|task| task.task.job).filter(is_unknown).collect()
     }
 
-    /// Returns the live tasks that an answer neither stops nor has evidence to keep running. It
-    /// examines only the answer, so it also finds answers built without a permit; for an answer
-    /// built with one, the result is empty.
-    pub fn kept_without_evidence(&self, heartbeat: &Heartbeat, answer: &Answer) -> Vec<TaskId> {
+    /// Returns the live tasks of the heartbeat that the answer does not stop and whose job a recent
+    /// enough read does not show as active. The check does not use the permit, so that it also
+    /// finds faults in how answers are built; for an answer built with a permit, the result is
+    /// empty.
+    pub fn unverified_tasks(&self, heartbeat: &Heartbeat, answer: &Answer) -> Vec<TaskId> {
         let Answer::Commands { commands, .. } = answer else { return Vec::new() };
         let is_stopped = |status: &TaskStatus| {
             commands.iter().any(|command| {
@@ -198,16 +206,17 @@
 }
 
 impl RenewalPermit {
-    /// Returns the number of further commands that fit into the answer.
+    /// Returns the maximum number of commands to pass to [`RenewalPermit::answer`].
     pub fn command_limit(&self) -> usize {
         MAX_COMMANDS.saturating_sub(self.stops.len())
     }
 
-    /// Builds the answer: the required stops that `commands` lacks, then `commands`, of which there
-    /// are at most [`RenewalPermit::command_limit`].
+    /// Builds the answer: the required stops that `commands` lacks, then `commands` without the
+    /// stops with a grace period that these replace. `commands` must hold at most
+    /// [`RenewalPermit::command_limit`] commands.
     pub fn answer(self, token: FencingToken, commands: Vec<TaskCommand>) -> Answer {
         let stop = |&(task, attempt)| TaskCommand::Stop { task, attempt, grace_s: 0.0 };
-        // A stop with a grace period would let a task of an ended job save first.
+        // With a grace period, the task of an ended job would keep running while it saves.
         let is_graceful = |command: &&TaskCommand| {
             matches!(command, TaskCommand::Stop { task, attempt, grace_s }
                 if *grace_s > 0.0 && self.stops.contains(&(*task, *attempt)))
@@ -236,7 +245,8 @@
     pub forgets: u64,
     /// Number of refusals by reason.
     pub refused: BTreeMap<RenewalRefusal, u64>,
-    /// Number of tasks that an answer kept without evidence; 0 unless there is a fault.
+    /// Number of tasks that an answer kept running although no recent enough read showed their job
+    /// as active; 0 unless this program has a bug.
     pub violations: u64,
 }
 
--- a/crates/basaltrail-core/src/lease_renewal_tests.rs
+++ b/crates/basaltrail-core/src/lease_renewal_tests.rs
@@ -40,15 +40,15 @@
     tasks: Vec<TaskStatus>,
 ) -> Result<Vec<TaskCommand>, RenewalRefusal> {
     let (cfg, job_cache, heartbeat) = (settings(), job_cache(), heartbeat(tasks));
-    let evidence = RenewalEvidence {
+    let conditions = RenewalConditions {
         cfg: &cfg,
         job_cache: &job_cache,
         now: 40_000,
         lease_held_since: Some(30_000),
         jobs_as_of,
     };
-    let answer = evidence.permit(&heartbeat)?.answer(FencingToken(5), Vec::new());
-    assert_eq!(evidence.kept_without_evidence(&heartbeat, &answer), Vec::new());
+    let answer = conditions.permit(&heartbeat)?.answer(FencingToken(5), Vec::new());
+    assert_eq!(conditions.unverified_tasks(&heartbeat, &answer), Vec::new());
     let Answer::Commands { commands, .. } = answer else { panic!("{answer:?}") };
     Ok(commands)
 }
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn job_cache_older_than_cancel_s_minus_a_lease_renews_no_lease() {
+fn job_cache_older_than_the_maximum_age_renews_no_lease() {
     let max_age_ms = settings().max_job_cache_age_ms();
     let answer_as_of = |as_of| answer_commands(as_of, vec![running(ACTIVE, 0)]);
     assert_eq!(answer_as_of(Some(40_000 - max_age_ms)), Ok(vec![]));
@@ -94,14 +94,14 @@
 fn each_required_stop_is_sent_once_without_grace_and_within_the_limit() {
     let (cfg, job_cache) = (settings(), job_cache());
     let (lease_held_since, jobs_as_of) = (Some(0), Some(100));
-    let evidence = RenewalEvidence {
+    let conditions = RenewalConditions {
         cfg: &cfg,
         job_cache: &job_cache,
         now: 200,
         lease_held_since,
         jobs_as_of,
     };
-    let permit = || evidence.permit(&heartbeat(vec![running(CANCELLED, 0)])).unwrap();
+    let permit = || conditions.permit(&heartbeat(vec![running(CANCELLED, 0)])).unwrap();
     assert_eq!(permit().command_limit(), MAX_COMMANDS - 1);
     let forget =
         TaskCommand::Forget { task: TaskId { job: ACTIVE, index: 9 }, attempt: Attempt(1) };
@@ -115,17 +115,17 @@
     let graceful = TaskCommand::Stop { task, attempt: Attempt(7), grace_s: 5.0 };
     assert_eq!(answer(vec![forget, graceful]), vec![stop(CANCELLED, 0), forget]);
     let permit_with_stops =
-        |n| evidence.permit(&heartbeat((0..n).map(|i| running(CANCELLED, i)).collect()));
+        |n| conditions.permit(&heartbeat((0..n).map(|i| running(CANCELLED, i)).collect()));
     assert_eq!(permit_with_stops(MAX_STOPS as u32).unwrap().command_limit(), 0);
     assert_eq!(permit_with_stops(MAX_STOPS as u32 + 1), Err(RenewalRefusal::TooManyStops));
 }
 
 /// The check at run time finds an answer that was built without a permit.
 #[test]
-fn check_finds_tasks_that_an_answer_keeps_without_evidence() {
+fn check_finds_unverified_tasks_that_an_answer_keeps_running() {
     let (cfg, job_cache) = (settings(), job_cache());
     let (lease_held_since, jobs_as_of) = (Some(0), Some(100));
-    let evidence = RenewalEvidence {
+    let conditions = RenewalConditions {
         cfg: &cfg,
         job_cache: &job_cache,
         now: 200,
@@ -133,22 +133,20 @@
         jobs_as_of,
     };
     let reported = heartbeat(vec![running(ACTIVE, 0), running(CANCELLED, 1), running(ABSENT, 2)]);
-    let kept = |commands| {
-        evidence.kept_without_evidence(
-            &reported,
-            &Answer::Commands { token: FencingToken(1), commands },
-        )
+    let unverified = |commands| {
+        conditions
+            .unverified_tasks(&reported, &Answer::Commands { token: FencingToken(1), commands })
     };
     let task = |job, index| TaskId { job, index };
-    assert_eq!(kept(vec![]), vec![task(CANCELLED, 1), task(ABSENT, 2)]);
-    assert_eq!(kept(vec![stop(CANCELLED, 1), stop(ABSENT, 2)]), Vec::new());
+    assert_eq!(unverified(vec![]), vec![task(CANCELLED, 1), task(ABSENT, 2)]);
+    assert_eq!(unverified(vec![stop(CANCELLED, 1), stop(ABSENT, 2)]), Vec::new());
     // A stop with a grace period does not count, as the task may save first.
     let graceful =
         TaskCommand::Stop { task: task(CANCELLED, 1), attempt: Attempt(7), grace_s: 5.0 };
-    assert_eq!(kept(vec![graceful, stop(ABSENT, 2)]), vec![task(CANCELLED, 1)]);
-    let stale = RenewalEvidence { now: 60_000, ..evidence };
+    assert_eq!(unverified(vec![graceful, stop(ABSENT, 2)]), vec![task(CANCELLED, 1)]);
+    let stale = RenewalConditions { now: 60_000, ..conditions };
     let answer = Answer::Commands { token: FencingToken(1), commands: vec![] };
-    assert_eq!(stale.kept_without_evidence(&reported, &answer).len(), 3);
+    assert_eq!(stale.unverified_tasks(&reported, &answer).len(), 3);
 }
 
 #[test]
