--- a/crates/basaltrail-core/src/controller/submissions.rs
+++ b/crates/basaltrail-core/src/controller/submissions.rs
@@ -12,16 +12,17 @@
 use crate::store::records::{active_job_key, encode, outcome_key, JobRecord};
 use basaltrail_admission::{AcceptanceOutcome, RejectionReason};
 
-/// Limit on batches of submissions in flight. Submissions that arrive in the meantime are collected
-/// for the next batch.
+/// Maximum number of batches of submissions in flight. While it is reached, submissions are
+/// collected for the next batch.
 const MAX_BATCHES_IN_FLIGHT: u32 = 2;
-/// Limit on the size of the records in one batch, in bytes. With keys and preconditions the batch
+/// Maximum size of the records in one batch, in bytes. With keys and preconditions the batch
 /// stays within the 64 KiB of a transaction (PROTOCOL, "POST /txn").
 const MAX_BATCH_RECORD_BYTES: usize = 48 * 1024;
-/// `Retry-After` in seconds if more submissions wait than can be written soon.
-const RETRY_OVERLOAD_S: u32 = 2;
+/// `Retry-After` in seconds when the rate limits are exhausted and more submissions are queued than
+/// fit into two batches.
+const OVERLOAD_RETRY_AFTER_S: u32 = 2;
 
-/// A transaction that accepts submissions, while it is being built.
+/// A batch of submissions under construction, to be accepted in one transaction.
 #[derive(Default)]
 struct Batch {
     submissions: Vec<AdmittedSubmission>,
@@ -32,31 +33,35 @@
 }
 
 impl Controller {
-    /// Sends queued submissions if the rate limits allow it. A submission is sent at once unless
-    /// the limit on batches in flight is reached; the submissions that wait for it are sent
-    /// together.
+    /// Sends a batch of the queued submissions if the number of batches in flight and the rate
+    /// limits allow it. If the rate limits do not allow it and more than two batches are queued,
+    /// all queued submissions are rejected with status 503.
     pub(super) fn send_submissions(&mut self) {
         self.renew_reservations();
-        let waiting = self.requests.submissions.len();
-        if waiting == 0 || self.requests.submissions_in_flight >= MAX_BATCHES_IN_FLIGHT {
+        let queued = self.requests.submissions.len();
+        if queued == 0 || self.requests.submissions_in_flight >= MAX_BATCHES_IN_FLIGHT {
             return;
         }
         let max_jobs = self.cfg.max_transaction_ops.max(1);
-        let jobs = waiting.min(max_jobs);
-        if self.calls.try_acquire_write(self.now, jobs, CallPriority::Request) {
-            self.send_batch(jobs);
-        } else if waiting > max_jobs * 2 {
-            // More submissions wait than can be written soon, so all of them are answered now.
+        let batch_size = queued.min(max_jobs);
+        if self.calls.try_acquire_write(self.now, batch_size, CallPriority::Request) {
+            self.send_batch(batch_size);
+        } else if queued > max_jobs * 2 {
+            // The queue holds more than two batches, so it is emptied and the users retry later.
             for submission in std::mem::take(&mut self.requests.submissions) {
                 self.admission.settle(&submission, AcceptanceOutcome::NotUsed);
                 let reason = UnavailableReason::TooManySubmissions;
-                self.answer_waiting_unavailable(submission.requests, RETRY_OVERLOAD_S, reason);
+                self.answer_waiting_unavailable(
+                    submission.requests,
+                    OVERLOAD_RETRY_AFTER_S,
+                    reason,
+                );
             }
         }
     }
 
-    /// Sends up to `max_jobs` submissions in one transaction, with the precondition that their
-    /// quotas have not been replaced.
+    /// Sends up to `max_jobs` submissions in one transaction. Its preconditions are that the jobs
+    /// have neither a record nor an outcome and that their quotas have not been replaced.
     fn send_batch(&mut self, max_jobs: usize) {
         let batch = self.build_batch(max_jobs);
         if batch.submissions.is_empty() {
@@ -75,6 +80,8 @@
         while batch.submissions.len() < max_jobs && !self.requests.submissions.is_empty() {
             let submission = self.requests.submissions.remove(0);
             if !self.admission.has_current_quota(&self.job_cache, &submission) {
+                // The next step admits the submission under the quota that is known then, or
+                // rejects it.
                 self.requests
                     .awaiting_quota
                     .push(AdmittedSubmission { quota_wait_until: self.now, ..submission });
@@ -103,7 +110,7 @@
         batch
     }
 
-    /// Returns the record under which this controller accepts a submission now.
+    /// Returns the record of a submission that is accepted at the current time.
     fn job_record(&self, submission: &AdmittedSubmission) -> JobRecord {
         let accepted_by =
             self.admission.quota_precondition(submission).map(|_| self.cfg.controller.clone());
@@ -121,8 +128,8 @@
             StoreReply::Committed { revision } => self.handle_committed_batch(batch, revision),
             StoreReply::Conflict { failed } => self.handle_batch_conflict(batch, &failed),
             StoreReply::Rejected if batch.len() > 1 => {
-                // One invalid submission must not fail or delay the others: each is sent again in a
-                // transaction of its own.
+                // The store does not say which submission is invalid. Each is sent again in a
+                // transaction of its own, so that the valid ones are accepted.
                 let separate = batch
                     .into_iter()
                     .map(|submission| AdmittedSubmission { own_transaction: true, ..submission })
@@ -162,6 +169,8 @@
         }
     }
 
+    /// Looks up the jobs that already have a record or an outcome, makes submissions whose quota
+    /// was replaced wait for the next one, and queues the others again.
     fn handle_batch_conflict(&mut self, batch: Vec<AdmittedSubmission>, failed: &[String]) {
         let mut unaffected = Vec::new();
         for submission in batch {
@@ -178,7 +187,7 @@
                 unaffected.push(submission);
             }
         }
-        // One duplicate must not delay the other submissions.
+        // The other submissions are sent first in the next batch.
         self.requeue_first(unaffected);
     }
 
@@ -189,7 +198,8 @@
     }
 
     /// Renews the reservations of submissions whose quota was replaced. A submission waits for the
-    /// next quota until `quota_wait_until` and is rejected after that.
+    /// next quota until `quota_wait_until`. It is rejected after that, or if the next quota does
+    /// not admit it.
     fn renew_reservations(&mut self) {
         for submission in std::mem::take(&mut self.requests.awaiting_quota) {
             match self.admission.renew_reservation(&self.job_cache, &submission) {
