--- a/crates/basaltrail-core/src/controller/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -1,5 +1,5 @@
-//! Admission of submissions under this controller's quotas, and the record of its process with
-//! which it requests them.
+//! Admission of submissions under this controller's quotas, and the record of its process, which
+//! requests quotas from the leader.
 
 use super::request_queue::AdmittedSubmission;
 use super::Controller;
@@ -22,7 +22,7 @@
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Limit on `Retry-After`, in seconds (PROTOCOL: `Retry-After` counts up to 30 s).
+/// Maximum `Retry-After`, in seconds (PROTOCOL: `Retry-After` counts up to 30 s).
 const MAX_RETRY_AFTER_S: u32 = 30;
 
 /// The admission state of this controller.
@@ -97,7 +97,7 @@
         self.limiter.renew(&job_cache.quotas, submission.reservation.clone())
     }
 
-    /// Returns whether the quota of a submission is the latest one that this controller knows.
+    /// Returns whether the reservation of a submission is still valid.
     pub(super) fn has_current_quota(
         &self,
         job_cache: &JobCache,
--- a/crates/basaltrail-core/src/controller/client_requests.rs
+++ b/crates/basaltrail-core/src/controller/client_requests.rs
@@ -20,7 +20,8 @@
 /// Rounding error allowed in comparing a demand with a team's limit, in CPUs or GPUs.
 const LIMIT_TOLERANCE: f64 = 1e-9;
 
-/// Returns why a job can never run, or `None` if it can. Every controller returns the same answer.
+/// Returns the reason why a job can never run, or `None` if it can. Controllers with the same
+/// settings and machine types return the same reason.
 fn unschedulable_reason(
     settings: &Settings,
     machine_types: &[MachineType],
--- a/crates/basaltrail-core/src/controller/job_lookups.rs
+++ b/crates/basaltrail-core/src/controller/job_lookups.rs
@@ -12,7 +12,7 @@
 use crate::store::rate_limiter::CallPriority;
 use crate::store::records::{active_job_key, encode, outcome_key};
 
-/// Limit on confirmations in flight.
+/// Maximum number of confirmations in flight.
 const MAX_CONFIRMATIONS_IN_FLIGHT: u32 = 4;
 /// Longest time for which requests are collected for one confirmation, in milliseconds. Users still
 /// perceive an answer with this delay as immediate.
@@ -97,8 +97,8 @@
         match reply {
             StoreReply::Committed { .. } => {
                 for JobConfirmation { job, requests, expects_active } in jobs {
-                    // The confirmed record has been removed from the job cache since, so the job
-                    // has an outcome.
+                    // If the confirmed record has since been removed from the job cache, the job
+                    // has ended and its outcome is read.
                     if expects_active && self.requests.job_answer(&self.job_cache, job).is_none() {
                         self.requests.queue_lookup(job, requests);
                     } else {
@@ -184,7 +184,8 @@
         self.answer_not_confirmed(requests);
     }
 
-    /// Cancels a job: replaces its active record by the outcome if the cached record is current.
+    /// Cancels a job: replaces its active record by the outcome if the cached record is current. A
+    /// job without a cached record is looked up first.
     pub(super) fn cancel(&mut self, job: JobId, requests: Vec<ClientRequest>) {
         let Some(active) = self.job_cache.active.get(&job) else {
             return self.requests.queue_lookup(job, requests);
@@ -225,7 +226,8 @@
         }
     }
 
-    /// Answers requests for a job whose state was just confirmed or read.
+    /// Answers requests for a job whose state was just confirmed or read, and cancels the job if it
+    /// is active and a request asks for that.
     fn answer_confirmed(&mut self, job: JobId, requests: Vec<ClientRequest>) {
         for request in requests {
             if request.kind == RequestKind::Cancel && self.job_cache.active.contains_key(&job) {
--- a/crates/basaltrail-core/src/controller/job_watching.rs
+++ b/crates/basaltrail-core/src/controller/job_watching.rs
@@ -14,11 +14,11 @@
 };
 use std::collections::BTreeSet;
 
-/// Limit on the keys in a page of the list. The store allows up to 1,000 (PROTOCOL, "GET /kv").
+/// Maximum number of keys in a page of the list. The store allows 1,000 (PROTOCOL, "GET /kv").
 const MAX_PAGE_KEYS: u32 = 500;
 
 impl Controller {
-    /// Lists the jobs or reopens the watch, if that is due and the rate limit allows it.
+    /// Lists the jobs or sends the waiting watch, if that is due and the rate limit allows it.
     pub(super) fn watch_jobs(&mut self) {
         let Some(call) = self.job_watch.call_due(self.now) else { return };
         if !self.calls.try_acquire(self.now, CallPriority::Request) {
@@ -28,7 +28,8 @@
         match call {
             JobWatchCall::List => self.send_list(ListRange::Jobs, None, self.now),
             JobWatchCall::Watch { after } => {
-                // The timeout is short so that a watch that hangs uses up little of `cancel_s`.
+                // The timeout is short, so that a watch that hangs takes up little of the maximum
+                // cancellation time.
                 let wait_ms = self.cfg.watch_timeout_ms();
                 let timeout_ms = wait_ms + self.cfg.leader_lease_ms() / 2;
                 self.send_watch(WatchKind::Waiting, after, wait_ms, timeout_ms);
@@ -36,8 +37,8 @@
         }
     }
 
-    /// Sends a watch that is answered at once if the job cache is too old. The open watch may hang
-    /// or may have been sent before the leader lease was acquired.
+    /// If the job cache is too old, sends a watch that is answered at once. The waiting watch may
+    /// hang or may have been sent before the leader lease was acquired.
     pub(super) fn send_catch_up_watch(&mut self) {
         let Some(since) = self.lease_held_since else { return };
         let timeout_ms = self.cfg.leader_lease_ms() / 4;
@@ -49,9 +50,9 @@
         }
     }
 
-    /// Returns whether the job cache was read after the current leader lease was acquired and is no
-    /// older than an answered watch leaves it. No task is started while it is not: other
-    /// controllers may have answered that a job is cancelled while this process was paused,
+    /// Returns whether the job cache was read after the current leader lease was acquired, and at
+    /// most the timeout of a watch plus one heartbeat interval ago. No task is started otherwise:
+    /// other controllers may have answered that a job is cancelled while this process was paused,
     /// partitioned or without a lease.
     pub(super) fn job_cache_is_fresh(&self) -> bool {
         let max_age_ms = self.cfg.watch_timeout_ms()
@@ -80,7 +81,8 @@
 
     /// Handles the reply to a watch of the jobs.
     pub(super) fn handle_watch_reply(&mut self, kind: WatchKind, sent_at: Ms, reply: StoreReply) {
-        // Changes come in bursts. A delay collects them, since a watch for each costs too much.
+        // Changes come in bursts. A delay lets one watch return several, since a watch for each
+        // costs too much.
         let next_watch_at = self.now + self.cfg.heartbeat_interval_ms / 10;
         let retry_at = self.now + self.cfg.heartbeat_interval_ms / 4;
         match reply {
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -259,13 +259,13 @@
     /// Sends the election requests that are due and updates `lease_held_since`.
     fn send_election_requests(&mut self) {
         // The jitter keeps controllers that lost the same leader from campaigning at the same time.
-        let mut jitter = self.rng.random_range(0..self.cfg.leader_lease_ms() / 25 + 1);
+        let mut jitter_ms = self.rng.random_range(0..self.cfg.leader_lease_ms() / 25 + 1);
         // A leader loses the machines of other zones if a network partition separates the zones.
         // Controllers outside the primary zone, which has the most machines, campaign later.
         if self.election.primary_zone().unwrap_or(self.cfg.busiest_zone()) != self.cfg.zone {
-            jitter += self.cfg.leader_lease_ms() / 8;
+            jitter_ms += self.cfg.leader_lease_ms() / 8;
         }
-        for due in self.election.due_requests(self.now, jitter) {
+        for due in self.election.due_requests(self.now, jitter_ms) {
             // Election requests are few. They are counted by the rate limiter but never delayed.
             self.calls.try_acquire(self.now, CallPriority::Lease);
             let purpose = StorePurpose::Election(due.purpose);
@@ -304,8 +304,8 @@
         self.leader = Some(Leader::new(&ctx, term.token, term.mod_revision));
     }
 
-    /// Applies job changes to the leader state, runs the leader, and resigns if it lost its
-    /// workers.
+    /// Applies job changes to the leader state, runs the leader, and resigns if the workers are
+    /// unreachable.
     fn run_leader(&mut self) {
         let changed = std::mem::take(&mut self.job_cache.changed);
         if !changed.is_empty() {
--- a/crates/basaltrail-core/src/controller/request_queue.rs
+++ b/crates/basaltrail-core/src/controller/request_queue.rs
@@ -82,7 +82,7 @@
 pub struct AdmittedSubmission {
     /// Job that was submitted.
     pub job: JobId,
-    /// Description of the job.
+    /// Specification of the job.
     pub spec: Box<JobSpec>,
     /// Requests that wait for the acceptance.
     pub requests: Vec<ClientRequest>,
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -14,7 +14,7 @@
 /// Timeout of a lease revocation, in milliseconds. A lost revocation is harmless: the lease expires
 /// without it.
 const REVOKE_TIMEOUT_MS: Ms = 1_000;
-/// Changes in the transaction of a campaign: the leader key and the term.
+/// Changes in the transaction of a campaign: the leader key and the term key.
 const CAMPAIGN_CHANGES: f64 = 2.0;
 
 impl Controller {
