--- a/crates/basaltrail-core/src/jobs/crash_loop.rs
+++ b/crates/basaltrail-core/src/jobs/crash_loop.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records that a task failed on a machine. Returns whether it is the job's first failure there
-    /// since its last success.
+    /// since its last success; always false once `MAX_MACHINES` such machines are recorded.
     pub fn record_failure(&mut self, machine: &MachineId, now: Ms, worker_lease_ms: Ms) -> bool {
         if self.avoided.len() >= MAX_MACHINES {
             self.avoided.retain(|_, until| *until > now);
--- a/crates/basaltrail-core/src/jobs/job_cache.rs
+++ b/crates/basaltrail-core/src/jobs/job_cache.rs
@@ -59,7 +59,8 @@
         self.outcomes.get(&job).copied()
     }
 
-    /// Adds or replaces the active record of a job, unless a later record or the outcome is cached.
+    /// Adds or replaces the active record of a job, unless the outcome or a record of the same or a
+    /// later revision is cached.
     pub fn put_active(&mut self, job: JobId, mod_revision: Revision, record: JobRecord) {
         if self.outcomes.contains_key(&job) {
             return;
--- a/crates/basaltrail-core/src/jobs/job_state.rs
+++ b/crates/basaltrail-core/src/jobs/job_state.rs
@@ -33,7 +33,7 @@
     pub placed: BTreeMap<u32, (MachineId, Attempt)>,
     /// Tasks that are pending again after a placement ended.
     requeued: BTreeSet<u32>,
-    /// The lowest task that has not been placed yet.
+    /// The lowest task that [`JobState::pop_pending`] has not considered yet.
     next_new_task: u32,
     /// The job's received and fair time.
     pub account: Account,
