--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -85,19 +85,19 @@
     WriteMachineTypes,
     /// Reads the stored state of the previous leader.
     LoadLeaderState {
-        /// The term.
+        /// The fencing token of the term.
         token: FencingToken,
     },
     /// Commits a transaction of the leader's writer.
     LeaderTransaction {
-        /// The term.
+        /// The fencing token of the term.
         token: FencingToken,
         /// The changes of the transaction.
         pending: Box<PendingTransaction>,
     },
     /// Reads the mod revision of a key of the leader.
     RefreshRevision {
-        /// The term.
+        /// The fencing token of the term.
         token: FencingToken,
         /// The key.
         key: String,
@@ -106,7 +106,7 @@
     WriteControllerRecord,
     /// Writes admission quotas.
     WriteQuotas {
-        /// The term.
+        /// The fencing token of the term.
         token: FencingToken,
         /// The quotas.
         writes: Vec<QuotaWrite>,
@@ -120,7 +120,7 @@
     MachineTypes,
     /// Provisions machines.
     Provision {
-        /// The term.
+        /// The fencing token of the term.
         token: FencingToken,
         /// The name of the request, under which it can be repeated without provisioning more
         /// machines.
@@ -128,14 +128,14 @@
     },
     /// Terminates machines.
     Terminate {
-        /// The term.
+        /// The fencing token of the term.
         token: FencingToken,
         /// The machines.
         machines: Vec<MachineId>,
     },
     /// Lists the provisioned machines.
     List {
-        /// The term.
+        /// The fencing token of the term.
         token: FencingToken,
     },
 }
--- a/crates/basaltrail-core/src/store/records.rs
+++ b/crates/basaltrail-core/src/store/records.rs
@@ -52,7 +52,7 @@
     /// The controller.
     #[serde(rename = "node")]
     pub controller: String,
-    /// The process of the controller; a new value at every start.
+    /// Identifier of this run of the process, different at each start.
     pub incarnation: u64,
     /// The fencing token of its term.
     pub token: FencingToken,
@@ -72,7 +72,7 @@
     /// The controller.
     #[serde(rename = "n")]
     pub controller: String,
-    /// The process of the controller; a new value at every start.
+    /// Identifier of this run of the process, different at each start.
     #[serde(rename = "i")]
     pub incarnation: u64,
 }
@@ -117,12 +117,12 @@
     pub holds_no_tasks: bool,
 }
 
-/// The fairness ledger as of the last scheduling round.
+/// The fairness ledger as of its last round.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LedgerRecord {
     /// For each team its name, received CPU-seconds and CPU-seconds of fair share.
     pub teams: Vec<(String, f64, f64)>,
-    /// The wall-clock time at which the grants of the round end.
+    /// The wall-clock time of the record plus the lease term of the policy.
     pub leases_end: WallMs,
     /// Jobs in a crash loop, which the next leader would otherwise have to detect again at the
     /// expense of other jobs.
