--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -22,7 +22,7 @@
 impl Leader {
     /// Applies and answers a heartbeat received while this controller holds a valid leader lease.
     ///
-    /// `permit` is the result of [`crate::lease_renewal::RenewalEvidence::permit`] for the
+    /// `permit` is the result of [`crate::lease_renewal::RenewalConditions::permit`] for the
     /// heartbeat. A heartbeat without a permit, because of an unknown job or too many stops, is
     /// applied like any other, since the states that it reports do not depend on the permit.
     ///
