--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -1,6 +1,8 @@
 //! Scale-in: selection and termination of machines.
 
-use super::partitions::{is_unheard, silent_machines_with_replicas, zones_with_few_unheard};
+use super::partitions::{
+    is_silent_since_failover, silent_machines_with_replicas, zones_with_few_silent_since_failover,
+};
 use super::provisioning_time::ABANDONED_BOOT_TIMES;
 use super::Autoscaler;
 use crate::events::{MachineEvent, TerminationReason};
@@ -23,13 +25,13 @@
 const LIST_LAGS: Ms = 4;
 /// Milliseconds added to these lags for the interval at which the list is read.
 const LIST_MARGIN_MS: Ms = 4000;
-/// Leases of silence after which a machine is terminated if its zone is not partitioned.
+/// Silence, in worker leases, after which a machine is terminated if its zone is not partitioned.
 const SILENT_LEASES: Ms = 3;
-/// Leases of silence after which a machine is terminated even if its zone is partitioned.
+/// Silence, in worker leases, after which a machine is terminated even if its zone is partitioned.
 const SILENT_FOR_LONG_LEASES: Ms = 12;
-/// Leases added to the longest time to come up, after which a machine that was never heard is
-/// terminated.
-const NEVER_HEARD_LEASES: f64 = 2.0;
+/// Worker leases, in addition to [`ABANDONED_BOOT_TIMES`] of the slowest machine type, after which
+/// a machine that has sent no heartbeat is terminated.
+const NO_HEARTBEAT_LEASES: f64 = 2.0;
 
 /// State of the call that terminates machines; at most one is in flight.
 #[derive(Default)]
@@ -45,8 +47,8 @@
     pub(in crate::leader) token: FencingToken,
     /// Time of its election.
     pub(in crate::leader) elected_at: Ms,
-    /// Time at which it last became able to answer workers; the silence of machines counts from
-    /// then.
+    /// Time since which it has been able to answer workers; silence of machines counts from then at
+    /// the earliest.
     pub(in crate::leader) reachable_since: Ms,
 }
 
@@ -56,11 +58,12 @@
     ctx: &'a Context<'a>,
     autoscaler: &'a Autoscaler,
     reachable_since: Ms,
-    /// Machines with replicas that are silent although nearly all others of their zone are heard.
+    /// Machines with replicas that are silent although nearly all others of their zone send
+    /// heartbeats.
     silent_with_replicas: BTreeSet<MachineId>,
-    /// Zones in which few machines are unheard since the failover; empty until half a lease has
-    /// passed since then.
-    zones_with_few_unheard: BTreeSet<&'a str>,
+    /// Zones in which few machines are silent since the failover; empty until half a worker lease
+    /// after the election, or after `reachable_since` if that is later.
+    zones_with_few_silent_since_failover: BTreeSet<&'a str>,
     /// Longest nominal boot time of all types.
     boot_ms: f64,
 }
@@ -80,8 +83,8 @@
             autoscaler,
             reachable_since,
             silent_with_replicas: silent_machines_with_replicas(ctx, cluster, reachable_since),
-            zones_with_few_unheard: if is_settled {
-                zones_with_few_unheard(cluster)
+            zones_with_few_silent_since_failover: if is_settled {
+                zones_with_few_silent_since_failover(cluster)
             } else {
                 BTreeSet::new()
             },
@@ -97,7 +100,9 @@
         if self.silent_with_replicas.contains(&machine.id) {
             return Some(TerminationReason::ReplicasSilent);
         }
-        if is_unheard(machine) && self.zones_with_few_unheard.contains(machine.zone.as_str()) {
+        if is_silent_since_failover(machine)
+            && self.zones_with_few_silent_since_failover.contains(machine.zone.as_str())
+        {
             return Some(TerminationReason::SilentSinceFailover);
         }
         if self.is_reachable(machine) {
@@ -107,25 +112,26 @@
         machine.reconciled.then(|| self.reason_if_unreachable(machine)).flatten()
     }
 
-    /// Returns whether the announced time of its reclaim has passed and it is silent. The answer to
-    /// its termination proves that it is gone.
+    /// Returns whether the announced time of the machine's reclaim has passed and it is silent. The
+    /// cloud's reply to its termination proves that its tasks have ended.
     fn is_reclaimed(&self, machine: &Machine) -> bool {
         let now = self.ctx.now;
-        let missed_after = self.ctx.cfg.heartbeat_interval_ms;
+        let silence_ms = self.ctx.cfg.heartbeat_interval_ms;
         machine.reclaim_at.is_some_and(|at| now > at + RECLAIM_MARGIN_MS)
             && machine
                 .last_heartbeat_at
-                .is_some_and(|at| now > at.max(self.reachable_since) + missed_after)
+                .is_some_and(|at| now > at.max(self.reachable_since) + silence_ms)
     }
 
-    /// Returns the milliseconds since the machine last showed that it receives our answers.
+    /// Returns the milliseconds since the machine last showed that it receives our answers, or
+    /// since `reachable_since` if that is later.
     fn silence_ms(&self, machine: &Machine) -> Ms {
         let answer_received_at = machine.answer_received_at.unwrap_or(machine.known_since);
         self.ctx.now - answer_received_at.max(self.reachable_since)
     }
 
-    /// Returns whether the machine reports and can be used. An empty machine that does not receive
-    /// our answers cannot.
+    /// Returns whether the machine sends heartbeats and can be used. An empty machine that does not
+    /// receive our answers cannot be used.
     fn is_reachable(&self, machine: &Machine) -> bool {
         let receives_answers =
             self.silence_ms(machine) <= self.ctx.cfg.worker_lease_ms * SILENT_LEASES;
@@ -153,10 +159,10 @@
         let age_ms = now - machine.known_since;
         let listed_within_ms = cfg.inventory_lag_ms * LIST_LAGS + LIST_MARGIN_MS;
         let is_listed = machine.last_listed.is_some_and(|(_, at)| now <= at + listed_within_ms);
-        let was_never_heard = machine.last_heartbeat_at.is_none();
+        let has_sent_no_heartbeat = machine.last_heartbeat_at.is_none();
         let is_partitioned = self.autoscaler.partitions.contains(&machine.zone);
         let max_boot_wait_ms =
-            self.boot_ms * ABANDONED_BOOT_TIMES + NEVER_HEARD_LEASES * cfg.worker_lease_ms as f64;
+            self.boot_ms * ABANDONED_BOOT_TIMES + NO_HEARTBEAT_LEASES * cfg.worker_lease_ms as f64;
         if matches!(machine.last_listed, Some((ListedState::Failed, _))) {
             Some(TerminationReason::Failed)
         } else if !is_listed
@@ -164,14 +170,14 @@
             && age_ms > listed_within_ms
         {
             Some(TerminationReason::NotListed)
-        } else if !was_never_heard
+        } else if !has_sent_no_heartbeat
             && !is_partitioned
             && silence_ms > cfg.worker_lease_ms * SILENT_LEASES
         {
             Some(TerminationReason::Silent)
         } else if machine.overdue && machine.abandoned {
             Some(TerminationReason::NeverUp)
-        } else if was_never_heard && !is_partitioned && age_ms as f64 > max_boot_wait_ms {
+        } else if has_sent_no_heartbeat && !is_partitioned && age_ms as f64 > max_boot_wait_ms {
             Some(TerminationReason::NeverHeard)
         } else if silence_ms > cfg.worker_lease_ms * SILENT_FOR_LONG_LEASES {
             Some(TerminationReason::SilentForLong)
@@ -233,18 +239,19 @@
         }
     }
 
-    /// Applies the reply to a termination request; returns true if the machines are gone. Otherwise
-    /// they stay marked, since the cloud may still execute a call that timed out.
+    /// Applies the reply to a termination request, and returns whether the machines have certainly
+    /// been terminated. If not, they stay marked, since the cloud may still execute a call that
+    /// timed out.
     pub(in crate::leader) fn apply_termination_reply(
         &mut self,
         ctx: &Context,
         reply: &CloudReply,
     ) -> bool {
         self.termination.in_flight = false;
-        let are_gone = *reply == CloudReply::Terminated;
-        if !are_gone {
+        let are_terminated = *reply == CloudReply::Terminated;
+        if !are_terminated {
             self.termination.next_call_at = ctx.now + ctx.cfg.worker_lease_ms / 10;
         }
-        are_gone
+        are_terminated
     }
 }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -3,7 +3,7 @@
 use super::capacity_target::{capacity_targets, CapacityTarget};
 use super::demand::demand_by_type;
 use super::fleet::{live_machines, Fleet, KindNeeds};
-use super::partitions::is_zone_unheard_since_failover;
+use super::partitions::is_zone_silent_since_failover;
 use super::provisioning::{kinds_by_price, ProvisioningRequest};
 use super::provisioning_time::BootingMachine;
 use super::Autoscaler;
@@ -81,7 +81,7 @@
         let remaining = ctx.cfg.max_machines.saturating_sub(known);
         // Machines behind a network partition could not be reached.
         let is_reachable = |zone: &str| {
-            !self.partitions.contains(zone) && !is_zone_unheard_since_failover(cluster, zone)
+            !self.partitions.contains(zone) && !is_zone_silent_since_failover(cluster, zone)
         };
         let kinds = kinds_by_price(ctx.machine_types, |kind| {
             plan.fleet.of_kind(kind) + requested_of_kind(kind)
--- a/crates/basaltrail-core/src/leader/mod.rs
+++ b/crates/basaltrail-core/src/leader/mod.rs
@@ -53,8 +53,9 @@
     pub job_cache_is_fresh: bool,
 }
 
-/// Heartbeat intervals without a heartbeat after which a machine counts as silent.
-const SILENCE_INTERVALS: Ms = 3;
+/// Time since the last heartbeat after which unsent assignments to a machine are withdrawn, in
+/// heartbeat intervals.
+const WITHDRAWAL_INTERVALS: Ms = 3;
 
 /// The state of a leading controller.
 pub struct Leader {
@@ -178,7 +179,7 @@
     /// silent machines.
     fn check_machines(&mut self, ctx: &Context, calls: &mut Calls) {
         let lease_ms = ctx.cfg.plus_drift_margin(ctx.cfg.worker_lease_ms);
-        let silence_ms = ctx.cfg.heartbeat_interval_ms * SILENCE_INTERVALS;
+        let silence_ms = ctx.cfg.heartbeat_interval_ms * WITHDRAWAL_INTERVALS;
         let reachable_since = self.liveness.reachable_since;
         let lease_has_ended =
             |m: &Machine| !m.lease_expired && ctx.now > m.lease_renewed_at + lease_ms;
