--- a/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
@@ -1,22 +1,24 @@
-//! The number of machines of each type that are worth their price.
+//! The number of machines of each type that the unfinished jobs and the guarantees justify.
 //!
-//! The settings do not state whether cost is an objective, so it always counts. Capacity for the
-//! sum of all guarantees is held ready on the cheapest machines. An expensive machine must have
-//! work for a fraction of its boot time, multiplied by its price ratio.
+//! The settings do not state whether cost is an objective, so it is always considered. Capacity
+//! for the sum of all guarantees is held ready on the cheapest machines. An expensive machine must
+//! have work for a fraction of its boot time, multiplied by its price ratio.
 
 use super::demand::TypeDemand;
 use crate::leader::Context;
 use crate::model::{MachineType, Ms};
 
-/// Price ratio per CPU to the cheapest kind from which a kind is expensive and not held ready.
+/// Ratio of the price per CPU to that of the cheapest kind from which a kind is expensive.
+/// Expensive kinds are not held ready.
 const EXPENSIVE_RATIO: f64 = 1.5;
 /// Fraction of its boot time for which an expensive machine must have work.
 const EXPENSIVE_BOOT_FRACTION: f64 = 0.7;
-/// Milliseconds in which the peak decays to 1/e, per second that machines may be idle: three times
-/// as long.
+/// Milliseconds in which the peak decays to 1/e, per second that machines may be idle. The decay
+/// time is three times the idle time.
 const PEAK_DECAY_MS_PER_IDLE_S: f64 = 3000.0;
 
-/// Numbers of on-demand or spot machines of one type that are worth their price.
+/// Numbers of machines of one type that are justified. On-demand and spot machines have separate
+/// targets.
 #[derive(Clone, Debug)]
 pub(in crate::leader) struct CapacityTarget {
     /// Name of the machine type.
@@ -25,20 +27,21 @@
     pub(in crate::leader) spot: bool,
     /// Ratio of its price per CPU to that of the cheapest kind; at least 1.
     pub(in crate::leader) price_ratio: f64,
-    /// Total number of machines of the type to hold ready for the guarantees.
+    /// Total number of machines of the type that are held ready for the guarantees.
     pub(in crate::leader) held_ready: usize,
     /// Total number of machines of the type that could be used now or are held ready.
     pub(in crate::leader) usable: usize,
-    /// Number of machines of the type up to which this kind is worth its price.
-    pub(in crate::leader) worthwhile: usize,
+    /// Number of machines of the type up to which a further one is justified at this price.
+    pub(in crate::leader) justified_machines: usize,
 }
 
 impl CapacityTarget {
-    /// Returns the number of machines beyond twice the worthwhile number, if the kind is expensive.
-    /// Beyond that, not even half of the machines would be requested.
+    /// Returns the number of machines beyond twice the justified number, or beyond the number held
+    /// ready if that is larger; 0 if the machines are not expensive. With more than twice the
+    /// justified number, not even half of the machines would be requested.
     pub(in crate::leader) fn excess_machines(&self, machines: usize) -> usize {
         match self.price_ratio >= EXPENSIVE_RATIO {
-            true => machines.saturating_sub((self.worthwhile * 2).max(self.held_ready)),
+            true => machines.saturating_sub((self.justified_machines * 2).max(self.held_ready)),
             false => 0,
         }
     }
@@ -57,7 +60,7 @@
         DemandPeak { machines: f64::MAX, updated_at: now }
     }
 
-    /// Decays the peak until now, raises it to the present demand and returns it.
+    /// Decays the peak until now, raises it to the current demand and returns it.
     fn update(&mut self, ctx: &Context, max_machines: f64, demand: f64) -> f64 {
         let decay_ms = (ctx.cfg.policy.idle_s * PEAK_DECAY_MS_PER_IDLE_S).max(1.0);
         let decay = (ctx.now - self.updated_at) as f64 / decay_ms;
@@ -83,7 +86,8 @@
     let lowest_price = price(cheapest_type).max(1e-9);
     let guaranteed_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.guaranteed_cpus).sum();
     let limit_cpus: f64 = ctx.cfg.teams.iter().map(|team| team.max_cpus).sum();
-    // The capacity held ready follows recent demand, so that no machines idle once the work ends.
+    // The capacity held ready follows recent demand, so that no machines are idle after the work
+    // has ended.
     let peak_machines = peak.update(ctx, limit_cpus, demand[cheapest].machines);
     let mut targets = Vec::new();
     for (index, (demand, machine_type)) in demand.iter().zip(ctx.machine_types).enumerate() {
@@ -96,7 +100,7 @@
         let usable = demand.machines.max(held_ready).min(limit_cpus / cpus).ceil() as usize;
         for spot in [false, true] {
             let price_ratio = (price_per_cpu(machine_type, spot) / lowest_price).max(1.0);
-            let (boot_fraction, min_worthwhile) = match price_ratio < EXPENSIVE_RATIO {
+            let (boot_fraction, min_justified) = match price_ratio < EXPENSIVE_RATIO {
                 true => (1.0, held_ready),
                 false => (EXPENSIVE_BOOT_FRACTION, 0.0),
             };
@@ -108,7 +112,7 @@
                 price_ratio,
                 held_ready: held_ready.ceil() as usize,
                 usable,
-                worthwhile: usable.min(paid_for.max(min_worthwhile).ceil() as usize),
+                justified_machines: usable.min(paid_for.max(min_justified).ceil() as usize),
             });
         }
     }
--- a/crates/basaltrail-core/src/leader/autoscaler/drain.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/drain.rs
@@ -25,7 +25,7 @@
 
 impl DrainBudget {
     /// Returns the reason to drain the machine, if there is one, and deducts it from the budget.
-    /// Also records since when the machine is idle.
+    /// Also records the time since which the machine is idle.
     fn claim_drain(
         &mut self,
         now: Ms,
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Updates and returns the time since when there are more machines than the jobs justify.
+    /// Updates and returns the time since which there have been more machines than the jobs
+    /// justify.
     fn update_surplus(&mut self, now: Ms, targets: &[CapacityTarget], fleet: &Fleet) -> Ms {
         let has_surplus = targets
             .iter()
--- a/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/inventory.rs
@@ -23,7 +23,7 @@
 pub(in crate::leader) struct Listing {
     /// The machines listed.
     pub(in crate::leader) machines: Vec<ListedMachine>,
-    /// Whether the list names all machines.
+    /// Whether the list contains all machines.
     pub(in crate::leader) complete: bool,
 }
 
@@ -34,13 +34,13 @@
     next_page_at: Ms,
     /// Machines on the pages read so far; `None` if the first page is read next.
     partial_list: Option<Vec<ListedMachine>>,
-    /// When the first page was requested.
+    /// Time at which the first page was requested.
     requested_at: Ms,
     in_flight: bool,
 }
 
 impl Inventory {
-    /// Requests the next page if it is due and the call rate allows it.
+    /// Requests the next page if it is due and the rate limit for calls to the cloud allows it.
     pub(in crate::leader) fn request_page(
         &mut self,
         ctx: &Context,
@@ -66,7 +66,7 @@
         );
     }
 
-    /// Applies a page; returns the list once all pages have been read.
+    /// Applies a page, and returns the list if it is the last one.
     pub(in crate::leader) fn apply_page(
         &mut self,
         ctx: &Context,
@@ -89,9 +89,9 @@
         Some(Listing { machines, complete: !more })
     }
 
-    /// Returns the machines that a complete list proves to be gone.
+    /// Returns the machines that no longer exist according to a complete list.
     ///
-    /// A machine that has been listed stays listed until it is gone, and a list is at most two lags
+    /// A machine that has been listed stays listed while it exists, and a list is at most two lags
     /// old. The tasks of such a machine need not wait until its lease expires.
     pub(in crate::leader) fn find_gone(
         &self,
--- a/crates/basaltrail-core/src/leader/autoscaler/mod.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/mod.rs
@@ -48,7 +48,7 @@
     termination: TerminationCall,
     /// Recently terminated machines.
     pub(in crate::leader) terminated: TerminatedMachines,
-    /// Since when there are more machines than the jobs justify.
+    /// Time since which there have been more machines than the jobs justify.
     surplus_since: Option<Ms>,
     /// Recent peak of the machines that the jobs could use.
     peak: DemandPeak,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Updates the zone with the most machines; returns true if it has changed.
+    /// Updates the zone with the most machines, and returns whether it has changed.
     fn update_primary_zone(&mut self, cluster: &Cluster) -> bool {
         let mut machines: BTreeMap<&str, usize> = BTreeMap::new();
         for machine in cluster.machines.values() {
--- a/crates/basaltrail-core/src/leader/autoscaler/provisioning_time.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning_time.rs
@@ -1,9 +1,10 @@
 //! The time that new machines take to come up, and the age from which they no longer count as
 //! capacity.
 //!
-//! A provisioned machine counts as capacity for pending tasks. A machine that is overdue, judged by
-//! recent observations, may never come up, so other machines are requested in its place. In a zone
-//! where most machines are overdue, only a few are tried until machines come up again.
+//! A provisioned machine counts as capacity for pending tasks. A machine that takes much longer
+//! than recently observed is overdue and may never come up, so other machines are requested in its
+//! place. In a zone where most machines are overdue, only a few are tried until machines come up
+//! again.
 //!
 //! Times are multiples of the nominal boot time, which the cloud states for the machine type.
 
@@ -16,13 +17,13 @@
 const OVERDUE_OBSERVED_FACTOR: f64 = 1.5;
 /// Nominal boot times after which a machine is abandoned, unless longer times were observed.
 pub const ABANDONED_BOOT_TIMES: f64 = 4.0;
-/// Nominal boot times after which a machine is overdue no matter what was observed.
+/// Nominal boot times after which a machine is overdue regardless of the observed times.
 const MAX_OVERDUE_BOOT_TIMES: f64 = 6.0;
 /// One in this many observations may be a straggler.
 const STRAGGLER_DIVISOR: usize = 8;
 /// Maximum number of observations kept per type and zone.
 const MAX_OBSERVATIONS: usize = 16;
-/// Nominal boot times for which an observation counts.
+/// Nominal boot times for which an observation is used.
 const OBSERVATION_LIFETIME_BOOT_TIMES: f64 = 20.0;
 /// Maximum number of booting machines in a zone where most are overdue.
 const MAX_TRIAL_MACHINES: usize = 2;
@@ -86,8 +87,8 @@
     }
 
     /// Returns the time in nominal boot times within which machines came up recently, stragglers
-    /// excluded. A single machine that takes several times as long is no reason to wait as long for
-    /// all.
+    /// excluded. A single machine that takes several times as long does not delay the replacement
+    /// of others.
     fn observed_boot_times(&self, machine_type: &MachineType, zone: &str, now: Ms) -> f64 {
         let Some(observations) = self.get(machine_type, zone) else { return 0.0 };
         let lifetime_ms = OBSERVATION_LIFETIME_BOOT_TIMES * nominal_boot_ms(machine_type);
@@ -156,8 +157,7 @@
     }
 }
 
-/// Returns the nominal boot time of a type. A time of 0 is raised to a second, and an absurdly long
-/// one lowered to 1e6 seconds.
+/// Returns the nominal boot time of a type. It is limited to the range from 1 s to 1e6 s.
 fn nominal_boot_ms(machine_type: &MachineType) -> f64 {
     machine_type.boot_s.clamp(1.0, 1e6) * 1000.0
 }
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -18,9 +18,10 @@
 use crate::store::calls::{Calls, CloudPurpose};
 use crate::store::rate_limiter::CallPriority;
 
-/// The present fleet and its targets.
+/// The current fleet, and the numbers of machines that it should have.
 pub(in crate::leader) struct FleetPlan {
-    /// Numbers of machines that are worth their price, by type.
+    /// Numbers of machines that the unfinished jobs and the guarantees justify, by machine type and
+    /// purchase option.
     pub(in crate::leader) targets: Vec<CapacityTarget>,
     /// The machines that count as capacity.
     pub(in crate::leader) fleet: Fleet,
@@ -29,21 +30,30 @@
 }
 
 impl FleetPlan {
-    /// Returns how many more machines of a kind are worth requesting. `requested` and
-    /// `requested_of_kind` are the numbers of the type and of the kind in unanswered requests.
-    fn shortage(&self, kind: &MachineKind, requested: usize, requested_of_kind: usize) -> usize {
+    /// Returns how many more machines of a kind should be requested. `requested_of_type` and
+    /// `requested_of_kind` are the numbers of machines of its type and of its kind in unanswered
+    /// requests.
+    fn missing_machines(
+        &self,
+        kind: &MachineKind,
+        requested_of_type: usize,
+        requested_of_kind: usize,
+    ) -> usize {
         let target = self
             .targets
             .iter()
             .find(|target| target.machine_type == kind.machine_type && target.spot == kind.spot);
-        let worthwhile = target.map_or(0, |target| target.worthwhile);
+        let justified = target.map_or(0, |target| target.justified_machines);
         let missing = self.needs.missing(kind).saturating_sub(requested_of_kind);
-        worthwhile.saturating_sub(self.fleet.of_type(&kind.machine_type) + requested).max(missing)
+        justified
+            .saturating_sub(self.fleet.of_type(&kind.machine_type) + requested_of_type)
+            .max(missing)
     }
 }
 
 impl Autoscaler {
-    /// Plans the fleet: requests machines that are worth their price, and drains surplus ones.
+    /// Plans the fleet: queues requests for machines that are justified or needed, and drains
+    /// surplus machines.
     pub(in crate::leader) fn plan(
         &mut self,
         ctx: &Context,
@@ -66,7 +76,8 @@
         self.drain_surplus(ctx, cluster, plan, calls);
     }
 
-    /// Returns the cheapest kind that is worth requesting, and the number to request.
+    /// Returns the kind with the lowest price per CPU of which machines should be requested, and
+    /// their number; `None` if there is none.
     fn next_request(
         &self,
         ctx: &Context,
@@ -76,10 +87,11 @@
         let queue = &self.provisioning;
         let requested_of_kind =
             |kind: &MachineKind| queue.requested_machines(|other| other == kind);
-        // A team without a limit may have tasks for more machines than can report to one leader.
-        let known = cluster.machines.len() + queue.requested_machines(|_| true);
-        let remaining = ctx.cfg.max_machines.saturating_sub(known);
-        // Machines behind a network partition could not be reached.
+        // The demand of a team without a limit may exceed the machines that can send heartbeats to
+        // one leader.
+        let known_or_requested = cluster.machines.len() + queue.requested_machines(|_| true);
+        let remaining = ctx.cfg.max_machines.saturating_sub(known_or_requested);
+        // A machine provisioned in a partitioned zone could not reach this leader.
         let is_reachable = |zone: &str| {
             !self.partitions.contains(zone) && !is_zone_silent_since_failover(cluster, zone)
         };
@@ -90,17 +102,18 @@
             .into_iter()
             .filter(|kind| queue.may_request(kind, ctx.now) && is_reachable(&kind.zone))
             .find_map(|kind| {
-                let requested =
+                let requested_of_type =
                     queue.requested_machines(|other| other.machine_type == kind.machine_type);
                 let machines = plan
-                    .shortage(&kind, requested, requested_of_kind(&kind))
+                    .missing_machines(&kind, requested_of_type, requested_of_kind(&kind))
                     .min(self.request_allowance(ctx, &kind))
                     .min(remaining);
                 (machines > 0).then_some((kind, machines))
             })
     }
 
-    /// Returns how many machines may be requested, given the overdue ones of the type in the zone.
+    /// Returns how many more machines of a kind may be requested now. The number is small while
+    /// more machines of its type in its zone are overdue or abandoned than have come up recently.
     fn request_allowance(&self, ctx: &Context, kind: &MachineKind) -> usize {
         let requested = self.provisioning.requested_machines(|other| {
             (&other.machine_type, &other.zone) == (&kind.machine_type, &kind.zone)
@@ -110,7 +123,8 @@
         })
     }
 
-    /// Marks booting machines that are overdue or abandoned.
+    /// Updates which booting machines are overdue or abandoned, and the numbers of booting machines
+    /// by type and zone.
     fn update_overdue(&mut self, ctx: &Context, cluster: &mut Cluster) {
         let times = &self.provisioning_times;
         let mut booting = Vec::new();
@@ -138,7 +152,7 @@
         self.provisioning_times.count_booting(machines);
     }
 
-    /// Sends the requests that are due, as far as the call rate allows.
+    /// Sends the provisioning requests that are due, within the rate limit for calls to the cloud.
     pub(in crate::leader) fn send_requests(
         &mut self,
         ctx: &Context,
@@ -167,7 +181,8 @@
         }
     }
 
-    /// Applies the reply to a request; returns the machines that it names.
+    /// Applies the reply to a provisioning request, and returns the provisioned machines except
+    /// those that have been terminated since.
     pub(in crate::leader) fn apply_provisioning_reply(
         &mut self,
         ctx: &Context,
@@ -185,7 +200,8 @@
                 return Vec::new();
             }
             _ => {
-                // The outcome is unknown.
+                // The cloud may have executed the request. Since a retry has the same name, no
+                // machine is provisioned twice.
                 self.provisioning.retry(request, ctx.now + ctx.cfg.worker_lease_ms / 10);
                 return Vec::new();
             }
@@ -199,7 +215,7 @@
         if ids.len() < request.count as usize {
             self.provisioning.record_refusal(request.kind.clone(), refused_until);
         }
-        // Machines that are still missing are requested at once.
+        // The next plan is made at once, since machines may still be missing.
         self.next_plan_at = ctx.now;
         ids.into_iter()
             .filter(|id| !self.terminated.contains(id))
