--- a/crates/basaltrail-admission/src/limiter.rs
+++ b/crates/basaltrail-admission/src/limiter.rs
@@ -85,7 +85,7 @@
     mod_revision: Revision,
     /// Reserved amounts, by index of the quota's entry.
     used: Vec<WorkAmount>,
-    /// Whether an acceptance failed since the quota has been replaced.
+    /// Whether an acceptance failed because the quota had been replaced.
     is_replaced: bool,
 }
 
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Ends a reservation by the outcome of its acceptance. A reservation that was not used is
+    /// Applies the outcome of an acceptance to its reservation. A reservation that was not used is
     /// released.
     pub fn settle(&mut self, reservation: &Reservation, outcome: AcceptanceOutcome) {
         let Some(usage) = self.usage.get_mut(&reservation.demand.team) else { return };
@@ -198,7 +198,8 @@
     ///
     /// # Errors
     ///
-    /// As [`QuotaLimiter::admit`]. The reservation is released even then.
+    /// Returns the rejection of [`QuotaLimiter::admit`]. The reservation is released in this case,
+    /// too.
     pub fn renew(
         &mut self,
         cache: &QuotaCache,
@@ -208,22 +209,22 @@
         self.admit(cache, reservation.demand)
     }
 
-    /// Returns whether this controller must request another quota, since it has used up an entry that
-    /// the leader considers unspent and would not replace on its own. This happens if acceptances
-    /// with unknown results were not executed, or if jobs were accepted and ended before the cache
-    /// read them.
+    /// Returns whether this controller must request another quota, since it has used up an entry
+    /// that counts as unused for the leader, which would not replace it on its own. This happens if
+    /// acceptances with unknown results were not executed, or if jobs were accepted and ended
+    /// before the cache read them.
     pub fn needs_replacement(&self, cache: &QuotaCache, team: &str) -> bool {
         let Some(cached) = cache.quota(team, &self.controller) else { return false };
         let remaining = self.remaining(cache, team);
         remaining.iter().enumerate().any(|(entry, remaining)| {
             !remaining.admits_job()
                 && cached.quota.classes[entry].amount().admits_job()
-                && cached.unspent(entry).admits_job()
+                && cached.unused(entry).admits_job()
         })
     }
 
-    /// Returns the remaining amounts of a team's quota, by index of the quota's entry; empty without
-    /// a quota.
+    /// Returns the remaining amounts of a team's quota, by index of the quota's entry; empty
+    /// without a quota.
     pub fn remaining(&self, cache: &QuotaCache, team: &str) -> Vec<WorkAmount> {
         let Some(cached) = self.own_quota(cache, team) else { return Vec::new() };
         let usage = self.usage.get(team).filter(|usage| usage.mod_revision == cached.mod_revision);
--- a/crates/basaltrail-admission/src/planner.rs
+++ b/crates/basaltrail-admission/src/planner.rs
@@ -1,9 +1,10 @@
 //! The leader's side of admission: plans how much work of each team and class each controller may
 //! accept.
 //!
-//! The sum of a team's backlog and of the unspent quotas of all controllers stays within a bound. A
-//! quota that is being replaced counts until the cache has reached the revision of the new one, since
-//! its controller may spend all of it until then.
+//! New quotas are planned so that the sum of a team's backlog and of the unused quotas of all
+//! controllers stays within a bound. The sum may still exceed the bound, for example after the
+//! bound has fallen. A quota that is being replaced is included in the sum until the cache contains
+//! the new one, since its controller may use all of it until then.
 
 use crate::quota::{AdmissionQuota, QuotaEntry, OTHER_CLASSES};
 use crate::quota_cache::{CachedQuota, QuotaCache};
@@ -11,38 +12,42 @@
 use crate::work_amount::WorkAmount;
 use std::collections::BTreeMap;
 
-/// Fraction of a team's bound that is reserved for its classes in equal parts, regardless of demand.
+/// Fraction of a team's bound that is reserved for its classes in equal parts, regardless of
+/// demand.
 const RESERVED_CLASS_FRACTION: f64 = 0.5;
 /// Fraction of a class's amount that is divided among the controllers in equal parts, regardless of
 /// demand.
 const RESERVED_CONTROLLER_FRACTION: f64 = 0.5;
-/// Fraction of the available amount that is allocated to quotas. The rest is needed to replace quotas, since a
-/// quota counts until its replacement is known.
+/// Fraction of the available amount that is allocated to quotas. The rest is needed while quotas
+/// are replaced, since a quota and its replacement are both included in the allocated amount until
+/// the cache contains the replacement.
 const ALLOCATED_FRACTION: f64 = 0.5;
-/// A quota is replaced once its unspent amount is less than this fraction of the target, or the
-/// target is less than this fraction of the unspent amount.
+/// A quota is replaced if, for any class, its unused jobs or work are below this fraction of the
+/// target and more can be allocated, or if the target is below this fraction of them.
 const REPLACEMENT_RATIO: f64 = 0.5;
-/// Factor by which the demand of earlier rounds decays each round.
-const DEMAND_DECAY: f64 = 0.5;
-/// Demand, in jobs, below which an entry is removed.
+/// Factor by which the demand of earlier rounds is multiplied in each round.
+const DEMAND_RETENTION: f64 = 0.5;
+/// Demand of a controller for a class, in jobs, below which it is no longer tracked.
 const MIN_DEMAND_JOBS: f64 = 0.01;
-/// Minimum rate at which a team's backlog is assumed to be worked off, as a fraction of the sum of
-/// all guarantees.
-const MIN_RATE_FRACTION: f64 = 0.1;
+/// Minimum number of CPUs that a team is assumed to process its backlog with, as a fraction of the
+/// sum of all guarantees.
+const MIN_CPUS_FRACTION: f64 = 0.1;
 /// Minimum bound of a team in jobs, per class and controller, regardless of the team's share.
 const MIN_JOBS_PER_ENTRY: u32 = 4;
-/// Maximum number of classes that the quotas of a team name. All other classes share one entry.
+/// Maximum number of classes that have an entry of their own in the quotas of a team. All other
+/// classes share one entry.
 const MAX_NAMED_CLASSES: usize = 16;
-/// Upper bound of `Retry-After` in seconds (PROTOCOL: `Retry-After` counts up to 30 s).
+/// Maximum `Retry-After` in seconds. Clients ignore any excess (PROTOCOL: `Retry-After` counts up to
+/// 30 s).
 const MAX_RETRY_AFTER_S: f64 = 30.0;
 
 /// The bounds of the backlogs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BacklogBounds {
-    /// Maximum backlog of a team: seconds of work at the rate at which the team is served.
+    /// Maximum backlog of a team, in seconds of work on the CPUs that the team receives.
     pub horizon_s: f64,
     /// Maximum number of unfinished jobs of all teams together.
-    pub jobs: u32,
+    pub max_jobs: u32,
     /// Seconds between two plans.
     pub round_s: f64,
 }
@@ -52,8 +57,8 @@
 pub struct ClassLoad {
     /// The class.
     pub class: String,
-    /// Number of unfinished jobs, and their waiting work.
-    pub waiting: WorkAmount,
+    /// Number of unfinished jobs, and the work of their pending tasks.
+    pub backlog: WorkAmount,
 }
 
 /// The backlog of one team, and the values that determine its bound.
@@ -65,11 +70,11 @@
     pub guaranteed_cpus: f64,
     /// Limit of CPUs; infinite without a limit.
     pub max_cpus: f64,
-    /// The team's share of the jobs that all teams may have, from 0 to 1.
+    /// The team's fraction of [`BacklogBounds::max_jobs`], from 0 to 1.
     pub job_share: f64,
     /// Moving average of the CPUs that the team used.
     pub served_cpus: f64,
-    /// The classes of the team, including classes without jobs that are to get a quota.
+    /// The classes of the team, including classes without jobs that should get a quota.
     pub classes: Vec<ClassLoad>,
 }
 
@@ -79,7 +84,7 @@
     /// The new quota.
     pub quota: AdmissionQuota,
     /// The mod revision that the record must still have; [`Revision::NONE`] if there is no record.
-    pub replaces: Revision,
+    pub expected_mod_revision: Revision,
 }
 
 /// The result of writing a quota.
@@ -93,23 +98,24 @@
     NotExecuted,
 }
 
-/// Writes of one quota record that are in flight or that the cache does not show yet. They count in
-/// addition to the quota that they replace. All replace the same mod revision, so that at most one
-/// of them is executed.
+/// Writes of one quota record that are in flight or that the cache does not contain yet. Their
+/// amounts are allocated in addition to those of the current quota. All have the same mod revision
+/// as a precondition, so at most one of them is executed.
 #[derive(Clone, Debug)]
-struct PendingQuota {
-    replaces: Revision,
+struct PendingWrites {
+    expected_mod_revision: Revision,
     /// The largest amount in any of the writes, by class.
     max_amounts: BTreeMap<String, WorkAmount>,
-    /// Whether the result of a write is unknown. Only a further write resolves it.
+    /// Whether the result of a write is unknown. If the write was not executed, only a further
+    /// write with the same precondition resolves this.
     result_unknown: bool,
 }
 
-/// The spent jobs of a quota at the last plan.
+/// The jobs accepted under a quota as of the last plan.
 #[derive(Clone, Debug)]
-struct LastSpent {
+struct LastAccepted {
     mod_revision: Revision,
-    /// Spent jobs, by index of the quota's entry.
+    /// Numbers of accepted jobs, by index of the quota's entry.
     jobs: Vec<u32>,
 }
 
@@ -117,18 +123,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct QuotaPlanner {
     /// Pending writes, by team and controller.
-    pending: BTreeMap<(String, String), PendingQuota>,
+    pending: BTreeMap<(String, String), PendingWrites>,
     /// Decaying count of accepted jobs, by team, class and controller.
     demand: BTreeMap<(String, String, String), f64>,
-    /// Spent jobs at the last plan, by team and controller.
-    last_spent: BTreeMap<(String, String), LastSpent>,
+    /// Jobs accepted as of the last plan, by team and controller.
+    last_accepted: BTreeMap<(String, String), LastAccepted>,
 }
 
-/// The inputs of the plan for one team. Amounts by class are in the order of `classes`.
+/// The amounts from which the quotas of one team are planned. Amounts by class are in the order of
+/// `classes`.
 struct TeamPlan<'a> {
     bounds: &'a BacklogBounds,
     team: &'a TeamLoad,
-    /// The bound of the team.
+    /// The bound of the sum of the team's backlog and unused quotas.
     bound: WorkAmount,
     /// The named classes, followed by the entry for all others.
     classes: Vec<ClassLoad>,
@@ -141,15 +148,16 @@
 }
 
 impl QuotaPlanner {
-    /// Returns the quotas to write now: those that are missing or deviate much from their targets.
-    /// The caller must report the result of each write to [`QuotaPlanner::record_result`].
+    /// Returns the quotas to write now, for example those that are missing or deviate too much from
+    /// their targets. The caller must report the result of each write to
+    /// [`QuotaPlanner::record_result`].
     pub fn plan(
         &mut self,
         cache: &QuotaCache,
         bounds: &BacklogBounds,
         teams: &[TeamLoad],
     ) -> Vec<QuotaWrite> {
-        self.remove_settled_writes(cache);
+        self.remove_resolved_writes(cache);
         self.update_demand(cache, teams);
         let total_guaranteed: f64 = teams.iter().map(|team| team.guaranteed_cpus).sum();
         let mut writes = Vec::new();
@@ -167,7 +175,7 @@
         let key = (write.quota.team.clone(), write.quota.controller.clone());
         let Some(pending) = self.pending.get_mut(&key) else { return };
         match result {
-            // The write remains pending until the cache shows it.
+            // The write remains pending until the cache contains it.
             WriteResult::Committed => pending.result_unknown = false,
             WriteResult::Unknown => pending.result_unknown = true,
             // The result of an earlier write is still unknown.
@@ -178,36 +186,36 @@
         }
     }
 
-    /// Returns the bound for the sum of a team's backlog and unspent quotas. `total_guaranteed` is
+    /// Returns the bound for the sum of a team's backlog and unused quotas. `total_guaranteed` is
     /// the sum of the guarantees of all teams, in CPUs; `controllers` is the number of controllers.
-    pub fn bound(
+    pub fn team_bound(
         bounds: &BacklogBounds,
         team: &TeamLoad,
         total_guaranteed: f64,
         controllers: usize,
     ) -> WorkAmount {
-        let min_rate = team.guaranteed_cpus.max(total_guaranteed * MIN_RATE_FRACTION);
-        let rate = team.served_cpus.max(min_rate).min(team.max_cpus);
-        let jobs = (f64::from(bounds.jobs) * team.job_share) as u32;
+        let min_cpus = team.guaranteed_cpus.max(total_guaranteed * MIN_CPUS_FRACTION);
+        let cpus = team.served_cpus.max(min_cpus).min(team.max_cpus);
+        let jobs = (f64::from(bounds.max_jobs) * team.job_share) as u32;
         let entries = (team.classes.len() + 1).min(MAX_NAMED_CLASSES + 1) * controllers;
         WorkAmount {
             jobs: jobs.max(entries as u32 * MIN_JOBS_PER_ENTRY),
-            work: rate * bounds.horizon_s,
+            work: cpus * bounds.horizon_s,
         }
     }
 
     /// Removes pending writes whose record has changed in the cache: either one of them was
-    /// executed, or none of them can be any more.
-    fn remove_settled_writes(&mut self, cache: &QuotaCache) {
+    /// executed, or none of them can be executed any more.
+    fn remove_resolved_writes(&mut self, cache: &QuotaCache) {
         self.pending.retain(|(team, controller), pending| {
-            cache.quota_revision(team, controller) == pending.replaces
+            cache.quota_revision(team, controller) == pending.expected_mod_revision
         });
     }
 
     fn add_pending(&mut self, write: &QuotaWrite) {
         let key = (write.quota.team.clone(), write.quota.controller.clone());
-        let pending = self.pending.entry(key).or_insert_with(|| PendingQuota {
-            replaces: write.replaces,
+        let pending = self.pending.entry(key).or_insert_with(|| PendingWrites {
+            expected_mod_revision: write.expected_mod_revision,
             max_amounts: BTreeMap::new(),
             result_unknown: false,
         });
@@ -219,14 +227,16 @@
 
     /// Decays the demand and adds the jobs that each controller accepted since the last plan.
     fn update_demand(&mut self, cache: &QuotaCache, teams: &[TeamLoad]) {
-        self.demand.values_mut().for_each(|jobs| *jobs *= DEMAND_DECAY);
+        self.demand.values_mut().for_each(|jobs| *jobs *= DEMAND_RETENTION);
         self.demand.retain(|_, jobs| *jobs > MIN_DEMAND_JOBS);
-        let last_spent = std::mem::take(&mut self.last_spent);
+        let last_accepted = std::mem::take(&mut self.last_accepted);
         for cached in teams.iter().flat_map(|team| cache.team_quotas(&team.team)) {
             let AdmissionQuota { team, controller, classes, .. } = &cached.quota;
             let key = (team.clone(), controller.clone());
-            let last = last_spent.get(&key).filter(|last| last.mod_revision == cached.mod_revision);
-            let jobs: Vec<u32> = (0..classes.len()).map(|entry| cached.spent(entry).jobs).collect();
+            let last =
+                last_accepted.get(&key).filter(|last| last.mod_revision == cached.mod_revision);
+            let jobs: Vec<u32> =
+                (0..classes.len()).map(|entry| cached.accepted(entry).jobs).collect();
             for (entry, class) in classes.iter().enumerate() {
                 let last_jobs = last.map_or(0, |last| last.jobs[entry]);
                 let new_jobs = jobs[entry].saturating_sub(last_jobs);
@@ -235,7 +245,8 @@
                     *self.demand.entry(key).or_default() += f64::from(new_jobs);
                 }
             }
-            self.last_spent.insert(key, LastSpent { mod_revision: cached.mod_revision, jobs });
+            self.last_accepted
+                .insert(key, LastAccepted { mod_revision: cached.mod_revision, jobs });
         }
     }
 
@@ -244,10 +255,10 @@
         self.demand.get(&key).copied().unwrap_or(0.0)
     }
 
-    /// Returns the amount that controllers may still accept of a class under written quotas and
-    /// pending writes.
-    fn outstanding(&self, cache: &QuotaCache, team: &str, class: &str) -> WorkAmount {
-        let written = cache.team_quotas(team).map(|cached| unspent_of_class(cached, class));
+    /// Returns the amount of a class that controllers may still accept, under quotas in the cache
+    /// and under pending writes.
+    fn unused_amount(&self, cache: &QuotaCache, team: &str, class: &str) -> WorkAmount {
+        let written = cache.team_quotas(team).map(|cached| unused_of_class(cached, class));
         let pending = self.pending.iter().filter(|((pending_team, _), _)| pending_team == team);
         let pending = pending.filter_map(|(_, pending)| pending.max_amounts.get(class).copied());
         written.chain(pending).fold(WorkAmount::default(), WorkAmount::plus)
@@ -262,21 +273,22 @@
     ) -> Vec<QuotaWrite> {
         let classes = entry_classes(team);
         let controllers: Vec<(&str, u64)> = cache.controllers().collect();
-        let bound = Self::bound(bounds, team, total_guaranteed, controllers.len());
+        let bound = Self::team_bound(bounds, team, total_guaranteed, controllers.len());
         let demands = self.demands(team, &classes, &controllers);
-        let waiting: Vec<WorkAmount> = classes.iter().map(|load| load.waiting).collect();
-        let available = available_by_class(bound, &waiting, &demands);
-        // Outstanding quotas count as committed. Each new quota takes a part of the remainder.
-        let committed: Vec<WorkAmount> = classes
+        let backlog: Vec<WorkAmount> = classes.iter().map(|load| load.backlog).collect();
+        let available = available_by_class(bound, &backlog, &demands);
+        // The backlog and the unused quotas are already allocated. Each new quota takes a part of
+        // the remaining amounts.
+        let allocated: Vec<WorkAmount> = classes
             .iter()
-            .map(|load| load.waiting.plus(self.outstanding(cache, &team.team, &load.class)))
+            .map(|load| load.backlog.plus(self.unused_amount(cache, &team.team, &load.class)))
             .collect();
-        let mut remaining = available_by_class(bound, &committed, &demands);
+        let mut remaining = available_by_class(bound, &allocated, &demands);
         let plan = TeamPlan { bounds, team, bound, classes, controllers, demands, available };
         let mut writes = Vec::new();
         for (index, (controller, incarnation)) in plan.controllers.iter().enumerate() {
             let targets = plan.targets(index);
-            if self.replacement_due(cache, &plan, index, &targets, &remaining) {
+            if self.is_write_due(cache, &plan, index, &targets, &remaining) {
                 let classes = plan.allocate_entries(&targets, &mut remaining);
                 let quota = AdmissionQuota {
                     team: team.team.clone(),
@@ -285,8 +297,8 @@
                     horizon_s: bounds.horizon_s,
                     classes,
                 };
-                let replaces = cache.quota_revision(&team.team, controller);
-                writes.push(QuotaWrite { quota, replaces });
+                let expected_mod_revision = cache.quota_revision(&team.team, controller);
+                writes.push(QuotaWrite { quota, expected_mod_revision });
             }
         }
         writes
@@ -307,20 +319,20 @@
         classes.iter().map(of_class).collect()
     }
 
-    /// Returns whether a controller's quota must be written.
-    fn replacement_due(
+    /// Returns whether a new quota must be written for a controller.
+    fn is_write_due(
         &self,
         cache: &QuotaCache,
         plan: &TeamPlan,
-        controller: usize,
+        controller_index: usize,
         targets: &[WorkAmount],
         remaining: &[WorkAmount],
     ) -> bool {
-        let (controller, incarnation) = plan.controllers[controller];
+        let (controller, incarnation) = plan.controllers[controller_index];
         let team = &plan.team.team;
         if let Some(pending) = self.pending.get(&(team.clone(), controller.to_string())) {
             // Another write is needed only to resolve an unknown result. Otherwise the cache will
-            // show the pending write.
+            // contain the pending write.
             return pending.result_unknown;
         }
         let cached = cache.quota(team, controller);
@@ -333,20 +345,20 @@
 }
 
 impl TeamPlan<'_> {
-    /// Returns the amounts that a controller's quota should hold, by class.
-    fn targets(&self, controller: usize) -> Vec<WorkAmount> {
+    /// Returns the amounts that a controller's quota should contain, by class.
+    fn targets(&self, controller_index: usize) -> Vec<WorkAmount> {
         let controllers = self.controllers.len();
         self.available
             .iter()
             .zip(&self.demands)
             .map(|(available, demands)| {
-                target_amount(*available, controller_share(demands, controller), controllers)
+                target_amount(*available, controller_share(demands, controller_index), controllers)
             })
             .collect()
     }
 
-    /// Returns the entries of a new quota, which hold at most the targets and the remaining amounts,
-    /// and subtracts them from the remaining amounts.
+    /// Returns the entries of a new quota, and subtracts them from the remaining amounts. An entry
+    /// is the smaller of the target and the remaining amount.
     fn allocate_entries(
         &self,
         targets: &[WorkAmount],
@@ -365,13 +377,14 @@
         self.classes.iter().enumerate().map(entry).collect()
     }
 
-    /// Returns the estimated time until a class whose entry is used up is admitted again, in
-    /// seconds: the mean time until the next plan, plus the time to work off the team's backlog in
-    /// excess of its bound and, if the class has nothing available, one of its jobs.
+    /// Returns the estimated seconds until jobs of a class whose entry is used up are admitted
+    /// again: half a round, plus the time in which the team processes the part of its backlog
+    /// beyond the bound. If nothing is available to the class, the time for one of its jobs is
+    /// added.
     fn retry_after_s(&self, class: usize) -> u32 {
-        let team_work = self.team.classes.iter().map(|load| load.waiting.work).sum::<f64>();
-        let waiting = self.classes[class].waiting;
-        let work_per_job = waiting.work / f64::from(waiting.jobs.max(1));
+        let team_work = self.team.classes.iter().map(|load| load.backlog.work).sum::<f64>();
+        let backlog = self.classes[class].backlog;
+        let work_per_job = backlog.work / f64::from(backlog.jobs.max(1));
         let next_job_work = if self.available[class].admits_job() { 0.0 } else { work_per_job };
         let excess_work = (team_work - self.bound.work).max(0.0) + next_job_work;
         let excess_s = excess_work / self.team.served_cpus.max(self.team.guaranteed_cpus).max(1.0);
@@ -379,8 +392,9 @@
     }
 }
 
-/// Returns whether the unspent amount of a quota is far above a target, or far below a target while
-/// the remaining amount allows an increase.
+/// Returns whether a quota deviates from the target of any class by more than
+/// [`REPLACEMENT_RATIO`]. An amount below the target counts only if more can be allocated. A
+/// missing entry is a deviation, too.
 fn deviates_from_targets(
     cached: &CachedQuota,
     classes: &[ClassLoad],
@@ -392,76 +406,77 @@
         else {
             return true;
         };
-        let unspent = cached.unspent(entry);
+        let unused = cached.unused(entry);
         let target = targets[class];
         let achievable = target.min(remaining[class]);
         let jobs = |amount: WorkAmount| f64::from(amount.jobs);
-        let too_low = (jobs(unspent) < jobs(target) * REPLACEMENT_RATIO
-            && achievable.jobs > unspent.jobs)
-            || (unspent.work < target.work * REPLACEMENT_RATIO && achievable.work > unspent.work);
-        let too_high = jobs(unspent) * REPLACEMENT_RATIO > jobs(target) + 1.0
-            || unspent.work * REPLACEMENT_RATIO > target.work + 1.0;
+        let too_low = (jobs(unused) < jobs(target) * REPLACEMENT_RATIO
+            && achievable.jobs > unused.jobs)
+            || (unused.work < target.work * REPLACEMENT_RATIO && achievable.work > unused.work);
+        let too_high = jobs(unused) * REPLACEMENT_RATIO > jobs(target) + 1.0
+            || unused.work * REPLACEMENT_RATIO > target.work + 1.0;
         too_low || too_high
     })
 }
 
-fn unspent_of_class(cached: &CachedQuota, class: &str) -> WorkAmount {
+fn unused_of_class(cached: &CachedQuota, class: &str) -> WorkAmount {
     let entry = cached.quota.classes.iter().position(|entry| entry.class == class);
-    entry.map_or(WorkAmount::default(), |entry| cached.unspent(entry))
+    entry.map_or(WorkAmount::default(), |entry| cached.unused(entry))
 }
 
-/// Returns the classes that get an entry of their own (those with the most unfinished jobs), ordered
-/// by name, followed by the entry for all other classes.
+/// Returns the classes that get an entry of their own, ordered by name, followed by the entry for
+/// all other classes. Classes with the most unfinished jobs get an entry of their own.
 fn entry_classes(team: &TeamLoad) -> Vec<ClassLoad> {
     let mut classes: Vec<ClassLoad> =
         team.classes.iter().filter(|load| load.class != OTHER_CLASSES).cloned().collect();
-    classes.sort_by(|a, b| b.waiting.jobs.cmp(&a.waiting.jobs).then_with(|| a.class.cmp(&b.class)));
+    classes.sort_by(|a, b| b.backlog.jobs.cmp(&a.backlog.jobs).then_with(|| a.class.cmp(&b.class)));
     let others = classes.split_off(classes.len().min(MAX_NAMED_CLASSES));
-    let waiting = others.iter().fold(WorkAmount::default(), |sum, load| sum.plus(load.waiting));
+    let backlog = others.iter().fold(WorkAmount::default(), |sum, load| sum.plus(load.backlog));
     classes.sort_by(|a, b| a.class.cmp(&b.class));
-    classes.push(ClassLoad { class: OTHER_CLASSES.into(), waiting });
+    classes.push(ClassLoad { class: OTHER_CLASSES.into(), backlog });
     classes
 }
 
-/// Returns the amount that is available to each class: the remainder of its reserved part, and a
-/// part of the unreserved remainder of the bound in proportion to its recent demand.
+/// Returns the amount that is available to each class: the unallocated rest of its reserved part,
+/// plus a share of the amount that is neither allocated nor reserved. The shares are in proportion
+/// to recent demand plus one job.
 fn available_by_class(
     bound: WorkAmount,
-    committed: &[WorkAmount],
+    allocated: &[WorkAmount],
     demands: &[Vec<f64>],
 ) -> Vec<WorkAmount> {
-    let reserved = bound.scaled(RESERVED_CLASS_FRACTION / committed.len().max(1) as f64);
-    let unavailable = committed
+    let reserved = bound.scaled(RESERVED_CLASS_FRACTION / allocated.len().max(1) as f64);
+    let unavailable = allocated
         .iter()
-        .map(|committed| committed.max(reserved))
+        .map(|allocated| allocated.max(reserved))
         .fold(WorkAmount::default(), WorkAmount::plus);
     let unreserved = bound.minus(unavailable);
     let weights: Vec<f64> =
         demands.iter().map(|demands| 1.0 + demands.iter().sum::<f64>()).collect();
     let sum: f64 = weights.iter().sum();
-    committed
+    allocated
         .iter()
         .zip(&weights)
-        .map(|(committed, weight)| reserved.minus(*committed).plus(unreserved.scaled(weight / sum)))
+        .map(|(allocated, weight)| reserved.minus(*allocated).plus(unreserved.scaled(weight / sum)))
         .collect()
 }
 
 /// Returns a controller's share of the amount of a class, from 0 to 1. A reserved fraction is
 /// divided equally, the rest in proportion to recent demand.
-fn controller_share(demands: &[f64], controller: usize) -> f64 {
+fn controller_share(demands: &[f64], controller_index: usize) -> f64 {
     let count = demands.len().max(1) as f64;
     let sum: f64 = demands.iter().sum();
     match sum > 0.0 {
         true => {
             RESERVED_CONTROLLER_FRACTION / count
-                + (1.0 - RESERVED_CONTROLLER_FRACTION) * demands[controller] / sum
+                + (1.0 - RESERVED_CONTROLLER_FRACTION) * demands[controller_index] / sum
         }
         false => 1.0 / count,
     }
 }
 
-/// Returns the amount that a controller should hold of a class: at least one job if two jobs are
-/// available for each controller.
+/// Returns the target amount of a class for a controller. It is at least one job if at least two
+/// jobs per controller are available.
 fn target_amount(available: WorkAmount, share: f64, controllers: usize) -> WorkAmount {
     let amount = available.scaled(ALLOCATED_FRACTION * share);
     let min_jobs = u32::from(available.jobs as usize >= 2 * controllers);
--- a/crates/basaltrail-admission/src/quota.rs
+++ b/crates/basaltrail-admission/src/quota.rs
@@ -44,8 +44,8 @@
     /// Work, in CPU-seconds.
     #[serde(rename = "w")]
     pub work: f64,
-    /// The leader's estimate of the time until a submission is admitted again once the entry is used
-    /// up, in seconds.
+    /// The leader's estimate of the time until a submission is admitted again once the entry is
+    /// used up, in seconds.
     #[serde(rename = "s")]
     pub retry_after_s: u32,
 }
@@ -66,7 +66,8 @@
     /// The controller.
     #[serde(rename = "n")]
     pub controller: String,
-    /// The incarnation of the process. A later process of the same controller must not use the quota.
+    /// The incarnation of the process. A later process of the same controller must not use the
+    /// quota.
     #[serde(rename = "i")]
     pub incarnation: u64,
     /// Upper bound of the run time that is counted for a task, in seconds.
--- a/crates/basaltrail-admission/src/quota_cache.rs
+++ b/crates/basaltrail-admission/src/quota_cache.rs
@@ -7,8 +7,8 @@
 use crate::work_amount::WorkAmount;
 use std::collections::BTreeMap;
 
-/// Maximum number of cached controllers. Records of further controllers are ignored. This bounds the
-/// memory for stale records of controllers that no longer exist.
+/// Maximum number of cached controllers. Records of further controllers are ignored. This bounds
+/// the memory for stale records of controllers that no longer exist.
 const MAX_CONTROLLERS: usize = 256;
 /// Maximum number of cached quotas: 64 teams for each of the controllers.
 const MAX_QUOTAS: usize = 16_384;
@@ -24,7 +24,7 @@
     pub mod_revision: Revision,
 }
 
-/// A quota and the known amounts that were accepted under it.
+/// A quota, and the amounts accepted under it according to the cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedQuota {
     /// The quota.
@@ -32,10 +32,10 @@
     /// The mod revision of the quota's record.
     pub mod_revision: Revision,
     /// Whether all acceptances under the quota are counted. If the quota was read from a list, jobs
-    /// that have ended since are missing, and the unspent amounts are too high.
+    /// that have ended since are missing, and the unused amounts are too high.
     pub is_complete: bool,
     /// Accepted amounts, by index of the quota's entry.
-    spent: Vec<WorkAmount>,
+    accepted_amounts: Vec<WorkAmount>,
 }
 
 impl CachedQuota {
@@ -45,18 +45,20 @@
         }
         if let Some(entry) = self.quota.entry_index(&acceptance.demand.class) {
             let cost = acceptance.demand.cost(self.quota.horizon_s);
-            self.spent[entry] = self.spent[entry].plus(cost);
+            self.accepted_amounts[entry] = self.accepted_amounts[entry].plus(cost);
         }
     }
 
-    /// Returns the amount of an entry that may still be accepted, as far as the cache knows.
-    pub fn unspent(&self, entry: usize) -> WorkAmount {
-        self.quota.classes[entry].amount().minus(self.spent[entry])
+    /// Returns the amount of an entry that may still be accepted, according to the acceptances in
+    /// the cache.
+    pub fn unused(&self, entry: usize) -> WorkAmount {
+        self.quota.classes[entry].amount().minus(self.accepted_amounts[entry])
     }
 
-    /// Returns the amount that was accepted under an entry, as far as the cache knows.
-    pub fn spent(&self, entry: usize) -> WorkAmount {
-        self.spent[entry]
+    /// Returns the amount that was accepted under an entry, according to the acceptances in the
+    /// cache.
+    pub fn accepted(&self, entry: usize) -> WorkAmount {
+        self.accepted_amounts[entry]
     }
 }
 
@@ -90,8 +92,8 @@
     }
 
     /// Puts a quota, unless a later one is cached. `accepted` are the known acceptances; those of
-    /// other controllers and teams are ignored. `is_complete` must be false if acceptances after the
-    /// mod revision of the quota may be missing, since their jobs have ended.
+    /// other controllers and teams are ignored. `is_complete` must be false if acceptances after
+    /// the mod revision of the quota may be missing, since their jobs have ended.
     pub fn put_quota(
         &mut self,
         quota: AdmissionQuota,
@@ -106,8 +108,8 @@
         {
             return;
         }
-        let spent = vec![WorkAmount::default(); quota.classes.len()];
-        let mut cached = CachedQuota { quota, mod_revision, is_complete, spent };
+        let accepted_amounts = vec![WorkAmount::default(); quota.classes.len()];
+        let mut cached = CachedQuota { quota, mod_revision, is_complete, accepted_amounts };
         let is_under_quota = |acceptance: &Acceptance| {
             acceptance.controller == key.1 && acceptance.demand.team == key.0
         };
@@ -161,8 +163,8 @@
         self.quotas.get(&(team.to_string(), controller.to_string()))
     }
 
-    /// Returns the mod revision of the quota of a team at a controller; [`Revision::NONE`] without a
-    /// quota.
+    /// Returns the mod revision of the quota of a team at a controller; [`Revision::NONE`] without
+    /// a quota.
     pub fn quota_revision(&self, team: &str, controller: &str) -> Revision {
         self.quota(team, controller).map_or(Revision::NONE, |cached| cached.mod_revision)
     }
--- a/crates/basaltrail-admission/tests/model.rs
+++ b/crates/basaltrail-admission/tests/model.rs
@@ -1,6 +1,6 @@
 //! Simulation of controllers, a leader and a store: caches lag, writes are executed late or twice,
-//! replies are lost, processes freeze and restart, and leaders change. The number of unfinished jobs
-//! of a team must never exceed the bound of the team.
+//! replies are lost, processes freeze and restart, and leaders change. The number of unfinished
+//! jobs of a team must never exceed the bound of the team.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by a panic")]
 
@@ -12,7 +12,7 @@
 const CONTROLLERS: usize = 3;
 const TEAM: &str = "t";
 const CLASSES: [&str; 2] = ["large", "small"];
-const BOUNDS: BacklogBounds = BacklogBounds { horizon_s: 100.0, jobs: 240, round_s: 10.0 };
+const BOUNDS: BacklogBounds = BacklogBounds { horizon_s: 100.0, max_jobs: 240, round_s: 10.0 };
 const GUARANTEED: f64 = 100.0;
 
 /// A record in the store's log.
@@ -40,8 +40,8 @@
     /// Number of records of the log that the process has read.
     read: usize,
     frozen_until: u64,
-    /// Number of records in the log when the watch started. Of the jobs accepted before, the process
-    /// only knows those that have not ended.
+    /// Number of records in the log when the watch started. Of the jobs accepted before, the
+    /// process only knows those that have not ended.
     watch_start: usize,
 }
 
@@ -57,7 +57,8 @@
     leader: usize,
     leader_revision: u64,
     planner: QuotaPlanner,
-    /// Transactions in flight: the time of execution, the transaction, and whether the reply is lost.
+    /// Transactions in flight: the time of execution, the transaction, and whether the reply is
+    /// lost.
     writes: Vec<(u64, Write, bool)>,
     /// Unfinished jobs.
     jobs: BTreeMap<u64, Acceptance>,
@@ -130,11 +131,12 @@
         model
     }
 
-    /// Returns the maximum number of unfinished jobs. It is constant, since the team is always served
-    /// at its guarantee. All submissions are of named classes, so the part that is reserved for other
-    /// classes is never used.
+    /// Returns the maximum number of unfinished jobs. It is constant, since the team is always
+    /// served at its guarantee. All submissions are of named classes, so the part that is reserved
+    /// for other classes is never used.
     fn bound(&self) -> u32 {
-        let bound = QuotaPlanner::bound(&BOUNDS, &team(Vec::new()), GUARANTEED, CONTROLLERS).jobs;
+        let bound =
+            QuotaPlanner::team_bound(&BOUNDS, &team(Vec::new()), GUARANTEED, CONTROLLERS).jobs;
         bound - bound / 2 / (CLASSES.len() as u32 + 1)
     }
 
@@ -143,14 +145,14 @@
     fn load(&self) -> TeamLoad {
         let read_records = &self.log[..self.controllers[self.leader].read];
         let mut classes: Vec<ClassLoad> = CLASSES
-            .map(|class| ClassLoad { class: class.into(), waiting: WorkAmount::default() })
+            .map(|class| ClassLoad { class: class.into(), backlog: WorkAmount::default() })
             .to_vec();
         for record in read_records {
             let Record::Job { id, acceptance } = record else { continue };
             if self.jobs.contains_key(id) {
                 let load = classes.iter_mut().find(|load| load.class == acceptance.demand.class);
                 let load = load.unwrap();
-                load.waiting = load.waiting.plus(acceptance.demand.cost(BOUNDS.horizon_s));
+                load.backlog = load.backlog.plus(acceptance.demand.cost(BOUNDS.horizon_s));
             }
         }
         team(classes)
@@ -258,7 +260,8 @@
             Write::Quota { leader, write } => {
                 let key = write.quota.controller.clone();
                 let mod_revision = self.mod_revisions.get(&key).copied().unwrap_or(Revision::NONE);
-                let committed = leader == self.leader_revision && mod_revision == write.replaces;
+                let committed =
+                    leader == self.leader_revision && mod_revision == write.expected_mod_revision;
                 if committed {
                     self.log.push(Record::Quota(write.quota.clone()));
                     self.mod_revisions.insert(key, Revision(self.log.len() as u64));
@@ -325,8 +328,8 @@
         );
     }
 
-    /// Freezes or restarts a process, changes the leader, stalls the jobs, or directs all submissions
-    /// to one controller.
+    /// Freezes or restarts a process, changes the leader, stalls the jobs, or directs all
+    /// submissions to one controller.
     fn inject_fault(&mut self) {
         let controller = self.rng.random_range(0..CONTROLLERS);
         match self.rng.random_range(0..6) {
@@ -393,7 +396,7 @@
     println!("{total_accepted} jobs accepted, at most {max_unfinished} unfinished");
     assert!(total_accepted > 10_000, "only {total_accepted} jobs were accepted");
     assert!(
-        max_unfinished as u32 >= BOUNDS.jobs * 3 / 4,
+        max_unfinished as u32 >= BOUNDS.max_jobs * 3 / 4,
         "at most {max_unfinished} unfinished jobs: the bound was not approached"
     );
 }
--- a/crates/basaltrail-admission/tests/planner.rs
+++ b/crates/basaltrail-admission/tests/planner.rs
@@ -2,12 +2,12 @@
 
 use basaltrail_admission::*;
 
-const BOUNDS: BacklogBounds = BacklogBounds { horizon_s: 100.0, jobs: 400, round_s: 10.0 };
+const BOUNDS: BacklogBounds = BacklogBounds { horizon_s: 100.0, max_jobs: 400, round_s: 10.0 };
 
 fn load(team: &str, classes: &[(&str, u32)]) -> TeamLoad {
     let class = |(class, jobs): &(&str, u32)| {
-        let waiting = WorkAmount { jobs: *jobs, work: f64::from(*jobs) * 10.0 };
-        ClassLoad { class: (*class).into(), waiting }
+        let backlog = WorkAmount { jobs: *jobs, work: f64::from(*jobs) * 10.0 };
+        ClassLoad { class: (*class).into(), backlog }
     };
     TeamLoad {
         team: team.into(),
@@ -80,7 +80,7 @@
     planner.record_result(&first[1], WriteResult::NotExecuted);
     let second = planner.plan(&cache, &BOUNDS, &team);
     assert_eq!(second.len(), 2);
-    let bound = QuotaPlanner::bound(&BOUNDS, &team[0], 20.0, 2).jobs;
+    let bound = QuotaPlanner::team_bound(&BOUNDS, &team[0], 20.0, 2).jobs;
     let written = sum(&first[..1], "t", "c").plus(sum(&second, "t", "c")).jobs;
     assert!(written <= bound, "{written} jobs written, {bound} allowed");
 }
@@ -97,8 +97,8 @@
         put_written(&mut cache, &writes, mod_revision);
         mod_revision += 100;
         // One controller uses its whole quota, and the jobs end before the next plan.
-        let unspent = cache.quota("t", "n1").unwrap().unspent(0).jobs;
-        for index in 0..u64::from(unspent) {
+        let unused = cache.quota("t", "n1").unwrap().unused(0).jobs;
+        for index in 0..u64::from(unused) {
             let demand =
                 JobDemand { team: "t".into(), class: "c".into(), cpus: 1.0, run_s: Some(1.0) };
             let mod_revision = Revision(mod_revision - 50 + index % 50);
@@ -122,13 +122,13 @@
     cache.put_controller("n1", 2, Revision(50));
     let second = planner.plan(&cache, &BOUNDS, &team);
     assert_eq!(second.len(), 1);
-    assert_eq!((second[0].quota.incarnation, second[0].replaces), (2, Revision(11)));
+    assert_eq!((second[0].quota.incarnation, second[0].expected_mod_revision), (2, Revision(11)));
 }
 
-/// The quota of one controller has a large unspent amount when it and that of the other controller
+/// The quota of one controller has a large unused amount when it and that of the other controller
 /// are replaced in the same plan.
 #[test]
-fn the_unspent_amount_of_a_quota_counts_while_it_is_replaced() {
+fn the_unused_amount_of_a_quota_counts_while_it_is_replaced() {
     let mut cache = controllers(2);
     let quota = |controller: &str, jobs| {
         let class = |name: &str, jobs| QuotaEntry {
@@ -148,10 +148,10 @@
     cache.put_quota(quota("n0", 140), Revision(10), std::iter::empty(), true);
     cache.put_quota(quota("n1", 0), Revision(11), std::iter::empty(), true);
     let team = [load("t", &[("c", 0)])];
-    let bound = QuotaPlanner::bound(&BOUNDS, &team[0], 20.0, 2).jobs;
+    let bound = QuotaPlanner::team_bound(&BOUNDS, &team[0], 20.0, 2).jobs;
     let writes = QuotaPlanner::default().plan(&cache, &BOUNDS, &team);
     let written = sum(&writes, "t", "c").plus(sum(&writes, "t", OTHER_CLASSES)).jobs;
-    assert!(140 + written <= bound, "{written} jobs written, 140 unspent, {bound} allowed");
+    assert!(140 + written <= bound, "{written} jobs written, 140 unused, {bound} allowed");
 }
 
 /// Controllers join one after another, while the cache does not show any of the written quotas.
@@ -167,7 +167,7 @@
         let writes = planner.plan(&cache, &BOUNDS, &team);
         writes.iter().for_each(|write| planner.record_result(write, WriteResult::Committed));
         written = written.plus(sum(&writes, "t", OTHER_CLASSES));
-        bound = QuotaPlanner::bound(&BOUNDS, &team[0], 20.0, controller as usize + 1).jobs;
+        bound = QuotaPlanner::team_bound(&BOUNDS, &team[0], 20.0, controller as usize + 1).jobs;
     }
     assert!(written.jobs <= bound, "{} jobs written, {bound} allowed", written.jobs);
 }
@@ -184,5 +184,8 @@
     cache.put_controller("n1", 1, Revision(50));
     let second = planner.plan(&cache, &BOUNDS, &team);
     assert_eq!(second.len(), 1);
-    assert_eq!((second[0].quota.controller.as_str(), second[0].replaces), ("n1", Revision(11)));
+    assert_eq!(
+        (second[0].quota.controller.as_str(), second[0].expected_mod_revision),
+        ("n1", Revision(11))
+    );
 }
--- a/crates/basaltrail-core/src/controller/admission_tests.rs
+++ b/crates/basaltrail-core/src/controller/admission_tests.rs
@@ -175,7 +175,7 @@
 }
 
 /// A controller counts an acceptance without a reply as used. If it was not committed, the leader
-/// counts the quota as unspent and does not replace it, so the controller would reject submissions
+/// counts the quota as unused and does not replace it, so the controller would reject submissions
 /// forever.
 #[test]
 fn a_controller_whose_acceptances_were_lost_requests_another_quota() {
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -86,8 +86,9 @@
         let writes: Vec<QuotaWrite> = self.unwritten.drain(..count).collect();
         let key = |write: &QuotaWrite| quota_key(&write.quota.team, &write.quota.controller);
         let mut preconditions = vec![Precondition::new(LEADER_KEY, leader_revision)];
-        preconditions
-            .extend(writes.iter().map(|write| Precondition::new(key(write), write.replaces)));
+        preconditions.extend(
+            writes.iter().map(|write| Precondition::new(key(write), write.expected_mod_revision)),
+        );
         let put = |write: &QuotaWrite| PutRequest::new(key(write), encode(&write.quota));
         let puts = writes.iter().map(put).collect();
         self.in_flight = true;
@@ -150,7 +151,7 @@
         let load = |(index, backlog): (usize, BTreeMap<&str, WorkAmount>)| {
             let team = &ctx.cfg.teams[index];
             let class =
-                |(class, waiting): (&str, WorkAmount)| ClassLoad { class: class.into(), waiting };
+                |(class, backlog): (&str, WorkAmount)| ClassLoad { class: class.into(), backlog };
             TeamLoad {
                 team: team.name.clone(),
                 guaranteed_cpus: team.guaranteed_cpus,
@@ -163,7 +164,8 @@
         backlogs.map(load).collect()
     }
 
-    /// Returns the number of unfinished jobs and their waiting work, by team and class.
+    /// Returns the number of unfinished jobs and the work of their pending tasks, by team and
+    /// class.
     fn backlogs<'a>(
         &self,
         ctx: &Context<'a>,
@@ -174,12 +176,12 @@
             let Some(team) = ctx.cfg.team(&active.spec.team) else { continue };
             let mut demand = active.spec.demand();
             if let Some(job) = self.cluster.jobs.get(id) {
-                // Only pending tasks count as waiting.
+                // Only the work of pending tasks counts.
                 demand.cpus = f64::from(job.pending_tasks()) * active.spec.cpus;
             }
-            let waiting: &mut WorkAmount =
+            let backlog: &mut WorkAmount =
                 backlogs[team].entry(active.spec.class.as_str()).or_default();
-            *waiting = waiting.plus(demand.cost(horizon_s));
+            *backlog = backlog.plus(demand.cost(horizon_s));
         }
         backlogs
     }
--- a/crates/basaltrail-core/src/settings.rs
+++ b/crates/basaltrail-core/src/settings.rs
@@ -243,7 +243,7 @@
         let outcomes = policy.backlog_s * self.write_rps * OUTCOME_WRITE_FRACTION / WRITES_PER_JOB;
         Some(BacklogBounds {
             horizon_s: policy.backlog_s,
-            jobs: outcomes.min(self.max_active_jobs() as f64) as u32,
+            max_jobs: outcomes.min(self.max_active_jobs() as f64) as u32,
             round_s: self.policy.round_s,
         })
     }
--- a/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
@@ -28,7 +28,7 @@
         classes: Vec::new(),
     };
     // One class is named in the policy in addition to the entry for all others.
-    QuotaPlanner::bound(&bounds, &load, 0.0, 2 * CONTROLLERS).jobs as usize
+    QuotaPlanner::team_bound(&bounds, &load, 0.0, 2 * CONTROLLERS).jobs as usize
 }
 
 impl Simulation {
