--- a/crates/basaltrail-core/src/machines/health.rs
+++ b/crates/basaltrail-core/src/machines/health.rs
@@ -5,8 +5,8 @@
 use crate::model::{JobId, Ms};
 use std::collections::BTreeSet;
 
-/// Number of different jobs whose failures quarantine a machine if no task succeeds on it in
-/// between.
+/// Number of different jobs whose failures quarantine a machine if no task succeeds on it between
+/// them.
 const QUARANTINE_JOBS: usize = 2;
 
 /// The failures of jobs on one machine since a task last succeeded there. Only jobs that succeed on
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub struct MachineHealth {
     failed_jobs: BTreeSet<JobId>,
-    /// When a job was last added to `failed_jobs`.
+    /// Time at which a job was last added to `failed_jobs`.
     last_failure: Ms,
 }
 
--- a/crates/basaltrail-core/src/machines/machine.rs
+++ b/crates/basaltrail-core/src/machines/machine.rs
@@ -52,14 +52,14 @@
     pub sequence: u64,
     /// Latest time at which an answer may have renewed the worker lease.
     pub lease_renewed_at: Ms,
-    /// When the last heartbeat was applied. Only heartbeats that carry our token are.
+    /// Time at which the last heartbeat was applied. Only heartbeats that carry our token are applied.
     pub last_heartbeat_at: Option<Ms>,
     /// Whether the timing of its last heartbeat shows that it received our previous answer, and so
     /// would receive a start.
     pub receives_answers: bool,
-    /// When the machine last showed that it receives answers.
+    /// Time at which the machine last showed that it receives answers.
     pub answer_received_at: Option<Ms>,
-    /// Number of consecutive answers with starts of which the following heartbeat listed none.
+    /// Number of consecutive answers with starts after which the heartbeat listed none of them.
     pub consecutive_lost_starts: u32,
     /// Time until which the machine is considered to be behind a one-way partition: its heartbeats
     /// arrive, but our answers do not.
@@ -86,24 +86,24 @@
     /// Segments of the machine registry that still state that the machine is free, because they
     /// have not been rewritten yet.
     pub free_in_segments: BTreeSet<usize>,
-    /// When the cloud reclaims the machine, according to its reclaim notice.
+    /// Time at which the cloud reclaims the machine, according to its reclaim notice.
     pub reclaim_at: Option<Ms>,
     /// Progress of its return to the cloud.
     pub decommission: Decommission,
-    /// Since when no task runs on the machine.
+    /// Time since which no task has run on the machine.
     pub idle_since: Option<Ms>,
-    /// When this leader first knew of the machine, less the age stated by the cloud.
+    /// Time at which this leader first knew of the machine, less the age stated by the cloud.
     pub known_since: Ms,
     /// Whether the machine has not come up in time and no longer counts as capacity.
     pub overdue: bool,
     /// Whether the machine is overdue for so long that it is terminated.
     pub abandoned: bool,
-    /// When the machine was requested, if known from this leader's own request or from the cloud's
-    /// inventory.
+    /// Time at which the machine was requested, if known from this leader's own request or from the
+    /// cloud's inventory.
     pub requested_at: Option<Ms>,
     /// State in the cloud's inventory and the time at which it was last listed there.
     pub last_listed: Option<(ListedState, Ms)>,
-    /// When the cloud's inventory first listed the machine.
+    /// Time at which the cloud's inventory first listed the machine.
     pub first_listed_at: Option<Ms>,
     /// Images in its cache with their sizes in gigabytes, the most recently used one last.
     pub images: Vec<(String, f64)>,
@@ -259,7 +259,7 @@
     /// Such a heartbeat may be a delayed copy of any age and proves nothing, so only the lease that
     /// our answer may renew is recorded. A machine of the machine registry whose heartbeats never
     /// carry our token is no longer answered after a few times. Its lease then certainly expires,
-    /// which ends whatever earlier leaders started there.
+    /// which ends all tasks that earlier leaders started there.
     pub fn answer_without_token(&mut self, now: Ms) -> bool {
         if !self.reconciled {
             if self.answers_without_token >= MAX_ANSWERS_WITHOUT_TOKEN {
--- a/crates/basaltrail-core/src/machines/task_slot.rs
+++ b/crates/basaltrail-core/src/machines/task_slot.rs
@@ -37,11 +37,11 @@
     pub demand: Option<TaskDemand>,
     /// Grace period in seconds if the task was ordered to stop.
     pub stop_grace_s: Option<f64>,
-    /// When the stop was last sent to the machine.
+    /// Time at which the stop was last sent to the machine.
     pub stop_sent_at: Option<Ms>,
-    /// When this leader assigned the task or first saw it in a heartbeat.
+    /// Time at which this leader assigned the task or first received a heartbeat that lists it.
     pub known_since: Ms,
-    /// When a heartbeat first listed it as running.
+    /// Time at which a heartbeat first listed it as running.
     pub running_since: Option<Ms>,
     /// Whether its outcome has been recorded in its job.
     pub outcome_recorded: bool,
@@ -79,7 +79,7 @@
         self.phase == TaskPhase::Assigned
     }
 
-    /// Orders the task to stop without grace; the next answer carries the order.
+    /// Orders the task to stop without a grace period. The next answer contains the order.
     pub fn stop_at_once(&mut self) {
         self.stop_grace_s = Some(0.0);
         self.stop_sent_at = None;
@@ -117,7 +117,7 @@
     pub attempt: Attempt,
     /// How it ended.
     pub reason: ExitReason,
-    /// Milliseconds for which it was seen running; `None` if it never was.
+    /// Milliseconds for which heartbeats listed it as running; `None` if none did.
     pub ran_ms: Option<Ms>,
 }
 
--- a/crates/basaltrail-core/src/machines/types.rs
+++ b/crates/basaltrail-core/src/machines/types.rs
@@ -52,8 +52,8 @@
     /// Returns the call to make now, if one is due.
     ///
     /// Types whose encoding is longer than `max_value_bytes` are not stored, so every controller
-    /// requests them from the cloud. Otherwise only the leader and controllers that know no types
-    /// do.
+    /// requests them from the cloud. Otherwise, only the leader and controllers that know no types
+    /// request them.
     pub fn call_due(
         &mut self,
         now: Ms,
@@ -129,7 +129,7 @@
 }
 
 /// The fields of a machine type that decide whether a submission can run. The types are stored only
-/// when one of these changes, since prices change all the time.
+/// when one of these changes, since prices change often.
 #[derive(PartialEq)]
 struct SubmissionFields<'a> {
     name: &'a str,
