--- a/crates/basaltrail-core/src/machines/machine.rs
+++ b/crates/basaltrail-core/src/machines/machine.rs
@@ -52,7 +52,8 @@
     pub sequence: u64,
     /// Latest time at which an answer may have renewed the worker lease.
     pub lease_renewed_at: Ms,
-    /// Time at which the last heartbeat was applied. Only heartbeats that carry our token are applied.
+    /// Time at which the last heartbeat was applied. Only heartbeats that carry our token are
+    /// applied.
     pub last_heartbeat_at: Option<Ms>,
     /// Whether the timing of its last heartbeat shows that it received our previous answer, and so
     /// would receive a start.
