--- a/crates/basaltrail-core/src/leader/autoscaler/provisioning_time.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/provisioning_time.rs
@@ -157,8 +157,8 @@
     }
 }
 
-/// Returns the nominal boot time of a type. A time of 0 is raised to 1 s, and a time above 1e6 s is lowered
-/// to it.
+/// Returns the nominal boot time of a type. A time of 0 is raised to 1 s, and a time above 1e6 s is
+/// lowered to it.
 fn nominal_boot_ms(machine_type: &MachineType) -> f64 {
     machine_type.boot_s.clamp(1.0, 1e6) * 1000.0
 }
