--- a/crates/basaltrail-admission/src/planner.rs
+++ b/crates/basaltrail-admission/src/planner.rs
@@ -37,8 +37,8 @@
 /// Maximum number of classes that have an entry of their own in the quotas of a team. All other
 /// classes share one entry.
 const MAX_NAMED_CLASSES: usize = 16;
-/// Maximum `Retry-After` in seconds. Clients ignore any excess (PROTOCOL: `Retry-After` counts up to
-/// 30 s).
+/// Maximum `Retry-After` in seconds. Clients ignore any excess (PROTOCOL: `Retry-After` counts up
+/// to 30 s).
 const MAX_RETRY_AFTER_S: f64 = 30.0;
 
 /// The bounds of the backlogs.
