--- a/crates/basaltrail-protocol/src/cloud.rs
+++ b/crates/basaltrail-protocol/src/cloud.rs
@@ -5,9 +5,9 @@
 use basaltrail_core::model::{ListedMachine, ListedState, MachineId, MachineType};
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of machines in one page of the machine list.
+/// Maximum number of machines in a page of the inventory.
 const PAGE_SIZE: u32 = 500;
-/// Error text with which the cloud rejects a provision request that it has no machines for.
+/// Error text of the cloud's reply to a provisioning request for which it has no capacity.
 const NO_CAPACITY_ERROR: &str = "no capacity";
 
 #[derive(Deserialize)]
@@ -155,7 +155,7 @@
 }
 
 /// Parses the reply to a request. Any status other than 200 yields [`CloudReply::Unknown`], except
-/// for a provision request that fails for lack of capacity.
+/// for a provisioning request that fails for lack of capacity.
 ///
 /// # Errors
 ///
--- a/crates/basaltrail-protocol/src/error.rs
+++ b/crates/basaltrail-protocol/src/error.rs
@@ -1,5 +1,5 @@
-//! Defines the error for malformed bodies. Its messages go to users and workers with status 400,
-//! and into the log.
+//! Defines the error for malformed bodies. Its messages are sent to users and workers with status
+//! 400 and written to the log.
 
 use crate::submissions::MAX_TASKS;
 
--- a/crates/basaltrail-protocol/src/frames.rs
+++ b/crates/basaltrail-protocol/src/frames.rs
@@ -2,7 +2,7 @@
 //! have a fixed, versioned, little-endian layout.
 //!
 //! Frames carry the progress of jobs from the leader to its peers, for display only. The receiver
-//! closes the connection when a frame has an unknown version or an invalid length.
+//! closes the connection when a frame has an invalid header, such as an unknown version.
 
 use basaltrail_core::io::Progress;
 use basaltrail_core::model::JobId;
@@ -15,7 +15,7 @@
 pub const VERSION: u16 = 1;
 /// Kind of the frames that carry the progress of jobs.
 const PROGRESS_KIND: u16 = 1;
-/// Maximum number of records in a frame. [`encode`] puts more records into several frames.
+/// Maximum number of records in a frame. [`encode`] splits longer lists into several frames.
 pub const MAX_RECORDS: usize = 1024;
 
 #[derive(FromBytes, IntoBytes, KnownLayout, Immutable, Unaligned)]
--- a/crates/basaltrail-protocol/src/heartbeats.rs
+++ b/crates/basaltrail-protocol/src/heartbeats.rs
@@ -80,8 +80,8 @@
 ///
 /// # Errors
 ///
-/// Fails if any part of the body is malformed, even if it is one task of many: if that task were
-/// skipped, the list of tasks would say that it is not on the machine.
+/// Fails if any part of the body is malformed, even a single task: a list without that task would
+/// state that the task is not on the machine.
 pub fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, Malformed> {
     let body: ReportBody = serde_json::from_slice(body)?;
     let machine =
--- a/crates/basaltrail-protocol/src/names.rs
+++ b/crates/basaltrail-protocol/src/names.rs
@@ -16,7 +16,8 @@
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// Parses the padded number of a job. Returns `None` if it is not below 2^64.
+/// Parses the padded number of a job. Returns `None` if the padding is wrong or the number is not
+/// below 2^64.
 fn parse_number(text: &str) -> Option<u64> {
     if !is_digits(text) || text.len() < MIN_JOB_DIGITS {
         return None;
