--- a/crates/basaltrail/src/bounded_listener.rs
+++ b/crates/basaltrail/src/bounded_listener.rs
@@ -10,7 +10,7 @@
 pub struct BoundedListener {
     /// Listener that accepts the connections.
     pub listener: TcpListener,
-    /// Largest number of open connections. Further connections are closed once accepted.
+    /// Maximum number of open connections. Further connections are closed once accepted.
     pub max_connections: usize,
     /// Delay before the next attempt after a connection could not be accepted.
     pub accept_retry_delay: Duration,
--- a/crates/basaltrail/src/clients.rs
+++ b/crates/basaltrail/src/clients.rs
@@ -11,12 +11,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest size of a response body, as a share of the controller's memory.
+/// Maximum size of a response body, as a share of the controller's memory.
 const RESPONSE_MEMORY_SHARE: f64 = 1.0 / 7.0;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Largest number of idle connections kept per server.
+/// Maximum number of idle connections kept per server.
 const MAX_IDLE_CONNECTIONS: usize = 6;
 
 /// Reasons why a call returned no response.
--- a/crates/basaltrail/src/config_error.rs
+++ b/crates/basaltrail/src/config_error.rs
@@ -76,7 +76,7 @@
     BelowMinimum {
         /// The key below `params`.
         name: String,
-        /// Smallest valid amount.
+        /// Minimum valid amount.
         minimum: f64,
     },
     /// The list of teams is empty.
@@ -137,9 +137,9 @@
     OutOfRange {
         /// The key.
         key: String,
-        /// Smallest valid value.
+        /// Minimum valid value.
         low: f64,
-        /// Largest valid value.
+        /// Maximum valid value.
         high: f64,
     },
     /// The value of `administration` is not a socket address.
--- a/crates/basaltrail/src/core_handle.rs
+++ b/crates/basaltrail/src/core_handle.rs
@@ -10,8 +10,8 @@
 
 /// A request in the queue of the core.
 pub struct PendingRequest {
-    /// Identifies the request to the core.
-    pub id: RequestId,
+    /// ID of the request.
+    pub request_id: RequestId,
     /// The input for the core.
     pub input: Input,
     /// Channel for the answer.
@@ -22,7 +22,7 @@
 #[derive(Clone)]
 pub struct CoreHandle {
     requests: mpsc::Sender<PendingRequest>,
-    next_id: Arc<AtomicU64>,
+    next_request_id: Arc<AtomicU64>,
     ready: Arc<AtomicBool>,
 }
 
@@ -32,7 +32,7 @@
         let (requests, receiver) = mpsc::channel(queue_length);
         let handle = CoreHandle {
             requests,
-            next_id: Arc::new(AtomicU64::new(1)),
+            next_request_id: Arc::new(AtomicU64::new(1)),
             ready: Arc::new(AtomicBool::new(false)),
         };
         (handle, receiver)
@@ -45,9 +45,13 @@
             retry_after_s: RETRY_AFTER_S,
             reason: UnavailableReason::TooManyRequests,
         };
-        let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
+        let request_id = RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed));
         let (answer, receiver) = oneshot::channel();
-        if self.requests.try_send(PendingRequest { id, input: input(id), answer }).is_err() {
+        if self
+            .requests
+            .try_send(PendingRequest { request_id, input: input(request_id), answer })
+            .is_err()
+        {
             return unavailable;
         }
         receiver.await.unwrap_or(unavailable)
--- a/crates/basaltrail/src/driver.rs
+++ b/crates/basaltrail/src/driver.rs
@@ -14,10 +14,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Length of the request queue per MB of memory. After a stall every worker sends its heartbeat at
-/// once, and a worker whose heartbeat is refused tries another controller before it returns.
+/// Length of the request queue per MB of memory. After a stall, all workers send their heartbeats
+/// at once, and a worker whose heartbeat is refused tries the other controllers before it returns to
+/// this one.
 const QUEUED_REQUESTS_PER_MB: f64 = 8.0;
-/// Smallest length of the request queue.
+/// Minimum length of the request queue.
 const MIN_QUEUED_REQUESTS: f64 = 64.0;
 /// Length of the queue of replies from the store and the cloud.
 const REPLY_QUEUE_LENGTH: usize = 512;
@@ -127,8 +128,8 @@
                 _ = tick.tick() => Input::Tick,
                 Some(input) = inputs.replies.recv() => input,
                 Some(progress) = inputs.peers.recv() => Input::PeerProgress { progress },
-                Some(PendingRequest { id, input, answer }) = inputs.requests.recv() => {
-                    self.pending_answers.insert(id, answer);
+                Some(PendingRequest { request_id, input, answer }) = inputs.requests.recv() => {
+                    self.pending_answers.insert(request_id, answer);
                     input
                 }
             };
--- a/crates/basaltrail/src/inspect.rs
+++ b/crates/basaltrail/src/inspect.rs
@@ -1,4 +1,4 @@
-//! The `inspect` commands: query a running controller through its administration listener.
+//! The `inspect` commands, which query a running controller through its administration listener.
 
 use crate::clients::HttpClient;
 use basaltrail_protocol::administration::{Class, Limits, Room, Team};
@@ -43,12 +43,12 @@
 /// Runs a command and prints its result. On failure, prints one line on standard error and returns
 /// exit status 1.
 pub fn run(command: &InspectCommand) -> ExitCode {
-    let InspectCommand::Limits { at, json } = command;
-    match read_limits(*at) {
+    let InspectCommand::Limits { at: address, json } = command;
+    match read_limits(*address) {
         Ok((body, _)) if *json => println!("{body}"),
         Ok((_, limits)) => print!("{}", limits_table(&limits)),
         Err(error) => {
-            eprintln!("basaltrail: {at}: {error}");
+            eprintln!("basaltrail: {address}: {error}");
             return ExitCode::FAILURE;
         }
     }
@@ -56,10 +56,10 @@
 }
 
 /// Reads the limits of a controller. Returns the response body and its parsed form.
-fn read_limits(at: SocketAddr) -> Result<(String, Limits), InspectError> {
+fn read_limits(address: SocketAddr) -> Result<(String, Limits), InspectError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let response =
-        async { HttpClient::new(CLIENT_MEMORY_MB).get(at, LIMITS_PATH, TIMEOUT_MS).await };
+        async { HttpClient::new(CLIENT_MEMORY_MB).get(address, LIMITS_PATH, TIMEOUT_MS).await };
     let body = runtime.block_on(response).ok_or(InspectError::NoResponse)?;
     let limits = serde_json::from_slice(&body)?;
     Ok((String::from_utf8_lossy(&body).into_owned(), limits))
--- a/crates/basaltrail/src/policy.rs
+++ b/crates/basaltrail/src/policy.rs
@@ -18,22 +18,22 @@
 const POLICY_KEY: &str = "policy";
 /// Valid leader lease, as a share of the worker lease.
 const LEADER_LEASE_RANGE: RangeInclusive<f64> = 0.1..=0.9;
-/// Valid interval between rounds of the fair-share ledger, in seconds.
+/// Valid duration of a round of the fairness ledger, in seconds.
 const ROUND_S_RANGE: RangeInclusive<f64> = 0.5..=3600.0;
-/// Valid term of a grant of the fair-share ledger, in seconds.
+/// Valid seconds of use that the fairness ledger charges in advance when a task is assigned.
 const LEASE_TERM_S_RANGE: RangeInclusive<f64> = 0.5..=86_400.0;
 /// Valid reserved capacity, as a multiple of the summed guarantees.
 const HEADROOM_RANGE: RangeInclusive<f64> = 0.0..=10.0;
 /// Valid idle time before a machine is terminated, in seconds.
 const IDLE_S_RANGE: RangeInclusive<f64> = 0.0..=86_400.0;
-/// Valid time that a team within its guarantee waits before borrowed work is preempted, in worker
-/// leases.
+/// Valid time that a team within its guarantee waits before tasks on borrowed capacity are
+/// preempted for it even if they cannot save their progress, in worker leases.
 const GUARANTEE_LEASES_RANGE: RangeInclusive<f64> = 0.5..=1e4;
 /// Valid number of machines in the sample for one placement.
 const SAMPLE_RANGE: RangeInclusive<f64> = 1.0..=1e6;
 /// Valid bound of a team's backlog, in seconds of work at the rate at which the team is served.
 const BACKLOG_S_RANGE: RangeInclusive<f64> = 1.0..=1e6;
-/// Valid minimum share of a class in its team's CPUs.
+/// Valid minimum share of a class with work in the CPUs of its team.
 const CLASS_LEAST_RANGE: RangeInclusive<f64> = 0.0..=0.5;
 
 /// Settings of a policy file.
--- a/crates/basaltrail/src/server/body.rs
+++ b/crates/basaltrail/src/server/body.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, Bytes};
 use futures_util::{Stream, StreamExt};
 
-/// Largest length of a body, in bytes.
+/// Maximum length of a body, in bytes.
 pub(super) const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// Reasons why a body could not be read. The message is sent to the client.
--- a/crates/basaltrail/src/server/mod.rs
+++ b/crates/basaltrail/src/server/mod.rs
@@ -15,7 +15,7 @@
 
 /// Time limit for receiving the head of a request, and for receiving its body.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Largest number of open connections of operators.
+/// Maximum number of open connections of operators.
 const MAX_OPERATOR_CONNECTIONS: usize = 8;
 /// Delay before the next attempt after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/crates/basaltrail/src/settings/mod.rs
+++ b/crates/basaltrail/src/settings/mod.rs
@@ -18,11 +18,11 @@
 use std::path::Path;
 use store_limits::StoreLimits;
 
-/// Smallest number of connections with which a controller can work.
+/// Minimum number of connections with which a controller can work.
 const MIN_CONNECTIONS: usize = 16;
 /// Connections reserved for each machine: one that its worker uses and one that is closing.
 const CONNECTIONS_PER_MACHINE: usize = 2;
-/// Largest lag of the cloud's list of machines, in seconds. Larger values are clamped.
+/// Maximum lag of the cloud's inventory, in seconds. Larger values are clamped.
 const MAX_LIST_LAG_S: f64 = 1e6;
 
 /// Settings of one process.
@@ -40,7 +40,7 @@
     pub store: SocketAddr,
     /// Address of the cloud.
     pub cloud: SocketAddr,
-    /// Largest number of sockets that this process may open.
+    /// Maximum number of sockets that this process may open.
     pub max_connections: usize,
     /// Address of the listener for operators, if the policy sets one.
     pub administration: Option<SocketAddr>,
@@ -125,8 +125,8 @@
     Err(source.error(SettingsProblem::BelowMinimum { name, minimum }))
 }
 
-/// Converts an objective. Returns `None` if its kind is unknown or it has no class of jobs, since the
-/// scheduler does not use such objectives.
+/// Converts an objective. Returns `None` if its kind is unknown, or its class or time limit is
+/// missing, since the scheduler does not use such objectives.
 fn convert_objective(entry: &ObjectiveEntry) -> Option<Objective> {
     let class = entry.class.clone()?;
     match entry.kind.as_str() {
--- a/crates/basaltrail/src/settings/source.rs
+++ b/crates/basaltrail/src/settings/source.rs
@@ -4,8 +4,7 @@
 use crate::config_error::{ConfigError, SettingsProblem};
 use std::net::SocketAddr;
 
-/// Bound of all amounts, whatever their unit. Amounts of this size or larger are refused, since no
-/// deployment has them.
+/// Exclusive upper bound of every amount, in any unit. No deployment has amounts of this size.
 const AMOUNT_BOUND: f64 = 1e9;
 
 /// A settings file.
--- a/crates/basaltrail/src/settings/store_limits.rs
+++ b/crates/basaltrail/src/settings/store_limits.rs
@@ -10,11 +10,11 @@
 const BYTES_PER_KB: f64 = 1024.0;
 /// Size of the remaining fields of a completion record, in KB.
 const RECORD_OVERHEAD_KB: f64 = 0.25;
-/// Smallest valid limit on the size of a value, in KB. A value must hold the completion record of a
+/// Minimum valid limit on the size of a value, in KB. A value must hold the completion record of a
 /// segment of tasks: one bit per task, in hexadecimal digits.
 const MIN_VALUE_KB: f64 =
     TASKS_PER_SEGMENT as f64 / BITS_PER_HEX_DIGIT / BYTES_PER_KB + RECORD_OVERHEAD_KB;
-/// Smallest valid limit on the changes of a transaction: one record and the leader's key.
+/// Minimum valid limit on the changes of a transaction: one record and the leader's key.
 const MIN_TRANSACTION_OPS: f64 = 2.0;
 
 /// Effective limits of the store: for each limit, the smaller of the current and the next value. The
--- a/crates/basaltrail/src/settings/teams.rs
+++ b/crates/basaltrail/src/settings/teams.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Converts a limit. 0 means no limit: as an amount, it would refuse every submission of a team
-/// without a guarantee.
+/// Converts a limit. 0 means no limit: a real limit of 0 would reject every job of the team that
+/// requests the resource.
 fn convert_limit(amount: f64) -> f64 {
     match amount > 0.0 {
         true => amount,
