--- a/crates/basaltrail-testbed/src/checker/mod.rs
+++ b/crates/basaltrail-testbed/src/checker/mod.rs
@@ -186,9 +186,8 @@
     violations
 }
 
-/// Returns the events that explain a violation, one line each: all events of its job, and those
-/// faults and renewals of the machine's lease that lie between the job's cancellation and the
-/// violation.
+/// Returns the events that explain a violation, one line each: all events of its job, and the faults
+/// and renewals of the machine's lease from the job's cancellation to the violation.
 pub fn explain(events: &[Event], violation: &Violation) -> Vec<String> {
     let is_of_job = |event: &Event| event.kind.job().is_some() && event.kind.job() == violation.job;
     let cancellation = events.iter().find(|event| {
--- a/crates/basaltrail-testbed/src/faults/injector.rs
+++ b/crates/basaltrail-testbed/src/faults/injector.rs
@@ -38,14 +38,14 @@
 const RESET_AFTER_SHARE: f64 = 0.3;
 /// Fraction of the heartbeats that are delivered a second time, in thousandths.
 const LATE_COPIES_THOUSANDTHS: u32 = 300;
-/// Number of running machines for each machine that a machine fault affects.
+/// A machine fault affects one out of this many running machines, and at least one.
 const MACHINES_PER_FAULT: usize = 5;
 /// Maximum number of jobs that a cancel burst cancels.
 const CANCEL_BURST_JOBS: usize = 6;
 
-/// Maximum number of jobs that are cancelled before the short leader terms.
+/// Maximum number of jobs that are cancelled before a period of short leader terms.
 const SHORT_TERM_CANCELLATIONS: usize = 12;
-/// Time between these cancellations and the first kill.
+/// Time from the cancellations before short leader terms to the first kill.
 const SHORT_TERM_DELAY: Duration = Duration::from_millis(600);
 /// Time for which leader terms stay short after the deadline of the cancellations, in
 /// milliseconds.
@@ -54,7 +54,7 @@
 const FOLLOWER_KILL_SHARE: f64 = 0.3;
 /// Downtime of a controller that is killed to end a short leader term, in milliseconds.
 const SHORT_TERM_DOWNTIME_MS: std::ops::Range<Ms> = 20..400;
-/// Minimum leader term, in milliseconds; the maximum is the heartbeat interval.
+/// Minimum duration of a short leader term, in milliseconds; the maximum is the heartbeat interval.
 const MIN_TERM_MS: Ms = 100;
 /// Interval of the checks for a new leader.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(5);
@@ -135,8 +135,8 @@
     }
 
     async fn inject(&mut self, kind: FaultKind) -> Result<(), ControllerError> {
-        let longest_ms = self.testbed.deployment.lease_ms * 3 / 2;
-        let duration_ms = self.rng.random_range(MIN_DURATION_MS..longest_ms);
+        let max_duration_ms = self.testbed.deployment.lease_ms * 3 / 2;
+        let duration_ms = self.rng.random_range(MIN_DURATION_MS..max_duration_ms);
         match kind {
             FaultKind::ShortLeaderTerms => self.shorten_leader_terms().await?,
             FaultKind::KillLeader => self.kill_leader().await?,
@@ -199,8 +199,8 @@
         self.record(format!("{name} is killed and restarted after {down_ms} ms"));
         self.testbed.controllers.kill(controller).await;
         self.recover_after(down_ms, move |testbed| async move {
-            // A failed restart does not stop the run: if no controller starts any more, the run
-            // ends without a leader, and the checker detects that.
+            // A failed restart does not stop the run. If no controller can be started, the run ends
+            // without a leader, and the checker detects that.
             if let Err(error) = testbed.controllers.start(controller).await {
                 let description = format!("{name} cannot be restarted: {error}");
                 let event = EventKind::FaultInjected { description };
--- a/crates/basaltrail-testbed/src/state_service/mod.rs
+++ b/crates/basaltrail-testbed/src/state_service/mod.rs
@@ -26,8 +26,8 @@
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum time for which a watch waits for a change, in milliseconds.
 const MAX_WATCH_MS: Ms = 60_000;
-/// Interval at which an open watch checks for its timeout and the end of an outage, in
-/// milliseconds. It depends on the remaining time of the watch.
+/// Bounds of the interval at which an open watch checks for its timeout and the end of an outage, in
+/// milliseconds. The interval is the remaining time of the watch, clamped to these bounds.
 const WATCH_CHECK_INTERVAL_MS: std::ops::RangeInclusive<Ms> = 5..=100;
 
 /// Limits of the service.
--- a/crates/basaltrail-testbed/src/state_service/routes.rs
+++ b/crates/basaltrail-testbed/src/state_service/routes.rs
@@ -10,7 +10,7 @@
 use warp::reply::Response;
 use warp::Filter;
 
-/// The service, and the decision whether it serves a request.
+/// The service and its decision on the admission of one request.
 struct Admission {
     service: StateService,
     /// The reply to a refused request is the error.
--- a/crates/basaltrail-testbed/src/worker/agent.rs
+++ b/crates/basaltrail-testbed/src/worker/agent.rs
@@ -1,7 +1,7 @@
 //! State machine of one worker, with its epoch, lease and tasks.
 //!
-//! Its inputs are the time and the answers to its heartbeats. It does no network input or output; it
-//! records events in the history and completed tasks in the job catalog.
+//! Its inputs are the time and the answers to its heartbeats. It performs no network I/O; it records
+//! events in the history and completed tasks in the job catalog.
 
 use super::fleet::Fleet;
 use super::messages::{Command, EndStatus, Heartbeat, HeartbeatAnswer, TaskPhase, TaskStatus};
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 struct Task {
     state: TaskState,
-    /// Time at which the current state ends.
+    /// Time at which the current state ends; `Ms::MAX` if it does not end by itself.
     state_end_ms: Ms,
     /// Run time of the task, in milliseconds.
     run_ms: Ms,
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Removes a task that ended, whose end the controller has recorded.
+    /// Removes a task that has ended. Controllers send this command after they recorded the end.
     fn forget_task(&mut self, key: AttemptKey) {
         if self.tasks.get(&key).is_some_and(Task::has_ended) {
             self.tasks.remove(&key);
--- a/crates/basaltrail-testbed/src/worker/fleet.rs
+++ b/crates/basaltrail-testbed/src/worker/fleet.rs
@@ -31,7 +31,8 @@
     pub controllers: HashMap<&'static str, Vec<SocketAddr>>,
 }
 
-/// Faults of one machine, each with its end in milliseconds since the run started.
+/// Faults of one machine. Each field is the time at which the fault ends, in milliseconds since the
+/// run started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MachineFaults {
     /// The worker neither sends heartbeats nor accepts answers; its tasks keep running within the
@@ -47,7 +48,7 @@
 pub struct Fleet {
     pub(super) context: FleetContext,
     faults: Mutex<HashMap<String, MachineFaults>>,
-    /// Share of the heartbeats of which a copy arrives late, in thousandths.
+    /// Share of the heartbeats with a late copy, in thousandths.
     late_copy_thousandths: AtomicU32,
     /// Highest fencing token that a worker accepted.
     highest_token: AtomicU64,
@@ -80,12 +81,12 @@
         update(faults.entry(machine.into()).or_default());
     }
 
-    /// Sets the share of the heartbeats of which a copy arrives late, in thousandths.
+    /// Sets the share of the heartbeats with a late copy, in thousandths.
     pub fn set_late_copy_thousandths(&self, thousandths: u32) {
         self.late_copy_thousandths.store(thousandths, Ordering::Relaxed);
     }
 
-    /// Returns the share of the heartbeats of which a copy arrives late, between 0 and 1.
+    /// Returns the share of the heartbeats with a late copy, between 0 and 1.
     pub(super) fn late_copy_share(&self) -> f64 {
         f64::from(self.late_copy_thousandths.load(Ordering::Relaxed)) / THOUSANDTHS_PER_UNIT
     }
--- a/crates/basaltrail-testbed/src/worker/messages.rs
+++ b/crates/basaltrail-testbed/src/worker/messages.rs
@@ -35,7 +35,7 @@
 /// Status of a task attempt.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct TaskStatus {
-    /// `JOB/INDEX`.
+    /// Name of the task, `JOB/INDEX`.
     #[serde(rename = "leaf")]
     pub(super) task: String,
     #[serde(rename = "printing")]
@@ -65,7 +65,7 @@
     Stopped,
     /// The worker does not know the job or the task.
     Unknown,
-    /// Another attempt of the task has not ended on the machine.
+    /// Another attempt of the task is active on the machine.
     #[serde(rename = "in_use")]
     OtherAttemptActive,
     /// The machine has too few free CPUs.
@@ -88,7 +88,7 @@
     /// `start`, `kill` or `forget`.
     #[serde(rename = "order", default)]
     pub(super) name: String,
-    /// `JOB/INDEX`.
+    /// Name of the task, `JOB/INDEX`.
     #[serde(rename = "leaf", default)]
     pub(super) task: String,
     #[serde(rename = "printing", default)]
--- a/crates/basaltrail-testbed/src/worker/mod.rs
+++ b/crates/basaltrail-testbed/src/worker/mod.rs
@@ -40,7 +40,7 @@
 /// Minimum sleep of a worker, in milliseconds.
 const MIN_SLEEP_MS: Ms = 5;
 /// Number of times per heartbeat interval that a worker checks its machine and tasks. With
-/// thousands of workers, more frequent checks alone would keep this process fully busy.
+/// thousands of workers, more frequent checks would by themselves use all CPU time of this process.
 const CHECKS_PER_HEARTBEAT: Ms = 20;
 /// Path of heartbeats.
 const HEARTBEAT_PATH: &str = "/checkin";
@@ -164,8 +164,8 @@
         self.client.call(Request::post(address, HEARTBEAT_PATH, body, ANSWER_TIMEOUT)).await
     }
 
-    /// Sends a late copy of a share of the heartbeats. A copy goes to the original address, even if
-    /// the controller there restarts in the meantime.
+    /// Sends a late copy of the heartbeat, with the configured probability. The copy is sent to the
+    /// same address, even if the controller there restarts before.
     fn send_late_copy(&mut self, body: &str) {
         if !self.agent.rng.random_bool(self.fleet.late_copy_share()) {
             return;
