--- a/crates/basaltrail-core/src/events.rs
+++ b/crates/basaltrail-core/src/events.rs
@@ -18,7 +18,7 @@
     Error,
     /// A change of state that is of interest to operators.
     Info,
-    /// A single decision or read, up to several per heartbeat.
+    /// A single decision or read; a heartbeat may cause several such events.
     Debug,
 }
 
@@ -77,7 +77,7 @@
 reasons! {
     /// The reason why a leader resigns.
     ResignReason {
-        /// Most workers have gone silent. Another controller may still reach them.
+        /// Most workers have gone silent. Another controller may still receive their heartbeats.
         WorkersSilent => "workers_silent",
     }
 }
@@ -118,7 +118,7 @@
         /// The store's revision at which the leader was read.
         revision: Revision,
     },
-    /// The machines and their use, once per round of the fairness ledger.
+    /// Machines and CPU usage, once per round of the fairness ledger.
     FleetUsage(FleetUsage),
 }
 
@@ -200,7 +200,7 @@
 /// Events of machines and scaling.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MachineEvent {
-    /// A machine that this leader did not provision sent a heartbeat.
+    /// A machine that this leader did not know sent a heartbeat.
     Adopted {
         /// The machine.
         machine: MachineId,
@@ -256,7 +256,7 @@
         /// The reason.
         reason: TerminationReason,
     },
-    /// The cloud's inventory lists a machine that this leader did not know.
+    /// The cloud's inventory listed a machine that this leader did not know.
     Discovered {
         /// The machine.
         machine: MachineId,
@@ -433,8 +433,8 @@
         /// The key of the record.
         key: String,
     },
-    /// The store rejected a transaction permanently. Its keys are not written again until a
-    /// back-off has ended.
+    /// The store rejected a transaction permanently. Its keys are not written again before a
+    /// back-off ends.
     WriteRejected {
         /// The keys.
         keys: String,
--- a/crates/basaltrail-core/src/io.rs
+++ b/crates/basaltrail-core/src/io.rs
@@ -25,7 +25,7 @@
 /// A change of a key, as a watch reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
-    /// A key was put. Watches do not report the lease of the key.
+    /// A key was put. `lease_id` may be `None` even if the key is attached to a lease.
     Put(KeyValue),
     /// A key was deleted, by a request or because its lease expired.
     Delete {
@@ -89,8 +89,8 @@
         /// The maximum number of keys in the page.
         limit: u32,
     },
-    /// Makes all changes atomically if all preconditions hold. Without changes, it only checks the
-    /// preconditions.
+    /// Applies all changes atomically if all preconditions hold. A transaction without changes only
+    /// checks its preconditions.
     Transaction {
         /// The preconditions.
         preconditions: Vec<Precondition>,
@@ -118,7 +118,7 @@
     Watch {
         /// The prefix of the keys.
         prefix: String,
-        /// The revision after which changes are reported.
+        /// The watch reports the changes after this revision.
         after: Revision,
         /// The maximum time to wait for a change, in milliseconds.
         wait_ms: u64,
@@ -221,7 +221,7 @@
         /// Whether more machines follow.
         more: bool,
     },
-    /// There is no reply, or the reply does not tell whether the request was executed.
+    /// No reply arrived, or the reply does not show whether the request was executed.
     Unknown,
 }
 
@@ -264,7 +264,7 @@
         /// The job.
         job: JobId,
     },
-    /// An operator requests limits, usage and quotas.
+    /// An operator requests the report on limits, usage and quotas.
     Inspect {
         /// The ID of the request to answer.
         request_id: RequestId,
@@ -290,7 +290,7 @@
         /// The reply.
         reply: CloudReply,
     },
-    /// A peer that considers itself the leader reports the progress of jobs. Only used for display.
+    /// A peer that considers itself the leader reports the progress of jobs, for display only.
     PeerProgress {
         /// Task counts by job.
         progress: Vec<Progress>,
