--- a/crates/basaltrail-core/src/answer.rs
+++ b/crates/basaltrail-core/src/answer.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// The reason why a job can never run (PROTOCOL, "POST /api/jobs": status 422). All controllers give
-/// the same one.
+/// The reason why a job can never run (PROTOCOL, "POST /api/jobs": status 422). All controllers
+/// return the same reason for the same job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnschedulableReason {
     /// The settings do not contain the team.
@@ -56,7 +56,7 @@
     MachineTypesUnknown,
     /// The number of waiting requests has reached the limit that the controller's memory allows.
     TooManyRequests,
-    /// More submissions are waiting than can be written soon.
+    /// More submissions are waiting than the controller can write to the store soon.
     TooManySubmissions,
     /// The rate limit for writes to the store is exhausted.
     TooManyChanges,
--- a/crates/basaltrail-core/src/model.rs
+++ b/crates/basaltrail-core/src/model.rs
@@ -164,7 +164,7 @@
     pub image: String,
     /// Size of the image, in GB.
     pub image_gb: f64,
-    /// Estimated run time of a task in seconds, without the fetch of the image. Estimates are often
+    /// Estimated run time of a task in seconds, excluding the image fetch. Estimates are often
     /// wrong by half.
     pub estimate_s: f64,
     /// Seconds of progress after which a task saves a checkpoint; 0 if it never saves.
@@ -279,7 +279,7 @@
     pub sequence: u64,
     /// The highest fencing token that the agent has seen.
     pub token: FencingToken,
-    /// Seconds until the cloud reclaims the machine, if it has announced that.
+    /// Seconds until the cloud reclaims the machine; `None` without a reclaim notice.
     pub reclaim_notice_s: Option<f64>,
     /// All tasks on the machine, exited ones included.
     pub tasks: Vec<TaskStatus>,
@@ -301,8 +301,8 @@
         task: TaskId,
         /// The attempt.
         attempt: Attempt,
-        /// Seconds that the task may take to save its progress. If it needs more, it is ended at
-        /// once.
+        /// Seconds that the task may take to save its progress. A task that would need longer ends
+        /// immediately without saving.
         grace_s: f64,
     },
     /// Removes an exited attempt from the worker's heartbeats.
@@ -349,7 +349,7 @@
 
 /// Rounding error that is tolerated when a demand is compared with the available amount.
 const FIT_TOLERANCE: f64 = 1e-6;
-/// Upper bound of [`fitting_tasks`]; no job has as many tasks.
+/// Upper bound of [`fitting_tasks`] for a positive demand; no job has this many tasks.
 const MAX_FITTING_TASKS: f64 = 1e9;
 
 /// Returns how many tasks with this demand fit into `available`, with a tolerance for rounding
@@ -399,7 +399,7 @@
 /// The status of a job as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobStatus {
-    /// No task is running.
+    /// The job was accepted and no task is running.
     Queued,
     /// At least one task is running.
     Running,
--- a/crates/basaltrail-core/src/settings.rs
+++ b/crates/basaltrail-core/src/settings.rs
@@ -1,6 +1,7 @@
 //! The settings of the platform and of the operators, read by the program from its files.
 //!
-//! Other times in the core are derived as ratios of these, since deployments differ widely in them.
+//! The core derives its other times from these as ratios, since the configured times differ widely
+//! between deployments.
 
 use crate::model::{fitting_tasks, JobSpec, Ms};
 use crate::resources::Resources;
@@ -27,10 +28,10 @@
         self.guaranteed_cpus <= 0.0
     }
 
-    /// Returns how many more tasks of a job the limit allows, given what the team may be using.
+    /// Returns how many more tasks of a job the limit allows if the team uses up to `used`.
     pub fn tasks_within_limit(&self, used: Resources, job: &JobSpec) -> u32 {
-        // The use of a machine of an unknown type may be infinite, too, and infinity minus infinity
-        // is not a number: no use counts against an infinite limit.
+        // The usage is not subtracted from an infinite limit: on a machine of an unknown type the
+        // usage may be infinite too, and infinity minus infinity is NaN.
         let count = |limit: f64, used: f64, demand: f64| match limit.is_infinite() {
             true => u32::MAX,
             false => fitting_tasks(limit - used, demand),
@@ -104,7 +105,7 @@
     pub inventory_lag_ms: Ms,
     /// Memory of this process, in megabytes.
     pub memory_mb: f64,
-    /// Maximum number of machines that can send heartbeats to one controller in addition to the
+    /// Maximum number of machines whose heartbeats one controller can serve in addition to the
     /// requests of users.
     pub max_machines: usize,
     /// Identifier of this run of the process, different at each start.
@@ -113,12 +114,12 @@
     pub policy: Policy,
 }
 
-/// The bound of each team's backlog, and the least share of each class.
+/// The bound of each team's backlog and the minimum share of each class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionPolicy {
     /// Maximum backlog of a team: seconds of work at the rate at which the team is served.
     pub backlog_s: f64,
-    /// Fraction of a team's CPUs that each class with work gets, regardless of priority.
+    /// Minimum fraction of a team's CPUs for each class with work, regardless of priority.
     pub min_class_share: f64,
 }
 
@@ -156,7 +157,7 @@
     /// Seconds for which a machine may be idle before it is terminated, where cost is an objective.
     pub idle_s: f64,
     /// Maximum number of machines to evaluate for a placement. If there are more, a random sample
-    /// of this size is evaluated. A backfill makes at most as many attempts to place a job.
+    /// of this size is evaluated. A backfill makes at most this many placement attempts.
     pub placement_sample_size: usize,
     /// Time that a team within its guarantee waits before tasks on borrowed capacity are preempted
     /// for it even if they cannot save their progress, as a multiple of the duration of a worker
@@ -238,8 +239,8 @@
     /// Returns the bounds of the backlogs, if the operators set them.
     pub fn admission_bounds(&self) -> Option<BacklogBounds> {
         let policy = self.policy.admission.as_ref()?;
-        // If more jobs were accepted than the store can record the outcomes of within the horizon,
-        // they would wait for the store.
+        // The store must be able to record the outcomes of all accepted jobs within the horizon;
+        // otherwise jobs would wait for the store.
         let outcomes = policy.backlog_s * self.write_rps * OUTCOME_WRITE_FRACTION / WRITES_PER_JOB;
         Some(BacklogBounds {
             horizon_s: policy.backlog_s,
