--- a/crates/basaltrail-core/tests/simulation/simulated/faults.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/faults.rs
@@ -5,7 +5,7 @@
 impl Simulation {
     pub(super) fn inject_fault(&mut self) {
         let now = self.now;
-        // Half of the faults of controllers affect the leader.
+        // Half of the controller faults target the leader, the others a random controller.
         let leader = self.leader().filter(|_| self.rng.random_bool(0.5));
         let controller = leader.unwrap_or_else(|| self.rng.random_range(0..CONTROLLERS));
         let delayed = self.rng.random_bool(0.6);
@@ -44,7 +44,7 @@
             15 => self.slow_provisioning = (self.rng.random_range(0..2), until + 30_000),
             16 => self.poll_storm_until = until + 10_000,
             17 => {
-                // The leader freezes, and then its successor.
+                // A controller freezes, and 4 to 9 s later the leader of that time.
                 self.controllers[controller].pending_freeze_until = until;
                 self.next_leader_freeze = now + self.rng.random_range(4_000..9_000);
             }
@@ -74,7 +74,7 @@
             23 => self.invalid_requests_until = until,
             24 => self.read_back_until = until,
             25 => {
-                // The store refuses the leader, and then it is down for all.
+                // The store refuses one controller, and also has an outage for all of them.
                 self.controllers[controller].store_refuses_until = until;
                 self.cancel_running_jobs(6, 0);
                 let duration_ms = self.rng.random_range(1_000..CANCEL_MS + 10_000);
@@ -107,7 +107,7 @@
         self.extend_faults(duration_ms);
     }
 
-    /// Extends the time of faults to at least `duration_ms` from now.
+    /// Extends the period with faults to at least `duration_ms` from now.
     pub(super) fn extend_faults(&mut self, duration_ms: u64) {
         self.faults_over_at = self.faults_over_at.max(self.now + duration_ms);
     }
--- a/crates/basaltrail-core/tests/simulation/simulated/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/mod.rs
@@ -1,4 +1,4 @@
-//! Simulates the core with a store, a cloud, workers and users, under crashes, partitions, late
+//! Simulates controllers with a store, a cloud, workers and users, under crashes, partitions, late
 //! and duplicate messages, outages and hangs. The simulation checks each rule independently of the
 //! core. Seeds are fixed, so each run is deterministic.
 
@@ -135,7 +135,7 @@
 struct Worker {
     zone: usize,
     spot: bool,
-    /// When the machine has booted.
+    /// Time at which the machine is up.
     boots_at: u64,
     alive: bool,
     agent_epoch: AgentEpoch,
@@ -143,24 +143,24 @@
     token: FencingToken,
     lease_renewed_at: u64,
     tasks: BTreeMap<(TaskId, Attempt), SimulatedTask>,
-    /// Controller to which it sends heartbeats.
+    /// Controller to which the worker sends heartbeats.
     controller: usize,
     /// Sequence number and time of the heartbeat that has no response yet.
     awaiting_reply: Option<(u64, u64)>,
     next_heartbeat: u64,
     hung_until: u64,
-    /// Until then its heartbeats are lost.
+    /// End of the fault that loses its heartbeats.
     uplink_lost_until: u64,
-    /// Until then responses to its heartbeats are lost.
+    /// End of the fault that loses the responses to its heartbeats.
     downlink_lost_until: u64,
     provisioned_at: u64,
-    /// When the machine failed; the cloud still lists it.
+    /// Time at which the machine failed; the cloud still lists it.
     failed_at: Option<u64>,
-    /// When the machine was terminated or reclaimed; the cloud no longer lists it.
+    /// Time at which the machine was terminated or reclaimed; the cloud no longer lists it.
     terminated_at: Option<u64>,
     /// Every task fails on a faulty machine.
     faulty: bool,
-    /// When the cloud reclaims the machine.
+    /// Time at which the cloud reclaims the machine.
     reclaimed_at: Option<u64>,
     /// Whether the cloud sends a reclaim notice.
     reclaim_announced: bool,
@@ -172,7 +172,7 @@
     Unknown,
     Accepted,
     Done,
-    /// Cancelled, and when the user got this answer.
+    /// Cancelled, with the time at which the user got this answer.
     Cancelled(u64),
 }
 
@@ -189,12 +189,12 @@
     /// Indices of the tasks that are done.
     tasks_done: BTreeSet<u32>,
     requests_sent: u64,
-    /// Until then the user waits for the answer to its request; a later answer is dropped.
+    /// Time until which the user waits for the answer to its request; a later answer is dropped.
     request_deadline: u64,
-    /// When the user last got the status of the job.
+    /// Time at which the user last got the status of the job.
     last_answered_at: u64,
     first_task_started_at: Option<u64>,
-    /// Since when no task of the job is on a machine although one has room for it.
+    /// Time since which a task of the job waits although it could run.
     unscheduled_since: Option<u64>,
 }
 
@@ -231,7 +231,7 @@
     exclusive: bool,
 }
 
-/// A fault: a share of the transactions that write gets no reply.
+/// A fault: a share of the writing transactions gets no reply.
 #[derive(Clone, Copy, Default)]
 struct UnansweredWrites {
     until: u64,
@@ -250,7 +250,7 @@
     held_for_next_leader: bool,
 }
 
-/// A share of the jobs is cancelled when the last task is done.
+/// A fault: a share of the jobs is cancelled when the last task is done.
 #[derive(Clone, Copy, Default)]
 struct CancelOnCompletion {
     until: u64,
@@ -264,7 +264,7 @@
     call_id: CallId,
     prefix: String,
     after: Revision,
-    /// When the store answers even if nothing has changed.
+    /// Time at which the store answers even if nothing has changed.
     until: u64,
 }
 
@@ -279,18 +279,18 @@
     /// Number of the process; it increases with each start and each stop.
     epoch: u64,
     process_started_at: u64,
-    /// Simulated milliseconds of its clock for one of the simulation's clock.
+    /// Rate of its clock relative to the simulation's clock; 1 without drift.
     clock_rate: f64,
     /// Partition from the store: its end, and whether requests are delayed (true) or lost.
     store_partition: Option<(u64, bool)>,
     store_refuses_until: u64,
-    /// Until then watches on the jobs are lost.
+    /// End of the fault that loses watches on the jobs.
     watches_lost_until: u64,
-    /// If later than now, the process freezes at its next step until this time. Its clocks go on,
-    /// and it keeps effects that it has built and not sent.
+    /// If later than now, the process freezes at its next step until this time. Its clocks advance
+    /// meanwhile, and it keeps the effects that it has not sent yet.
     pending_freeze_until: u64,
     frozen_until: u64,
-    /// Until then it is also partitioned from the cloud, the users and its peers.
+    /// End of its partition from the cloud, the users and its peers.
     isolated_until: u64,
     /// Partition from the workers: its end, and whether messages are delayed (true) or lost.
     worker_partition: Option<(u64, bool)>,
@@ -320,23 +320,23 @@
     last_request_id: u64,
     /// Partition between the zones: its end, and whether messages are delayed (true) or lost.
     zone_partition: Option<(u64, bool)>,
-    /// Zone in which new machines boot late or never, and until when.
+    /// Zone in which new machines boot late or never, and the end of this fault.
     slow_provisioning: (usize, u64),
-    /// Until then users poll many times as often.
+    /// Time until which users poll many times as often.
     poll_storm_until: u64,
-    /// When the current leader freezes; used to freeze the successor of a frozen leader.
+    /// Time at which the current leader freezes; used to freeze the successor of a frozen leader.
     next_leader_freeze: u64,
     unanswered_writes: UnansweredWrites,
     duplicate_heartbeats: DuplicateHeartbeats,
     /// Duplicates that are held until the next change of leader.
     held_heartbeats: Vec<Heartbeat>,
     cancel_on_completion: CancelOnCompletion,
-    /// Until then a user that gets a new status asks all controllers for it within milliseconds.
+    /// Time until which a user that gets a new status polls all controllers within milliseconds.
     read_back_until: u64,
     invalid_requests_until: u64,
     /// Versions that a process may run when it starts.
     versions: Vec<Version>,
-    /// When a process of a version that may renew tasks on stale job data last answered a worker.
+    /// Time of the last answer to a worker by a version that may renew tasks on stale job data.
     stale_renewal_at: Option<u64>,
     violations_of_earlier_versions: Vec<String>,
     /// Whether new machines boot within two seconds.
@@ -357,7 +357,7 @@
     tasks_started: u64,
     /// Commands to stop a task of a job that is still active.
     tasks_stopped: u64,
-    /// When the last fault is over.
+    /// Time at which the last fault is over.
     faults_over_at: u64,
 }
 
--- a/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/simulation.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Jobs of a run with faults. The last `SERVICE_COUNT` of them are services.
+/// Number of jobs in a run with faults. The last `SERVICE_COUNT` of them are services.
 const JOB_COUNT: u64 = 40;
 const SERVICE_COUNT: u64 = 6;
 
@@ -226,15 +226,16 @@
             let version = self.rng.random_range(0..self.versions.len());
             self.controllers[i].next_version = self.versions[version];
         }
-        let c = &mut self.controllers[i];
-        c.epoch += 1;
-        c.process_started_at = self.now;
-        let before = std::mem::replace(&mut c.configuration, c.next_configuration.clone());
-        c.earlier_configurations.push((self.now, before));
-        c.version = c.next_version;
-        let settings = settings(i, incarnation, &c.configuration);
-        c.process = Some(Process::start(c.version, settings, incarnation));
-        let epoch = c.epoch;
+        let controller = &mut self.controllers[i];
+        controller.epoch += 1;
+        controller.process_started_at = self.now;
+        let replaced =
+            std::mem::replace(&mut controller.configuration, controller.next_configuration.clone());
+        controller.earlier_configurations.push((self.now, replaced));
+        controller.version = controller.next_version;
+        let settings = settings(i, incarnation, &controller.configuration);
+        controller.process = Some(Process::start(controller.version, settings, incarnation));
+        let epoch = controller.epoch;
         self.send(self.now, i, epoch, Message::Tick);
     }
 
