--- a/crates/basaltrail-core/tests/scale.rs
+++ b/crates/basaltrail-core/tests/scale.rs
@@ -497,9 +497,12 @@
         "too little load: {counts:?}"
     );
     // The leader visits all machines and tasks at a fixed interval, and one machine per heartbeat.
-    let all: u64 = cluster.workers.iter().map(|worker| 2 + worker.tasks.len() as u64).sum();
+    let per_cycle: u64 = cluster.workers.iter().map(|worker| 2 + worker.tasks.len() as u64).sum();
     let cycles = 20_000 / (scale.heartbeat_interval_ms / 20) + 2;
-    assert!(visits <= all * cycles * 3 / 2 + counts.heartbeats, "{visits} of {all} in {cycles}");
+    assert!(
+        visits <= per_cycle * cycles * 3 / 2 + counts.heartbeats,
+        "{visits} visits in {cycles} cycles of {per_cycle}"
+    );
     assert!(
         allocations / counts.heartbeats < 150,
         "{} allocations per heartbeat",
--- a/crates/basaltrail-core/tests/simulation/simulated/cloud.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/cloud.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Capacity of the cloud for machines of one zone, on-demand or spot.
+/// Maximum number of machines of one zone and kind (on-demand or spot).
 const MAX_MACHINES_PER_KIND: usize = 3;
 /// Time for which a failed machine is still listed as running.
 const LISTED_AS_FAILED_AFTER_MS: u64 = 30_000;
--- a/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/leaders.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/leaders.rs
@@ -11,7 +11,7 @@
         sim.run_for(30_000);
         for i in 0..8 {
             sim.fail_over([20, 100, 3_000][i % 3]);
-            // Tasks are done on machines that fail before the completion record is written.
+            // Tasks complete on machines that fail before the completion record is written.
             sim.run_for(2_000);
             let machine = sim.rng.random_range(0..sim.workers.len());
             sim.fail_machine(machine);
@@ -93,14 +93,14 @@
     });
 }
 
-/// Guards against renewals by a leader that has not loaded the jobs yet. After a burst of
+/// Guards against lease renewals by a leader that has not loaded the jobs yet. After a burst of
 /// cancellations each leader leads for a short time only, and its successor is a new process that
-/// has never loaded the jobs; its answers must not keep their tasks. Earlier versions do keep
-/// them, so only the current version runs here.
+/// has never loaded the jobs. The successor's answers must not keep cancelled tasks running. Those
+/// of earlier versions do, so only the current version runs here.
 #[test]
 fn cancelled_tasks_stop_under_short_lived_leaders() {
-    // A worker gets one or two answers of each leader; with the shortest lifetimes, one answer of
-    // some, before it reports the new token.
+    // A worker gets one or two answers from each leader before it reports the new token. With the
+    // shortest lifetimes it gets one answer, and only from some leaders.
     for (restart_after_ms, lifetime_ms) in [(20, 300..1_300), (3_000, 300..1_300), (20, 50..450)] {
         check_scenario(&[CANCELLED_WHILE_RUNNING], |sim| {
             sim.run_version(Version::Current);
--- a/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/mod.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/mod.rs
@@ -13,7 +13,7 @@
 fn loaded_simulation(seed: u64) -> Simulation {
     let mut sim = Simulation::new(seed);
     for (i, user) in sim.users.iter_mut().enumerate() {
-        // The scenarios cancel jobs; most jobs are submitted early.
+        // Array jobs are cancelled only by the scenarios. Most jobs are submitted early.
         user.faulty = false;
         user.cancel_at = user.spec.is_service().then_some(210_000);
         user.submit_at = 2_000 + i as u64 * 1_500;
@@ -24,7 +24,8 @@
     sim
 }
 
-/// Runs a scenario for several seeds and checks the rules, and that each of `situations` occurred.
+/// Runs a scenario for several seeds. Checks that no rule is violated, that all jobs end, and that
+/// each of `situations` occurs.
 fn check_scenario(situations: &[&'static str], scenario: impl Fn(&mut Simulation)) {
     for seed in 0..4 {
         let mut sim = loaded_simulation(seed);
@@ -73,6 +74,8 @@
         self.extend_faults(duration_ms);
     }
 
+    /// Cuts a controller off from the store. Its requests arrive after the partition if `delayed`
+    /// is set, and are lost otherwise.
     pub(super) fn partition_from_store(
         &mut self,
         controller: usize,
@@ -95,7 +98,7 @@
         self.await_leader()
     }
 
-    /// Returns whether a task runs of a job whose user got the status cancelled.
+    /// Returns whether a task is running although its user has received the status cancelled.
     pub(super) fn runs_cancelled_job(&self) -> bool {
         self.users.iter().any(|user| {
             let runs = |worker: &Worker| {
--- a/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/store.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/store.rs
@@ -2,9 +2,8 @@
 
 use super::*;
 
-/// Blocks the leader's access to the store, cancels jobs at the other controllers, and then takes
-/// the store down for all, where `outage_ms` may exceed the time within which cancelled tasks must
-/// stop.
+/// Blocks the leader's access to the store, cancels jobs, and then takes the store down for all
+/// controllers. `outage_ms` may exceed the time within which cancelled tasks must stop.
 fn check_outage_after_cancellations(
     block_leader: impl Fn(&mut Simulation, usize),
     before_outage_ms: u64,
@@ -45,7 +44,7 @@
         CANCEL_MS + 500,
         |_| {},
     );
-    // The outage follows almost at once, and the leader is refused for longer than it.
+    // The outage begins after 300 ms, and the store refuses the leader beyond its end.
     check_outage_after_cancellations(
         |sim, leader| sim.refuse_store_requests(leader, 60_000),
         300,
@@ -100,7 +99,7 @@
         CANCEL_MS + 12_000,
         freeze,
     );
-    // The leader continues while its workers still hold their leases.
+    // The freeze ends while the workers still hold their leases.
     check_outage_after_cancellations(
         |sim, leader| sim.refuse_store_requests(leader, 60_000),
         1_000,
--- a/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/concurrent_faults/workers.rs
@@ -9,7 +9,7 @@
             DuplicateHeartbeats { until: 100_000, share: 0.8, held_for_next_leader: false };
         sim.run_for(50_000);
         sim.fail_over(20);
-        // An agent epoch ends and the next begins while duplicates of the last one are in transit.
+        // Agent epochs end while duplicates of their heartbeats are in transit.
         sim.hang_workers(0.6, LEASE_MS..LEASE_MS + 4_000);
         sim.run_for(20_000);
         sim.cancel_running_jobs(5, 0);
@@ -111,7 +111,8 @@
         for (i, user) in sim.users.iter_mut().enumerate() {
             user.spec.team = format!("t{}", i % 2);
             user.spec.cpus = [1.0, 2.0, 4.0][i % 3];
-            // Jobs submitted after the change of leader need not wait for machines of older ones.
+            // No earlier leader can have started tasks of jobs that are submitted after the
+            // failover, so these jobs need not wait for its machines.
             if i >= 20 {
                 user.submit_at = 70_000 + (i as u64 - 20) * 1_200;
             }
--- a/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/controllers.rs
@@ -12,7 +12,8 @@
 /// Call id of a duplicate request, which gets no reply.
 pub(super) const DUPLICATE_CALL: CallId = CallId(u64::MAX);
 
-/// The origin of an effect: the controller, the epoch of its process, and when the effect is sent.
+/// The origin of an effect: the controller, the epoch of its process, and the time at which the
+/// effect is sent.
 #[derive(Clone, Copy)]
 struct Step {
     controller: usize,
@@ -154,7 +155,8 @@
         }
     }
 
-    /// Returns when a message between a controller and a worker arrives; `u64::MAX` if it is lost.
+    /// Returns the time at which a message between a controller and a worker arrives, or `u64::MAX`
+    /// if it is lost.
     pub(super) fn arrival_at_worker(&mut self, controller: usize, worker: usize, at: u64) -> u64 {
         let partition = self.zone_partition.filter(|_| controller % 2 != self.workers[worker].zone);
         match partition.or(self.controllers[controller].worker_partition) {
--- a/crates/basaltrail-core/tests/simulation/simulated/limits.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/limits.rs
@@ -21,7 +21,8 @@
     sim
 }
 
-fn used_by(sim: &Simulation, team: &str) -> f64 {
+/// Returns the CPUs of the running tasks of a team.
+fn used_cpus(sim: &Simulation, team: &str) -> f64 {
     let of_team =
         |job: JobId| sim.users.iter().find(|user| user.job == job && user.spec.team == team);
     let running = sim
@@ -40,7 +41,7 @@
         let users = vec![User::new(1000, long_job(1, 60), 2_000, None)];
         let mut sim = simulation_with_long_tasks(seed, users);
         sim.run_until(60_000);
-        let before = used_by(&sim, "t1");
+        let before = used_cpus(&sim, "t1");
         assert!(before > 30.0, "seed {seed}: {before} CPUs in use");
         let lowered = 12.0;
         for controller in 0..CONTROLLERS {
@@ -49,10 +50,10 @@
             sim.run_until(sim.now + 6_000);
         }
         sim.tasks_stopped = 0;
-        let all_lowered = sim.now + 12_000;
-        sim.run_until(all_lowered);
+        let settled_at = sim.now + 12_000;
+        sim.run_until(settled_at);
         let tasks_started = sim.tasks_started;
-        while used_by(&sim, "t1") > lowered {
+        while used_cpus(&sim, "t1") > lowered {
             sim.run_until(sim.now + 20);
             assert!(sim.now < 300_000, "seed {seed}: the use never fell below the limit");
         }
@@ -90,13 +91,14 @@
     }
 }
 
-/// Wait in lease durations that the policy permits before a team within its guarantee preempts.
+/// Time that a team within its guarantee waits before it preempts, in lease durations.
 const GUARANTEE_LEASES: f64 = 2.0;
-/// Lease durations until all tasks of a job within its team's guarantee have started, while other
-/// teams use all machines with long tasks that cannot save: `GUARANTEE_LEASES`, and one for the
-/// stop, its report, the start and the image.
+/// Maximum time until all tasks of a job within its team's guarantee have started, in lease
+/// durations, while other teams use all machines with long tasks that cannot save their progress:
+/// `GUARANTEE_LEASES`, and one for the stop, its report, the start and the image.
 const MAX_START_LEASES: u64 = 3;
-/// When the job is submitted. No task of the other teams ends before the bound.
+/// Time at which the job is submitted, in milliseconds. No task of the other teams ends before the
+/// bound.
 const SUBMITTED_AT_MS: u64 = 35_000;
 
 #[test]
@@ -112,12 +114,12 @@
             sim.start_controller(controller);
         }
         sim.run_until(SUBMITTED_AT_MS);
-        let used_by_others = used_by(&sim, "t2");
+        let used_by_others = used_cpus(&sim, "t2");
         assert!(used_by_others >= 80.0, "seed {seed}: the other teams use {used_by_others} CPUs");
         sim.run_until(SUBMITTED_AT_MS + MAX_START_LEASES * LEASE_MS);
-        let used = used_by(&sim, "t0");
+        let used = used_cpus(&sim, "t0");
         assert_eq!(used, 12.0, "seed {seed}: CPUs of the team within its guarantee");
-        assert!(used_by(&sim, "t2") <= 96.0 - 12.0);
+        assert!(used_cpus(&sim, "t2") <= 96.0 - 12.0);
         assert!(sim.violations.is_empty(), "seed {seed}: {:#?}", sim.violations);
     }
 }
--- a/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/quotas.rs
@@ -5,7 +5,7 @@
 use super::*;
 use basaltrail_core::admission::{QuotaPlanner, TeamLoad};
 
-/// Seconds of work in the backlog: few, so that the bound is reached.
+/// Maximum backlog of a team, in seconds of work; small, so that the bound is reached.
 const BACKLOG_S: f64 = 60.0;
 
 fn policy() -> Policy {
@@ -27,7 +27,7 @@
         served_cpus: 0.0,
         classes: Vec::new(),
     };
-    // One class is named in the policy in addition to the entry for all others.
+    // Each controller has two entries: one for the class of the jobs and one for all other classes.
     QuotaPlanner::team_bound(&bounds, &load, 0.0, 2 * CONTROLLERS).jobs as usize
 }
 
@@ -170,8 +170,8 @@
     }
 }
 
-/// A controller restarts at once with a part of its quota used. The new process accepts nothing
-/// before it has a quota of its own.
+/// A controller restarts immediately after it has used a part of its quota. The new process accepts
+/// no job until it has a quota of its own.
 #[test]
 fn bound_holds_over_immediate_restarts() {
     for seed in 0..4 {
@@ -232,8 +232,9 @@
     }
 }
 
-/// Returns the tasks done of the classes `urgent` and `idle` of one team. Jobs of high priority
-/// arrive continuously and fill the team's limit; those of the other class rank behind them.
+/// Returns the number of completed tasks of the classes `urgent` and `idle` of one team. Jobs of
+/// class `urgent` arrive continuously and fill the team's limit; those of class `idle` rank behind
+/// them.
 fn tasks_done_by_priority(min_class_share: f64) -> [usize; 2] {
     let job = |class: &str, priority| JobSpec { class: class.into(), priority, ..short_job(1, 4) };
     let high =
--- a/crates/basaltrail-core/tests/simulation/simulated/seeded_runs.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/seeded_runs.rs
@@ -9,7 +9,8 @@
     for seed in 0..48 {
         let mut sim = Simulation::new(seed);
         sim.replace_unsupported_services();
-        // One fault at a time, then two: faults that coincide are easily missed in a design.
+        // One fault at a time for a third of the seeds and two for the others: a design easily
+        // misses faults that coincide.
         sim.run_with_faults(1 + (seed % 3).min(1) as u32, RUN_MS);
         sim.check_all_jobs_ended();
         sim.violations.truncate(5);
@@ -56,7 +57,7 @@
     JobSpec { priority, cpus, ..array_job(1, tasks) }
 }
 
-/// Overloads a team with the jobs of `many` and checks that those of `few`, numbered from 9000,
+/// Overloads a team with the jobs of `many`. Checks that those of `few`, whose IDs start at 9000,
 /// start within four minutes.
 fn assert_few_start_during_overload(
     few: impl Iterator<Item = User>,
--- a/crates/basaltrail-core/tests/simulation/simulated/upgrades.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/upgrades.rs
@@ -1,5 +1,5 @@
-//! Rolling upgrades under load. Where only the current version is available, the version in
-//! production is simulated by its store limits: it writes values that exceed the next limits.
+//! Rolling upgrades under load. If only the current version is available, it runs with the store
+//! limits of the version in production and writes values that exceed the next limits.
 
 use super::*;
 
@@ -25,7 +25,7 @@
 }
 
 fn check_upgrades(seeds: std::ops::Range<u64>, scenario: impl Fn(&mut Simulation)) {
-    let mut largest = 0;
+    let mut largest_before_upgrade = 0;
     let earlier = Version::PRODUCTION.iter();
     for (seed, version) in
         earlier.flat_map(|version| seeds.clone().map(move |seed| (seed, *version)))
@@ -41,7 +41,7 @@
         }
         sim.reschedule_users();
         sim.run_until(40_000);
-        largest = largest.max(sim.largest_registry_segment());
+        largest_before_upgrade = largest_before_upgrade.max(sim.largest_registry_segment());
         scenario(&mut sim);
         sim.run_until(sim.faults_over_at.max(sim.now) + 200_000);
         sim.check_all_jobs_ended();
@@ -54,12 +54,13 @@
         );
     }
     assert!(
-        largest > NEXT_STORE_LIMITS.0,
-        "no value of the old version exceeded the next limits: {largest}"
+        largest_before_upgrade > NEXT_STORE_LIMITS.0,
+        "no value of the old version exceeded the next limits: {largest_before_upgrade}"
     );
 }
 
 impl Simulation {
+    /// Returns the size of the largest segment of the machine registry, in bytes.
     fn largest_registry_segment(&self) -> usize {
         let segments = self.store.keys.iter().filter(|(key, _)| key.starts_with("r/"));
         segments.map(|(_, stored)| stored.value.len()).max().unwrap_or(0)
--- a/crates/basaltrail-core/tests/simulation/simulated/users.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/users.rs
@@ -27,7 +27,7 @@
         user.request_deadline = now + kind.timeout_ms();
         self.send(next_at, usize::MAX, 0, Message::User(i));
         self.send_request(i, controller, kind, 0, true);
-        // Poll of a job that was never submitted.
+        // Polls a job that was never submitted.
         if self.rng.random_bool(0.05) {
             let request_id = self.register_request(Requester::UnknownJob);
             self.send(
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Counts the situations in which a cancellation was confirmed.
+    /// Records the situations in which a cancellation was confirmed.
     fn record_cancellation(&mut self, i: usize) {
         let job = self.users[i].job;
         let runs_task = |worker: &&Worker| {
--- a/crates/basaltrail-core/tests/simulation/simulated/workers.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/workers.rs
@@ -8,9 +8,9 @@
 const SWITCH_CONTROLLER_MS: u64 = 1_000;
 /// Delay before a worker follows a hint to the leader.
 const FOLLOW_HINT_MS: u64 = 100;
-/// Delay of the next heartbeat after a worker has got a new fencing token.
+/// Maximum delay of the next heartbeat after a worker has received a new fencing token.
 const NEW_TOKEN_MS: u64 = 500;
-/// Maximum number of duplicates that are held for the next leader.
+/// Maximum number of duplicate heartbeats that are held for the next leader.
 const MAX_HELD_HEARTBEATS: usize = 4_000;
 
 impl Worker {
@@ -152,7 +152,7 @@
         self.send(self.now + delay_ms, to, 0, Message::Input(input));
     }
 
-    /// Moves a task on whose present state has ended.
+    /// Moves a task whose present state has ended to its next state.
     pub(super) fn advance_task(&mut self, index: usize, key: (TaskId, Attempt)) {
         let now = self.now;
         let Some(simulated) = self.workers[index].tasks.get_mut(&key) else { return };
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Ends the run of a task, as failed or done.
+    /// Ends the run of a task, which either fails or completes.
     fn end_run(&mut self, index: usize, user_index: usize, key: (TaskId, Attempt)) {
         let task = key.0;
         let service = self.users[user_index].spec.is_service();
@@ -208,7 +208,7 @@
         self.workers[index].next_heartbeat = self.now;
     }
 
-    /// Handles the response to a heartbeat.
+    /// Handles the answer to a heartbeat.
     pub(super) fn handle_commands(
         &mut self,
         index: usize,
@@ -221,7 +221,7 @@
         let Some((awaited, sent_at)) = worker.awaiting_reply.filter(|_| worker.alive) else {
             return;
         };
-        // A worker drops late responses and those to an earlier agent epoch.
+        // A worker drops late answers, and answers to heartbeats of an earlier agent epoch.
         let is_lost = now > sent_at + REPLY_TIMEOUT_MS
             || now < worker.hung_until
             || now < worker.downlink_lost_until;
--- a/crates/basaltrail-core/tests/trace_player/script.rs
+++ b/crates/basaltrail-core/tests/trace_player/script.rs
@@ -92,7 +92,7 @@
         self.store.put(records::TERM_KEY, "9", None);
     }
 
-    /// Sends the heartbeat of a line `heartbeat m1 s1 f5 t1 job/task=state ...`.
+    /// Sends the heartbeat of a line `heartbeat m-1 s1 f5 t1 job/task=state ...`.
     fn heartbeat(&mut self, words: &[&str]) {
         let number = |word: &str| word[1..].parse::<u64>().unwrap();
         let tasks = words[4..].iter().map(|word| self.task_status(word)).collect();
