--- a/crates/basaltrail-testbed/src/commands/mod.rs
+++ b/crates/basaltrail-testbed/src/commands/mod.rs
@@ -23,7 +23,7 @@
 /// Exit status: no rule was violated, but a requested fault could not be injected.
 pub const STATUS_FAULT_NOT_INJECTED: u8 = 3;
 
-/// Maximum number of machines of a run: an operating system has about 28,000 ephemeral ports for
+/// Maximum number of machines of a run: Linux has about 28,000 ephemeral ports by default for
 /// connections to one address. The limit of open files can allow fewer, see [`check_sockets`].
 pub const MACHINES_MAX: u64 = 20_000;
 /// Maximum number of controllers of a run.
--- a/crates/basaltrail-testbed/src/commands/racing.rs
+++ b/crates/basaltrail-testbed/src/commands/racing.rs
@@ -1,4 +1,4 @@
-//! The command `racing`: submits a thousand jobs at once.
+//! The command `racing`: submits many jobs at once, 1,000 by default.
 
 use super::load::{print_team_usage, LoadOptions, LoadOutcome};
 use super::{print_violations, CommandError, MACHINES_MAX};
--- a/crates/basaltrail-testbed/src/commands/soak.rs
+++ b/crates/basaltrail-testbed/src/commands/soak.rs
@@ -87,7 +87,8 @@
     tokio::spawn(async move { soak::run(&config, seed, show_progress).await })
 }
 
-/// Returns the more severe of two statuses: a violation, then the higher number.
+/// Returns the more severe of two exit statuses: a violation if either is one, otherwise the higher
+/// number.
 fn worse_status(first: u8, second: u8) -> u8 {
     match (first, second) {
         (STATUS_VIOLATION, _) | (_, STATUS_VIOLATION) => STATUS_VIOLATION,
--- a/crates/basaltrail-testbed/src/scenarios/racing.rs
+++ b/crates/basaltrail-testbed/src/scenarios/racing.rs
@@ -1,4 +1,4 @@
-//! The load test `racing`: submits a thousand jobs at once to all controllers, while another team
+//! The load test `racing`: submits many jobs at once to all controllers, while another team
 //! submits jobs within its guarantee. The usage of each team is computed from the workers' events
 //! at each change.
 
--- a/crates/basaltrail-testbed/src/scenarios/soak.rs
+++ b/crates/basaltrail-testbed/src/scenarios/soak.rs
@@ -114,8 +114,9 @@
     })
 }
 
-/// Waits until every accepted job is finished. After `end` it suffices that each of them was
-/// reported since `faults_end`. Stops waiting at the end of PROTOCOL's recovery time in any case.
+/// Waits until every accepted job is finished. After `end` it suffices that the progress of each
+/// unfinished job was reported since `faults_end`. Stops waiting in any case at `end` or at the end
+/// of PROTOCOL's recovery time, which begins at `faults_end`, whichever is later.
 async fn wait_for_recovery(
     testbed: &Testbed,
     faults_end: Ms,
--- a/crates/basaltrail-testbed/src/users/workload.rs
+++ b/crates/basaltrail-testbed/src/users/workload.rs
@@ -42,7 +42,8 @@
 pub async fn submit_jobs(users: Arc<Users>, deadline: Ms, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let machines = users.context.deployment.machines;
-    // The first jobs are submitted without pauses; their tasks need a few times the machines.
+    // The first jobs are submitted without pauses. On average they have more than two tasks per
+    // machine.
     let first_paused_job = FIRST_JOB + (machines / 3 + 4) as u64;
     let mut job = FIRST_JOB;
     while users.context.clock.now() < deadline {
