--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -21,7 +21,7 @@
     /// Handles the reply to a store call, or its timeout.
     pub(super) fn handle_store_reply(&mut self, call: CallId, reply: StoreReply) {
         let Some(purpose) = self.calls.finish_store_call(call) else { return };
-        if !matches!(reply, StoreReply::Unknown | StoreReply::Refused) {
+        if !matches!(reply, StoreReply::Unknown | StoreReply::Unavailable) {
             self.last_store_reply_at = self.now;
         }
         match purpose {
--- a/crates/basaltrail-core/src/controller/submissions.rs
+++ b/crates/basaltrail-core/src/controller/submissions.rs
@@ -127,7 +127,7 @@
         match reply {
             StoreReply::Committed { revision } => self.handle_committed_batch(batch, revision),
             StoreReply::Conflict { failed } => self.handle_batch_conflict(batch, &failed),
-            StoreReply::Rejected if batch.len() > 1 => {
+            StoreReply::Invalid if batch.len() > 1 => {
                 // The store does not say which submission is invalid. Each is sent again in a
                 // transaction of its own, so that the valid ones are accepted.
                 let separate = batch
@@ -136,9 +136,9 @@
                     .collect();
                 self.requeue_first(separate);
             }
-            StoreReply::Refused | StoreReply::Rejected => {
+            StoreReply::Unavailable | StoreReply::Invalid => {
                 for submission in batch {
-                    if reply == StoreReply::Rejected {
+                    if reply == StoreReply::Invalid {
                         let keys = active_job_key(submission.job);
                         self.calls.log(StoreEvent::WriteRejected { keys });
                     }
--- a/crates/basaltrail-core/src/io.rs
+++ b/crates/basaltrail-core/src/io.rs
@@ -167,10 +167,10 @@
     },
     /// The store no longer has all changes since the revision of a watch.
     Compacted,
-    /// The request was not executed and never will be (429, 503). It may be retried.
-    Refused,
-    /// The request was not executed, and a retry without changes would fail as well (400).
-    Rejected,
+    /// The request was not executed and never will be. It may be sent again (429, 503).
+    Unavailable,
+    /// The request was not executed, and would not be if it were sent again unchanged (400).
+    Invalid,
     /// The request may have been executed, or may be executed later.
     Unknown,
 }
--- a/crates/basaltrail-core/src/leader/persistence/replies.rs
+++ b/crates/basaltrail-core/src/leader/persistence/replies.rs
@@ -34,8 +34,8 @@
         match reply {
             StoreReply::Committed { revision } => self.handle_committed(pending, revision),
             StoreReply::Conflict { failed } => self.handle_conflict(ctx, pending, failed),
-            StoreReply::Rejected => self.handle_rejected(ctx, pending),
-            StoreReply::Refused => {
+            StoreReply::Invalid => self.handle_invalid(ctx, pending),
+            StoreReply::Unavailable => {
                 self.requeue(ctx, pending);
                 self.delay_next_transaction(ctx);
                 WriteOutcome::default()
@@ -84,7 +84,7 @@
     /// Limits the next transaction to half as many changes, and backs off keys that were rejected
     /// on their own. An unchanged transaction would be rejected on each retry and block all later
     /// writes.
-    fn handle_rejected(&mut self, ctx: &Context, mut pending: PendingTransaction) -> WriteOutcome {
+    fn handle_invalid(&mut self, ctx: &Context, mut pending: PendingTransaction) -> WriteOutcome {
         let mut outcome = WriteOutcome::default();
         self.writer.max_changes = (pending.changes / 2).max(1);
         let is_single_outcome = pending.completed_jobs.len() == 1 && pending.keys.is_empty();
--- a/crates/basaltrail-core/src/leader/quota_allocation.rs
+++ b/crates/basaltrail-core/src/leader/quota_allocation.rs
@@ -104,7 +104,7 @@
         self.in_flight = false;
         let result = match reply {
             StoreReply::Committed { .. } => WriteResult::Committed,
-            StoreReply::Conflict { .. } | StoreReply::Refused | StoreReply::Rejected => {
+            StoreReply::Conflict { .. } | StoreReply::Unavailable | StoreReply::Invalid => {
                 WriteResult::NotExecuted
             }
             _ => WriteResult::Unknown,
--- a/crates/basaltrail-core/tests/simulation/simulated/store.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store.rs
@@ -119,11 +119,11 @@
         let (max_value_bytes, max_ops) = self.limits;
         let too_large = puts.iter().any(|put| put.value.len() > max_value_bytes);
         if too_large || puts.len() + deletes.len() > max_ops || preconditions.len() > max_ops * 4 {
-            return StoreReply::Rejected;
+            return StoreReply::Invalid;
         }
         let is_unknown = |lease_id: LeaseId| !self.leases.contains_key(&lease_id);
         if puts.iter().any(|put| put.lease_id.is_some_and(is_unknown)) {
-            return StoreReply::Refused;
+            return StoreReply::Unavailable;
         }
         let current_revision =
             |key: &String| self.keys.get(key).map_or(Revision::NONE, |stored| stored.mod_revision);
--- a/crates/basaltrail-core/tests/simulation/simulated/store_requests.rs
+++ b/crates/basaltrail-core/tests/simulation/simulated/store_requests.rs
@@ -43,7 +43,8 @@
         if may_go_unanswered && self.rng.random_bool(fault.share) {
             return self.apply_without_reply(controller, epoch, request, fault);
         }
-        let reply = if down { StoreReply::Refused } else { self.store.apply(self.now, &request) };
+        let reply =
+            if down { StoreReply::Unavailable } else { self.store.apply(self.now, &request) };
         self.check_reply(call_id, &request, &reply);
         let at = self.now + self.network_delay() + self.store_delay_ms;
         let lost = self.now < FAULTS_END_MS && self.rng.random_bool(0.01);
@@ -57,7 +58,7 @@
     fn open_watch(&mut self, watch: OpenWatch, down: bool) {
         let controller = watch.controller;
         if down {
-            let input = Input::Store { call_id: watch.call_id, reply: StoreReply::Refused };
+            let input = Input::Store { call_id: watch.call_id, reply: StoreReply::Unavailable };
             return self.send(self.now + 2, controller, watch.epoch, Message::Input(input));
         }
         let lost = self.now < self.controllers[controller].watches_lost_until;
@@ -89,7 +90,7 @@
     fn check_reply(&mut self, call_id: CallId, request: &StoreRequest, reply: &StoreReply) {
         // A duplicate of a write of an earlier version may arrive after the limits were lowered.
         let is_outdated = call_id == DUPLICATE_CALL && fits_limits(request, STORE_LIMITS);
-        if *reply == StoreReply::Rejected && !is_outdated {
+        if *reply == StoreReply::Invalid && !is_outdated {
             self.record_violation(format!("wrote beyond the limits of the store: {request:?}"));
         }
         match reply {
--- a/crates/basaltrail-core/tests/trace_player/store.rs
+++ b/crates/basaltrail-core/tests/trace_player/store.rs
@@ -85,7 +85,7 @@
     pub fn handle_request(&mut self, request: StoreRequest) -> StoreReply {
         match self.availability {
             Availability::Up => self.execute(&request),
-            Availability::Refusing => StoreReply::Refused,
+            Availability::Refusing => StoreReply::Unavailable,
             Availability::Silent => {
                 self.unanswered_requests.push(request);
                 StoreReply::Unknown
@@ -150,7 +150,7 @@
 
     fn list(&self, prefix: &str) -> StoreReply {
         if self.registry_unreadable && prefix == records::MACHINE_REGISTRY_PREFIX {
-            return StoreReply::Refused;
+            return StoreReply::Unavailable;
         }
         let listed = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
         StoreReply::Page {
@@ -168,7 +168,7 @@
     ) -> StoreReply {
         if puts.iter().any(|put| self.rejected_key.as_ref() == Some(&put.key)) {
             self.rejected_transactions += 1;
-            return StoreReply::Rejected;
+            return StoreReply::Invalid;
         }
         let mod_revision =
             |key: &String| self.keys.get(key).map_or(Revision(0), |stored| stored.mod_revision);
--- a/crates/basaltrail-protocol/src/store.rs
+++ b/crates/basaltrail-protocol/src/store.rs
@@ -206,8 +206,8 @@
         409 => conflict_reply(request, body),
         410 => Ok(StoreReply::Compacted),
         // With these statuses the service guarantees that it did not execute the request.
-        429 | 503 => Ok(StoreReply::Refused),
-        400 => Ok(StoreReply::Rejected),
+        429 | 503 => Ok(StoreReply::Unavailable),
+        400 => Ok(StoreReply::Invalid),
         _ => Ok(StoreReply::Unknown),
     }
 }
--- a/crates/basaltrail/src/clients.rs
+++ b/crates/basaltrail/src/clients.rs
@@ -92,7 +92,7 @@
         request: &StoreRequest,
         timeout_ms: u64,
     ) -> StoreReply {
-        let Ok(http_request) = store::http_request(request) else { return StoreReply::Refused };
+        let Ok(http_request) = store::http_request(request) else { return StoreReply::Unavailable };
         let (status, body) = match self.call(address, http_request, timeout_ms).await {
             Ok(response) => response,
             // Repeating the watch would get an equally long response, so `Compacted` makes the
--- a/tests/mixed-versions/tests/versions/convert.rs
+++ b/tests/mixed-versions/tests/versions/convert.rs
@@ -174,8 +174,8 @@
                             .collect(),
                     },
                     new::StoreReply::Compacted => old::StateReply::Compacted,
-                    new::StoreReply::Refused => old::StateReply::Refused,
-                    new::StoreReply::Rejected => $rejected,
+                    new::StoreReply::Unavailable => old::StateReply::Refused,
+                    new::StoreReply::Invalid => $rejected,
                     new::StoreReply::Unknown => old::StateReply::Unknown,
                 }
             }
