--- a/crates/basaltrail-admission/src/lib.rs
+++ b/crates/basaltrail-admission/src/lib.rs
@@ -15,7 +15,7 @@
 mod work_amount;
 
 pub use limiter::{
-    AcceptanceOutcome, QuotaLimiter, QuotaMode, QuotaRejection, RejectionReason, Reservation,
+    QuotaLimiter, QuotaMode, QuotaRejection, RejectionReason, Reservation, ReservationEnd,
 };
 pub use planner::{BacklogBounds, ClassLoad, QuotaPlanner, QuotaWrite, TeamLoad, WriteResult};
 pub use quota::{AdmissionQuota, JobDemand, QuotaEntry, OTHER_CLASSES};
--- a/crates/basaltrail-admission/src/limiter.rs
+++ b/crates/basaltrail-admission/src/limiter.rs
@@ -69,13 +69,13 @@
     }
 }
 
-/// Whether the acceptance of a job used its reservation.
+/// How a reservation ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AcceptanceOutcome {
+pub enum ReservationEnd {
     /// The acceptance was committed, or may still be.
-    Used,
+    Consumed,
     /// The acceptance was not executed and never will be.
-    NotUsed,
+    Released,
 }
 
 /// The amounts that this process has reserved of one quota.
@@ -175,12 +175,12 @@
         }
     }
 
-    /// Applies the outcome of an acceptance to its reservation. A reservation that was not used is
-    /// released.
-    pub fn settle(&mut self, reservation: &Reservation, outcome: AcceptanceOutcome) {
+    /// Ends a reservation. A released amount is available again unless the quota was replaced
+    /// in the meantime.
+    pub fn finish_reservation(&mut self, reservation: &Reservation, end: ReservationEnd) {
         let Some(usage) = self.usage.get_mut(&reservation.demand.team) else { return };
         let same_quota = Some(usage.mod_revision) == reservation.mod_revision;
-        if outcome == AcceptanceOutcome::NotUsed && same_quota {
+        if end == ReservationEnd::Released && same_quota {
             let used = &mut usage.used[reservation.entry];
             *used = used.minus(reservation.cost);
         }
@@ -205,7 +205,7 @@
         cache: &QuotaCache,
         reservation: Reservation,
     ) -> Result<Reservation, QuotaRejection> {
-        self.settle(&reservation, AcceptanceOutcome::NotUsed);
+        self.finish_reservation(&reservation, ReservationEnd::Released);
         self.admit(cache, reservation.demand)
     }
 
--- a/crates/basaltrail-admission/tests/limiter.rs
+++ b/crates/basaltrail-admission/tests/limiter.rs
@@ -66,9 +66,9 @@
     let cache = cache(quota(1, 1, 1_000.0), 5);
     let mut limiter = QuotaLimiter::new("n", 1, QuotaMode::Enforced);
     let reservation = limiter.admit(&cache, demand("c")).unwrap();
-    limiter.settle(&reservation, AcceptanceOutcome::NotUsed);
+    limiter.finish_reservation(&reservation, ReservationEnd::Released);
     let reservation = limiter.admit(&cache, demand("c")).unwrap();
-    limiter.settle(&reservation, AcceptanceOutcome::Used);
+    limiter.finish_reservation(&reservation, ReservationEnd::Consumed);
     assert_eq!(rejection_reason(limiter.admit(&cache, demand("c"))), RejectionReason::BacklogFull);
 }
 
--- a/crates/basaltrail-admission/tests/model.rs
+++ b/crates/basaltrail-admission/tests/model.rs
@@ -209,7 +209,9 @@
             // The sender times out before it gets a reply.
             match &write {
                 Write::Accept { from, reservation, .. } if self.is_running(*from) => {
-                    self.controllers[from.0].limiter.settle(reservation, AcceptanceOutcome::Used);
+                    self.controllers[from.0]
+                        .limiter
+                        .finish_reservation(reservation, ReservationEnd::Consumed);
                 }
                 Write::Quota { leader, write } if *leader == self.leader_revision => {
                     self.planner.record_result(write, WriteResult::Unknown);
@@ -252,9 +254,9 @@
                 match quota_replaced {
                     true => {
                         limiter.mark_replaced(&reservation);
-                        limiter.settle(&reservation, AcceptanceOutcome::NotUsed);
+                        limiter.finish_reservation(&reservation, ReservationEnd::Released);
                     }
-                    false => limiter.settle(&reservation, AcceptanceOutcome::Used),
+                    false => limiter.finish_reservation(&reservation, ReservationEnd::Consumed),
                 }
             }
             Write::Quota { leader, write } => {
--- a/crates/basaltrail-core/src/controller/admission.rs
+++ b/crates/basaltrail-core/src/controller/admission.rs
@@ -15,8 +15,8 @@
     controller_key, decode, encode, quota_key, ControllerRecord, CONTROLLERS_PREFIX,
 };
 use basaltrail_admission::{
-    AcceptanceOutcome, AdmissionQuota, QuotaLimiter, QuotaMode, QuotaRejection, RejectionReason,
-    Reservation, WorkAmount,
+    AdmissionQuota, QuotaLimiter, QuotaMode, QuotaRejection, RejectionReason, Reservation,
+    ReservationEnd, WorkAmount,
 };
 use rand::rngs::SmallRng;
 use rand::Rng;
@@ -116,9 +116,13 @@
         Some(Precondition::new(quota_key(team, &self.controller), mod_revision))
     }
 
-    /// Records the outcome of an acceptance; a reservation that was not used is released.
-    pub(super) fn settle(&mut self, submission: &AdmittedSubmission, outcome: AcceptanceOutcome) {
-        self.limiter.settle(&submission.reservation, outcome);
+    /// Ends the reservation of a submission.
+    pub(super) fn finish_reservation(
+        &mut self,
+        submission: &AdmittedSubmission,
+        end: ReservationEnd,
+    ) {
+        self.limiter.finish_reservation(&submission.reservation, end);
     }
 
     /// Returns whether an acceptance failed because its quota was replaced, and marks the quota as
--- a/crates/basaltrail-core/src/controller/client_requests.rs
+++ b/crates/basaltrail-core/src/controller/client_requests.rs
@@ -84,7 +84,7 @@
                     job,
                     spec,
                     requests: vec![request],
-                    own_transaction: false,
+                    needs_own_transaction: false,
                     reservation,
                     quota_wait_until: self.now,
                 });
--- a/crates/basaltrail-core/src/controller/mod.rs
+++ b/crates/basaltrail-core/src/controller/mod.rs
@@ -307,10 +307,10 @@
     /// Applies job changes to the leader state, runs the leader, and resigns if the workers are
     /// unreachable.
     fn run_leader(&mut self) {
-        let changed = std::mem::take(&mut self.job_cache.changed);
-        if !changed.is_empty() {
+        let changed_jobs = std::mem::take(&mut self.job_cache.changed_jobs);
+        if !changed_jobs.is_empty() {
             self.with_leader(|leader, ctx, _, _| {
-                for job in &changed {
+                for job in &changed_jobs {
                     leader.sync_job(ctx, *job);
                 }
             });
--- a/crates/basaltrail-core/src/controller/request_queue.rs
+++ b/crates/basaltrail-core/src/controller/request_queue.rs
@@ -86,8 +86,8 @@
     pub spec: Box<JobSpec>,
     /// Requests that wait for the acceptance.
     pub requests: Vec<ClientRequest>,
-    /// True if it is sent in a transaction of its own because the store rejected a batch with it.
-    pub own_transaction: bool,
+    /// True if it must be sent in a transaction of its own because a batch with it was invalid.
+    pub needs_own_transaction: bool,
     /// Reservation in the quota.
     pub reservation: Reservation,
     /// Time until which it waits for a newer quota after its own was replaced.
--- a/crates/basaltrail-core/src/controller/submissions.rs
+++ b/crates/basaltrail-core/src/controller/submissions.rs
@@ -10,7 +10,7 @@
 use crate::store::calls::StorePurpose;
 use crate::store::rate_limiter::CallPriority;
 use crate::store::records::{active_job_key, encode, outcome_key, JobRecord};
-use basaltrail_admission::{AcceptanceOutcome, RejectionReason};
+use basaltrail_admission::{RejectionReason, ReservationEnd};
 
 /// Maximum number of batches of submissions in flight. While it is reached, submissions are
 /// collected for the next batch.
@@ -49,7 +49,7 @@
         } else if queued > max_jobs * 2 {
             // The queue holds more than two batches, so it is emptied and the users retry later.
             for submission in std::mem::take(&mut self.requests.submissions) {
-                self.admission.settle(&submission, AcceptanceOutcome::NotUsed);
+                self.admission.finish_reservation(&submission, ReservationEnd::Released);
                 let reason = UnavailableReason::TooManySubmissions;
                 self.answer_waiting_unavailable(
                     submission.requests,
@@ -89,9 +89,9 @@
             }
             let value = encode(&self.job_record(&submission));
             batch.record_bytes += value.len();
-            let own_transaction = submission.own_transaction
-                || batch.submissions.first().is_some_and(|first| first.own_transaction);
-            if (own_transaction || batch.record_bytes > MAX_BATCH_RECORD_BYTES)
+            let needs_own_transaction = submission.needs_own_transaction
+                || batch.submissions.first().is_some_and(|first| first.needs_own_transaction);
+            if (needs_own_transaction || batch.record_bytes > MAX_BATCH_RECORD_BYTES)
                 && !batch.submissions.is_empty()
             {
                 self.requests.submissions.insert(0, submission);
@@ -132,7 +132,10 @@
                 // transaction of its own, so that the valid ones are accepted.
                 let separate = batch
                     .into_iter()
-                    .map(|submission| AdmittedSubmission { own_transaction: true, ..submission })
+                    .map(|submission| AdmittedSubmission {
+                        needs_own_transaction: true,
+                        ..submission
+                    })
                     .collect();
                 self.requeue_first(separate);
             }
@@ -142,7 +145,7 @@
                         let keys = active_job_key(submission.job);
                         self.calls.log(StoreEvent::WriteRejected { keys });
                     }
-                    self.admission.settle(&submission, AcceptanceOutcome::NotUsed);
+                    self.admission.finish_reservation(&submission, ReservationEnd::Released);
                     let reason = UnavailableReason::StoreRefused;
                     self.answer_waiting_unavailable(submission.requests, RETRY_SOON_S, reason);
                 }
@@ -150,7 +153,7 @@
             _ => {
                 for submission in batch {
                     // The transaction may have been committed, or may be committed later.
-                    self.admission.settle(&submission, AcceptanceOutcome::Used);
+                    self.admission.finish_reservation(&submission, ReservationEnd::Consumed);
                     let reason = UnavailableReason::OutcomeUnknown;
                     self.answer_waiting_unavailable(submission.requests, RETRY_SOON_S, reason);
                 }
@@ -160,7 +163,7 @@
 
     fn handle_committed_batch(&mut self, batch: Vec<AdmittedSubmission>, revision: Revision) {
         for submission in batch {
-            self.admission.settle(&submission, AcceptanceOutcome::Used);
+            self.admission.finish_reservation(&submission, ReservationEnd::Consumed);
             let record = self.job_record(&submission);
             self.job_cache.put_active(submission.job, revision, record);
             for request in submission.requests {
@@ -176,7 +179,7 @@
         for submission in batch {
             let keys = [active_job_key(submission.job), outcome_key(submission.job)];
             if keys.iter().any(|key| failed.contains(key)) {
-                self.admission.settle(&submission, AcceptanceOutcome::NotUsed);
+                self.admission.finish_reservation(&submission, ReservationEnd::Released);
                 self.requests.queue_lookup(submission.job, submission.requests);
             } else if self.admission.detect_replaced_quota(&submission, failed) {
                 let quota_wait_until = self.now + self.cfg.heartbeat_interval_ms;
--- a/crates/basaltrail-core/src/jobs/job_cache.rs
+++ b/crates/basaltrail-core/src/jobs/job_cache.rs
@@ -38,7 +38,7 @@
     /// Admission quotas, and the acceptances counted against them.
     pub quotas: QuotaCache,
     /// Jobs whose record or outcome changed since the leader last processed this set.
-    pub changed: BTreeSet<JobId>,
+    pub changed_jobs: BTreeSet<JobId>,
 }
 
 impl JobCache {
@@ -50,7 +50,7 @@
             outcome_order: VecDeque::new(),
             max_outcomes,
             quotas: QuotaCache::default(),
-            changed: BTreeSet::new(),
+            changed_jobs: BTreeSet::new(),
         }
     }
 
@@ -74,7 +74,7 @@
             self.quotas.count_acceptance(&acceptance);
         }
         self.active.insert(job, active);
-        self.changed.insert(job);
+        self.changed_jobs.insert(job);
     }
 
     /// Adds or replaces a quota. `complete` is true if the quota was read by a watch: a list does
@@ -97,7 +97,7 @@
     /// Records the outcome of a job and removes its active record.
     pub fn put_outcome(&mut self, job: JobId, outcome: JobOutcome) {
         self.active.remove(&job);
-        self.changed.insert(job);
+        self.changed_jobs.insert(job);
         if self.outcomes.insert(job, outcome).is_some() {
             return;
         }
@@ -115,7 +115,7 @@
     pub fn remove_active(&mut self, job: JobId, mod_revision: Revision) {
         if self.active.get(&job).is_some_and(|active| active.mod_revision < mod_revision) {
             self.active.remove(&job);
-            self.changed.insert(job);
+            self.changed_jobs.insert(job);
         }
     }
 }
--- a/crates/basaltrail-core/src/lease_renewal.rs
+++ b/crates/basaltrail-core/src/lease_renewal.rs
@@ -24,11 +24,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Number of commands up to which an answer is filled, required stops included. It keeps the answer
-/// under PROTOCOL's limit for a line. Required stops alone may exceed it, up to [`MAX_STOPS`].
+/// under PROTOCOL's limit for a line. Required stops alone may exceed it, up to
+/// [`MAX_REQUIRED_STOPS`].
 const MAX_COMMANDS: usize = 200;
 /// Maximum number of required stops in one answer. A heartbeat that requires more is refused, so
 /// that the worker lease expires.
-const MAX_STOPS: usize = 600;
+const MAX_REQUIRED_STOPS: usize = 600;
 /// Seconds after which a refused worker may send its next heartbeat.
 const RETRY_AFTER_S: u32 = 1;
 
@@ -54,7 +55,7 @@
     JobsNotRead,
     /// A reported task belongs to a job whose state is unknown.
     JobUnknown,
-    /// The answer would need more than `MAX_STOPS` stops.
+    /// The answer would need more than `MAX_REQUIRED_STOPS` stops.
     TooManyStops,
     /// The worker still reports an older fencing token after several answers.
     TokenNotAdopted,
@@ -163,7 +164,7 @@
                 KnownJobState::Unknown => return Err(RenewalRefusal::JobUnknown),
             }
         }
-        if stops.len() > MAX_STOPS {
+        if stops.len() > MAX_REQUIRED_STOPS {
             return Err(RenewalRefusal::TooManyStops);
         }
         Ok(RenewalPermit { stops })
--- a/crates/basaltrail-core/src/lease_renewal_tests.rs
+++ b/crates/basaltrail-core/src/lease_renewal_tests.rs
@@ -116,8 +116,8 @@
     assert_eq!(answer(vec![forget, graceful]), vec![stop(CANCELLED, 0), forget]);
     let permit_with_stops =
         |n| conditions.permit(&heartbeat((0..n).map(|i| running(CANCELLED, i)).collect()));
-    assert_eq!(permit_with_stops(MAX_STOPS as u32).unwrap().command_limit(), 0);
-    assert_eq!(permit_with_stops(MAX_STOPS as u32 + 1), Err(RenewalRefusal::TooManyStops));
+    assert_eq!(permit_with_stops(MAX_REQUIRED_STOPS as u32).unwrap().command_limit(), 0);
+    assert_eq!(permit_with_stops(MAX_REQUIRED_STOPS as u32 + 1), Err(RenewalRefusal::TooManyStops));
 }
 
 /// The check at run time finds an answer that was built without a permit.
