--- a/crates/basaltrail-core/src/controller/inspection.rs
+++ b/crates/basaltrail-core/src/controller/inspection.rs
@@ -52,7 +52,7 @@
         TeamReport {
             team: team.name.clone(),
             guaranteed_cpus: team.guaranteed_cpus,
-            limit: team.max_cpus.is_finite().then_some(team.max_cpus),
+            max_cpus: team.max_cpus.is_finite().then_some(team.max_cpus),
             used_cpus: used_cpus.map(|used_cpus| used_cpus[index]),
             rejected_submissions: self.admission.rejected_count(index),
             classes: classes.into_values().chain(other_classes).collect(),
--- a/crates/basaltrail-core/src/events.rs
+++ b/crates/basaltrail-core/src/events.rs
@@ -143,12 +143,12 @@
     /// CPUs of waiting tasks.
     pub waiting_cpus: f64,
     /// Used and waiting CPUs of each team.
-    pub teams: Vec<TeamSummary>,
+    pub teams: Vec<TeamUsage>,
 }
 
 /// Used and waiting CPUs of one team.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TeamSummary {
+pub struct TeamUsage {
     /// The name of the team.
     pub team: String,
     /// CPUs in use.
--- a/crates/basaltrail-core/src/inspection.rs
+++ b/crates/basaltrail-core/src/inspection.rs
@@ -22,8 +22,8 @@
     pub team: String,
     /// Guaranteed CPUs.
     pub guaranteed_cpus: f64,
-    /// Limit of CPUs; `None` if the team has no limit.
-    pub limit: Option<f64>,
+    /// Maximum number of CPUs; `None` if the team has no limit.
+    pub max_cpus: Option<f64>,
     /// CPUs that the tasks of the team may be using; `None` unless this controller leads.
     pub used_cpus: Option<f64>,
     /// Submissions that this controller did not admit since its process started.
--- a/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/capacity_target.rs
@@ -28,9 +28,9 @@
     /// Ratio of its price per CPU to that of the cheapest kind; at least 1.
     pub(in crate::leader) price_ratio: f64,
     /// Total number of machines of the type that are held ready for the guarantees.
-    pub(in crate::leader) held_ready: usize,
+    pub(in crate::leader) held_ready_machines: usize,
     /// Total number of machines of the type that could be used now or are held ready.
-    pub(in crate::leader) usable: usize,
+    pub(in crate::leader) usable_machines: usize,
     /// Number of machines of the type up to which a further one is justified at this price.
     pub(in crate::leader) justified_machines: usize,
 }
@@ -41,7 +41,9 @@
     /// justified number, not even half of the machines would be requested.
     pub(in crate::leader) fn excess_machines(&self, machines: usize) -> usize {
         match self.price_ratio >= EXPENSIVE_RATIO {
-            true => machines.saturating_sub((self.justified_machines * 2).max(self.held_ready)),
+            true => {
+                machines.saturating_sub((self.justified_machines * 2).max(self.held_ready_machines))
+            }
             false => 0,
         }
     }
@@ -92,16 +94,17 @@
     let mut targets = Vec::new();
     for (index, (demand, machine_type)) in demand.iter().zip(ctx.machine_types).enumerate() {
         let cpus = machine_type.cpus.max(1e-9);
-        let held_ready = match index == cheapest {
+        let held_ready_machines = match index == cheapest {
             true => guaranteed_cpus * ctx.cfg.policy.headroom / cpus,
             false => 0.0,
         };
-        let held_ready = held_ready.min(peak_machines);
-        let usable = demand.machines.max(held_ready).min(limit_cpus / cpus).ceil() as usize;
+        let held_ready_machines = held_ready_machines.min(peak_machines);
+        let usable_machines =
+            demand.machines.max(held_ready_machines).min(limit_cpus / cpus).ceil() as usize;
         for spot in [false, true] {
             let price_ratio = (price_per_cpu(machine_type, spot) / lowest_price).max(1.0);
             let (boot_fraction, min_justified) = match price_ratio < EXPENSIVE_RATIO {
-                true => (1.0, held_ready),
+                true => (1.0, held_ready_machines),
                 false => (EXPENSIVE_BOOT_FRACTION, 0.0),
             };
             let boot_cpu_s = boot_fraction * machine_type.boot_s.max(1.0) * price_ratio * cpus;
@@ -110,9 +113,10 @@
                 machine_type: machine_type.name.clone(),
                 spot,
                 price_ratio,
-                held_ready: held_ready.ceil() as usize,
-                usable,
-                justified_machines: usable.min(paid_for.max(min_justified).ceil() as usize),
+                held_ready_machines: held_ready_machines.ceil() as usize,
+                usable_machines,
+                justified_machines: usable_machines
+                    .min(paid_for.max(min_justified).ceil() as usize),
             });
         }
     }
--- a/crates/basaltrail-core/src/leader/autoscaler/drain.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/drain.rs
@@ -33,7 +33,7 @@
         must_stay: bool,
     ) -> Option<DrainReason> {
         let can_drain = machine.last_heartbeat_at.is_some()
-            && machine.decommission == Decommission::No
+            && machine.decommission == Decommission::None
             && !must_stay;
         let is_idle = can_drain
             && machine.is_empty()
@@ -115,7 +115,7 @@
         machine_type(ctx.machine_types, &target.machine_type).map_or(0.0, |t| t.boot_s) * 1000.0;
     let is_lasting = (ctx.now - surplus_since) as f64 >= boot_ms;
     DrainBudget {
-        idle: machines.saturating_sub(target.usable),
+        idle: machines.saturating_sub(target.usable_machines),
         too_expensive: if is_lasting { target.excess_machines(machines) } else { 0 },
         idle_ms: (ctx.cfg.policy.idle_s * 1000.0 / target.price_ratio) as Ms,
     }
--- a/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/fleet.rs
@@ -51,7 +51,7 @@
         .machines
         .values()
         .filter(|m| {
-            m.decommission == Decommission::No && !m.overdue && !m.has_reclaim_notice(ctx.now)
+            m.decommission == Decommission::None && !m.overdue && !m.has_reclaim_notice(ctx.now)
         })
         .filter(|m| !m.is_quarantined(ctx.now, ctx.cfg.worker_lease_ms))
         .collect()
--- a/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/partitions.rs
@@ -170,7 +170,7 @@
 ) -> bool {
     let silence_ms = ctx.cfg.worker_lease_ms * 2 / 5;
     let (mut all, mut silent, mut in_zone, mut silent_in_zone) = (0, 0, 0, 0);
-    for machine in cluster.machines.values().filter(|m| m.decommission == Decommission::No) {
+    for machine in cluster.machines.values().filter(|m| m.decommission == Decommission::None) {
         let Some(at) = machine.last_heartbeat_at else { continue };
         let is_silent = (ctx.now > at.max(reachable_since) + silence_ms) as usize;
         all += 1;
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_in.rs
@@ -145,7 +145,7 @@
         if !machine.is_empty() {
             return None;
         }
-        if machine.decommission != Decommission::No && !machine.has_reclaim_notice(now) {
+        if machine.decommission != Decommission::None && !machine.has_reclaim_notice(now) {
             return Some(TerminationReason::Drained);
         }
         machine
--- a/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
+++ b/crates/basaltrail-core/src/leader/autoscaler/scale_out.rs
@@ -134,7 +134,7 @@
                 .filter(|_| machine.last_heartbeat_at.is_none() && machine.is_empty());
             let known_type = machine_type(ctx.machine_types, &machine.machine_type);
             machine.overdue = false;
-            if let (Some(at), Some(machine_type), Decommission::No) =
+            if let (Some(at), Some(machine_type), Decommission::None) =
                 (requested_at, known_type, machine.decommission)
             {
                 let zone = &machine.zone;
--- a/crates/basaltrail-core/src/leader/cluster.rs
+++ b/crates/basaltrail-core/src/leader/cluster.rs
@@ -1,6 +1,6 @@
 //! The machines and jobs tracked by a leader.
 
-use crate::events::{FleetUsage, TeamSummary};
+use crate::events::{FleetUsage, TeamUsage};
 use crate::io::Progress;
 use crate::jobs::JobState;
 use crate::leader::scheduler::assignment::task_demand;
@@ -164,7 +164,7 @@
 
     /// Returns the number of machines by state and the use of CPUs by task phase and team.
     pub(in crate::leader) fn fleet_usage(&self, settings: &Settings) -> FleetUsage {
-        let teams = settings.teams.iter().map(|team| TeamSummary {
+        let teams = settings.teams.iter().map(|team| TeamUsage {
             team: team.name.clone(),
             used_cpus: 0.0,
             waiting_cpus: 0.0,
--- a/crates/basaltrail-core/src/leader/failover/heartbeats.rs
+++ b/crates/basaltrail-core/src/leader/failover/heartbeats.rs
@@ -142,7 +142,7 @@
     /// Drains a machine with a reclaim notice, unless it is draining or terminating already.
     fn apply_reclaim_notice(&mut self, ctx: &Context, calls: &mut Calls, id: &MachineId) {
         let Some(machine) = self.cluster.machines.get_mut(id) else { return };
-        if machine.has_reclaim_notice(ctx.now) && machine.decommission == Decommission::No {
+        if machine.has_reclaim_notice(ctx.now) && machine.decommission == Decommission::None {
             machine.decommission = Decommission::Draining;
             calls.log(MachineEvent::ReclaimNotice { machine: id.clone() });
             self.scheduler.cycle_due |= self.cluster.drain(ctx.now, id);
--- a/crates/basaltrail-core/src/leader/scheduler/capacity.rs
+++ b/crates/basaltrail-core/src/leader/scheduler/capacity.rs
@@ -83,7 +83,7 @@
         && ctx.now >= machine.one_way_partition_until
         && machine.registered_in_use
         && !machine.lease_expired
-        && machine.decommission == Decommission::No
+        && machine.decommission == Decommission::None
         && !machine.has_reclaim_notice(ctx.now)
         && !machine.is_quarantined(ctx.now, ctx.cfg.worker_lease_ms)
         && ctx.now >= machine.no_room_until
--- a/crates/basaltrail-core/src/machines/machine.rs
+++ b/crates/basaltrail-core/src/machines/machine.rs
@@ -7,11 +7,11 @@
 use crate::resources::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Progress of the return of a machine to the cloud.
+/// Progress of draining and terminating a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decommission {
     /// The machine is in use.
-    No,
+    None,
     /// The machine takes no new tasks and is terminated once it is empty.
     Draining,
     /// A termination request may have been sent: the machine must not be used again, whatever the
@@ -161,7 +161,7 @@
             registry_segment: None,
             listed_free_in_segments: BTreeSet::new(),
             reclaim_at: None,
-            decommission: Decommission::No,
+            decommission: Decommission::None,
             idle_since: None,
             known_since: now,
             overdue: false,
--- a/crates/basaltrail-protocol/src/administration.rs
+++ b/crates/basaltrail-protocol/src/administration.rs
@@ -86,7 +86,7 @@
         Team {
             team: report.team.clone(),
             guaranteed: report.guaranteed_cpus,
-            limit: report.limit,
+            limit: report.max_cpus,
             used: report.used_cpus,
             refused: report.rejected_submissions,
             classes: report.classes.iter().map(Class::from).collect(),
--- a/crates/basaltrail-protocol/tests/schema.rs
+++ b/crates/basaltrail-protocol/tests/schema.rs
@@ -22,10 +22,10 @@
     let quota = Some((3, 60.0));
     let class =
         |class: &str, quota| ClassReport { class: class.into(), jobs: 2, quota, remaining: quota };
-    let team = |limit, used_cpus| TeamReport {
+    let team = |max_cpus, used_cpus| TeamReport {
         team: "cataloguers".into(),
         guaranteed_cpus: 24.0,
-        limit,
+        max_cpus,
         used_cpus,
         rejected_submissions: 7,
         classes: vec![class("c", quota), class("", None)],
