--- a/crates/basaltrail-testbed/src/checker/job_rules.rs
+++ b/crates/basaltrail-testbed/src/checker/job_rules.rs
@@ -49,7 +49,7 @@
 /// reported the job as cancelled.
 fn check_ran_cancelled(job: &JobHistory, bounds: &RunBounds) -> Vec<Violation> {
     let Some((cancelled_ms, JobPhase::Cancelled)) = job.finished else { return Vec::new() };
-    let deadline = cancelled_ms + bounds.deployment.cancel_ms;
+    let deadline = cancelled_ms + bounds.deployment.max_cancellation_ms;
     let late_runs = job.runs.iter().filter(|run| run.ended_ms_or(bounds.end) > deadline);
     let violation = |run: &TaskRun| {
         let description = format!(
--- a/crates/basaltrail-testbed/src/checker/mod.rs
+++ b/crates/basaltrail-testbed/src/checker/mod.rs
@@ -175,11 +175,11 @@
     let mut violations = Vec::new();
     for team in &bounds.deployment.teams {
         let changes = changes.get(team.name).into_iter().flatten();
-        let limit = team.cpus_max + CPU_ROUNDING;
+        let limit = team.max_cpus + CPU_ROUNDING;
         let above_limit = changes.filter(|change| change.is_start && change.cpus > limit);
         violations.extend(above_limit.map(|change| {
             let description =
-                format!("{} uses {} of {} CPUs", team.name, change.cpus, team.cpus_max);
+                format!("{} uses {} of {} CPUs", team.name, change.cpus, team.max_cpus);
             Violation::new(Rule::Quota, change.at_ms, description).with_job(change.job)
         }));
     }
--- a/crates/basaltrail-testbed/src/cloud/mod.rs
+++ b/crates/basaltrail-testbed/src/cloud/mod.rs
@@ -106,7 +106,7 @@
     state: Arc<Mutex<CloudState>>,
     clock: Clock,
     /// Half of the maximum age of a list, in milliseconds.
-    list_lag_ms: Ms,
+    inventory_lag_ms: Ms,
     /// Maximum number of simultaneously provisioned machines of one zone and kind.
     capacity: usize,
     /// Channel to which each provisioned machine is sent.
@@ -131,7 +131,7 @@
         let cloud = Cloud {
             state: Arc::new(Mutex::new(state)),
             clock,
-            list_lag_ms: deployment.list_lag_ms,
+            inventory_lag_ms: deployment.inventory_lag_ms,
             capacity: deployment.machines.div_ceil(MACHINE_KINDS * ZONES.len()),
             provisioned_machines,
         };
@@ -291,7 +291,7 @@
 
     /// Returns a page of the machine list as of a random time in the recent past.
     fn list(&self, state: &mut CloudState, query: &ListQuery) -> JsonReply {
-        let lag_ms = state.rng.random_range(0..=2 * self.list_lag_ms);
+        let lag_ms = state.rng.random_range(0..=2 * self.inventory_lag_ms);
         let as_of = self.clock.now().saturating_sub(lag_ms);
         let is_listed =
             |machine: &&Machine| machine.is_listed_at(as_of) && machine.name > query.after;
--- a/crates/basaltrail-testbed/src/commands/serve.rs
+++ b/crates/basaltrail-testbed/src/commands/serve.rs
@@ -91,7 +91,10 @@
         println!("administration of {name}  {}", controllers.administration_address(0));
     }
     for team in &testbed.deployment.teams {
-        println!("team {}: {} CPUs guaranteed, {} at most", team.name, team.cpus, team.cpus_max);
+        println!(
+            "team {}: {} CPUs guaranteed, {} at most",
+            team.name, team.guaranteed_cpus, team.max_cpus
+        );
     }
     println!("ready, logs in {}; Ctrl-C ends it", directory.display());
 }
--- a/crates/basaltrail-testbed/src/controller_settings.rs
+++ b/crates/basaltrail-testbed/src/controller_settings.rs
@@ -139,8 +139,8 @@
     fn from_deployment(deployment: &Deployment) -> Self {
         let teams = deployment.teams.iter().map(|team| Team {
             name: team.name,
-            cpus: team.cpus,
-            cpus_max: team.cpus_max,
+            cpus: team.guaranteed_cpus,
+            cpus_max: team.max_cpus,
             gpus: 0.0,
             gpus_max: 0.0,
         });
@@ -150,8 +150,8 @@
             clock_error_ms: 25.0,
             workers: Workers {
                 report_s: seconds(deployment.heartbeat_ms),
-                lease_s: seconds(deployment.lease_ms),
-                cancel_s: seconds(deployment.cancel_ms),
+                lease_s: seconds(deployment.worker_lease_ms),
+                cancel_s: seconds(deployment.max_cancellation_ms),
             },
             state: State {
                 rps: deployment.state_rps,
@@ -159,7 +159,10 @@
                 value_kb: deployment.value_kb,
                 txn_ops: deployment.txn_ops,
             },
-            cloud: Cloud { rps: deployment.cloud_rps, list_lag_s: seconds(deployment.list_lag_ms) },
+            cloud: Cloud {
+                rps: deployment.cloud_rps,
+                list_lag_s: seconds(deployment.inventory_lag_ms),
+            },
             resources: Resources {
                 cpu: 1.0,
                 mem_mb: deployment.memory_mb,
--- a/crates/basaltrail-testbed/src/deployment.rs
+++ b/crates/basaltrail-testbed/src/deployment.rs
@@ -21,11 +21,11 @@
 /// Minimum heartbeat interval, in milliseconds.
 const MIN_HEARTBEAT_MS: usize = 1_000;
 /// Duration of the worker lease, in heartbeat intervals.
-const LEASE_HEARTBEATS: Ms = 6;
-/// Time allowed for a cancellation, in heartbeat intervals.
-const CANCEL_HEARTBEATS: Ms = 14;
+const WORKER_LEASE_HEARTBEATS: Ms = 6;
+/// Maximum duration of a cancellation, in heartbeat intervals.
+const MAX_CANCELLATION_HEARTBEATS: Ms = 14;
 /// Average age of the cloud's machine lists, in milliseconds.
-const LIST_LAG_MS: Ms = 1_000;
+const INVENTORY_LAG_MS: Ms = 1_000;
 
 // Minimum rates and sizes. They apply to small fleets; in larger ones the values per machine below
 // determine the rates and sizes.
@@ -57,9 +57,9 @@
     /// Name of the team.
     pub name: &'static str,
     /// Guaranteed CPUs.
-    pub cpus: f64,
+    pub guaranteed_cpus: f64,
     /// Maximum number of CPUs that the team's tasks may use.
-    pub cpus_max: f64,
+    pub max_cpus: f64,
 }
 
 /// A team, with its guarantee and limit as shares of the CPUs of all machines.
@@ -93,11 +93,11 @@
     /// Interval of a worker's heartbeats, in milliseconds.
     pub heartbeat_ms: Ms,
     /// Duration of the worker lease, in milliseconds.
-    pub lease_ms: Ms,
-    /// Time allowed for a cancellation, in milliseconds.
-    pub cancel_ms: Ms,
+    pub worker_lease_ms: Ms,
+    /// Maximum duration of a cancellation, in milliseconds.
+    pub max_cancellation_ms: Ms,
     /// Average age of a machine list, in milliseconds; the maximum is twice as much.
-    pub list_lag_ms: Ms,
+    pub inventory_lag_ms: Ms,
     /// Limit of requests per second to the state service.
     pub state_rps: f64,
     /// Limit of puts and deletes per second to the state service.
@@ -125,9 +125,9 @@
             controllers,
             machines,
             heartbeat_ms,
-            lease_ms: heartbeat_ms * LEASE_HEARTBEATS,
-            cancel_ms: heartbeat_ms * CANCEL_HEARTBEATS,
-            list_lag_ms: LIST_LAG_MS,
+            worker_lease_ms: heartbeat_ms * WORKER_LEASE_HEARTBEATS,
+            max_cancellation_ms: heartbeat_ms * MAX_CANCELLATION_HEARTBEATS,
+            inventory_lag_ms: INVENTORY_LAG_MS,
             state_rps: scaled(MIN_STATE_RPS, STATE_RPS_PER_MACHINE),
             write_rps: scaled(MIN_WRITE_RPS, WRITE_RPS_PER_MACHINE),
             txn_ops: 12,
@@ -145,8 +145,8 @@
         let cpus = self.cpus();
         let to_team = |shares: &TeamShares| Team {
             name: shares.name,
-            cpus: (cpus * shares.guaranteed).floor(),
-            cpus_max: (cpus * shares.limit).floor(),
+            guaranteed_cpus: (cpus * shares.guaranteed).floor(),
+            max_cpus: (cpus * shares.limit).floor(),
         };
         Deployment { teams: shares.iter().map(to_team).collect(), ..self }
     }
--- a/crates/basaltrail-testbed/src/faults/injector.rs
+++ b/crates/basaltrail-testbed/src/faults/injector.rs
@@ -135,7 +135,7 @@
     }
 
     async fn inject(&mut self, kind: FaultKind) -> Result<(), ControllerError> {
-        let longest_ms = self.testbed.deployment.lease_ms * 3 / 2;
+        let longest_ms = self.testbed.deployment.worker_lease_ms * 3 / 2;
         let duration_ms = self.rng.random_range(MIN_DURATION_MS..longest_ms);
         match kind {
             FaultKind::ShortLeaderTerms => self.shorten_leader_terms().await?,
@@ -187,7 +187,8 @@
 
     async fn kill_all(&mut self) -> Result<(), ControllerError> {
         for controller in 0..self.testbed.controllers.count() {
-            let down_ms = self.rng.random_range(MIN_DOWNTIME_MS..self.testbed.deployment.lease_ms);
+            let down_ms =
+                self.rng.random_range(MIN_DOWNTIME_MS..self.testbed.deployment.worker_lease_ms);
             self.kill_for(controller, down_ms).await?;
         }
         Ok(())
@@ -217,7 +218,8 @@
         self.record(format!("{count} jobs are cancelled, and leader terms are short"));
         tokio::time::sleep(SHORT_TERM_DELAY).await;
         let testbed = self.testbed.clone();
-        let until = testbed.clock.now() + testbed.deployment.cancel_ms + SHORT_TERM_EXTRA_MS;
+        let until =
+            testbed.clock.now() + testbed.deployment.max_cancellation_ms + SHORT_TERM_EXTRA_MS;
         while testbed.clock.now() < until {
             let token = testbed.fleet.highest_token();
             self.kill_leader_and_some_followers().await?;
@@ -291,7 +293,7 @@
 
     fn start_state_outage(&mut self, duration_ms: Ms) {
         let duration_ms = match self.rng.random_bool(LONG_OUTAGE_SHARE) {
-            true => self.testbed.deployment.cancel_ms + LONG_OUTAGE_EXTRA_MS,
+            true => self.testbed.deployment.max_cancellation_ms + LONG_OUTAGE_EXTRA_MS,
             false => duration_ms,
         };
         self.record(format!("the state service is unavailable for {duration_ms} ms"));
--- a/crates/basaltrail-testbed/src/metrics.rs
+++ b/crates/basaltrail-testbed/src/metrics.rs
@@ -150,10 +150,10 @@
     let changes = team_usage::changes_by_team(events);
     let usage = |team: &Team| {
         let changes = changes.get(team.name).map_or(&[][..], Vec::as_slice);
-        let limit = team.cpus_max + CPU_ROUNDING;
+        let limit = team.max_cpus + CPU_ROUNDING;
         TeamUsage {
             team: team.name.into(),
-            limit: team.cpus_max,
+            limit: team.max_cpus,
             peak: changes.iter().map(|change| change.cpus).fold(0.0, f64::max),
             instants: changes.len(),
             above: changes.iter().filter(|change| change.cpus > limit).count(),
@@ -264,7 +264,7 @@
             let Some(accepted) = job.accepted.filter(|at| *at <= until) else { continue };
             let earlier = jobs[..index].iter().filter(|other| other.is_unfinished_at(accepted));
             let cpus: f64 = earlier.map(|other| other.total_cpus()).sum::<f64>() + job.total_cpus();
-            if cpus > team.cpus + CPU_ROUNDING {
+            if cpus > team.guaranteed_cpus + CPU_ROUNDING {
                 continue;
             }
             match job.latest_of_all_tasks(&job.started) {
--- a/crates/basaltrail-testbed/src/scenarios/soak.rs
+++ b/crates/basaltrail-testbed/src/scenarios/soak.rs
@@ -95,7 +95,7 @@
     }
     let failed_faults = faults.await.unwrap_or_default();
     // The effects of the last fault end within this time.
-    let max_effect_ms = testbed.deployment.cancel_ms + testbed.deployment.lease_ms;
+    let max_effect_ms = testbed.deployment.max_cancellation_ms + testbed.deployment.worker_lease_ms;
     let faults_end = testbed.clock.now() + max_effect_ms;
     wait_for_recovery(&testbed, faults_end, end, &progress).await;
     stop_and_check(&testbed, &directory, faults_end, failed_faults).await
--- a/crates/basaltrail-testbed/src/scenarios/warm_up.rs
+++ b/crates/basaltrail-testbed/src/scenarios/warm_up.rs
@@ -31,7 +31,7 @@
 pub(super) async fn warm_up(testbed: &Testbed) -> Result<(), RunError> {
     testbed.wait_until_ready(START_TIMEOUT_MS).await?;
     for (index, team) in testbed.deployment.teams.iter().enumerate() {
-        let tasks = (team.cpus / TASK_CPUS) as u32;
+        let tasks = (team.guaranteed_cpus / TASK_CPUS) as u32;
         let requirements = JobRequirements::array(team.name, tasks, TASK_CPUS);
         let request = JobRequest { requirements, priority: "standard", run_ms: RUN_MS };
         let index = index as u64;
--- a/crates/basaltrail-testbed/src/state_service/mod.rs
+++ b/crates/basaltrail-testbed/src/state_service/mod.rs
@@ -41,7 +41,7 @@
     /// preconditions.
     pub txn_ops: usize,
     /// Maximum size of a value, in bytes.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
 }
 
 /// A fault that affects transactions.
--- a/crates/basaltrail-testbed/src/state_service/store.rs
+++ b/crates/basaltrail-testbed/src/state_service/store.rs
@@ -215,7 +215,7 @@
     fn exceeds_limits(&self, request: &TransactionRequest) -> bool {
         let limits = self.limits;
         let is_value_too_large = |change: &Change| match change {
-            Change::Put { value, .. } => value.to_string().len() > limits.value_bytes,
+            Change::Put { value, .. } => value.to_string().len() > limits.max_value_bytes,
             Change::Delete { .. } => false,
         };
         request.changes.len() > limits.txn_ops
--- a/crates/basaltrail-testbed/src/testbed.rs
+++ b/crates/basaltrail-testbed/src/testbed.rs
@@ -194,7 +194,7 @@
         rps: deployment.state_rps,
         write_rps: deployment.write_rps,
         txn_ops: deployment.txn_ops,
-        value_bytes: (deployment.value_kb * 1024.0) as usize,
+        max_value_bytes: (deployment.value_kb * 1024.0) as usize,
     }
 }
 
--- a/crates/basaltrail-testbed/src/users/workload.rs
+++ b/crates/basaltrail-testbed/src/users/workload.rs
@@ -119,7 +119,9 @@
     };
     // Long tasks run for longer than the time allowed for a cancellation.
     let run_ms = match rng.random_bool(LONG_RUN_SHARE) {
-        true => rng.random_range(deployment.cancel_ms..deployment.cancel_ms * 2),
+        true => {
+            rng.random_range(deployment.max_cancellation_ms..deployment.max_cancellation_ms * 2)
+        }
         false => rng.random_range(SHORT_RUN_MS),
     };
     JobRequest { requirements, priority, run_ms }
--- a/crates/basaltrail-testbed/src/worker/agent.rs
+++ b/crates/basaltrail-testbed/src/worker/agent.rs
@@ -122,7 +122,7 @@
 
     /// Returns the lease duration, in milliseconds.
     fn lease_ms(&self) -> Ms {
-        self.fleet.context.deployment.lease_ms
+        self.fleet.context.deployment.worker_lease_ms
     }
 
     fn record(&self, at_ms: Ms, kind: EventKind) {
--- a/crates/basaltrail-testbed/tests/checker.rs
+++ b/crates/basaltrail-testbed/tests/checker.rs
@@ -129,8 +129,8 @@
     ];
     assert_eq!(violations(clean_history_until(1_001, restarted)), Vec::new());
     // A task is stopped exactly at the deadline of a cancellation.
-    let cancel_ms = Deployment::new(3, 40).cancel_ms;
-    let in_time = task_ended(2_000 + cancel_ms, 1, "m-1", TaskEndReason::Stopped);
+    let max_cancellation_ms = Deployment::new(3, 40).max_cancellation_ms;
+    let in_time = task_ended(2_000 + max_cancellation_ms, 1, "m-1", TaskEndReason::Stopped);
     assert_eq!(violations(cancelled_history_with(vec![in_time])), Vec::new());
 }
 
@@ -148,7 +148,7 @@
 
 #[test]
 fn quota_finds_a_team_above_its_limit() {
-    let limit = Deployment::new(3, 40).teams[0].cpus_max;
+    let limit = Deployment::new(3, 40).teams[0].max_cpus;
     let above_limit = JobRequirements { cpus: limit + 1.0, ..requirements() };
     assert_eq!(violated_rules(clean_history_requiring(above_limit)), ["quota"]);
 }
@@ -165,8 +165,8 @@
 
 #[test]
 fn ran_cancelled_finds_a_task_that_runs_after_the_deadline_and_explains_it() {
-    let cancel_ms = Deployment::new(3, 40).cancel_ms;
-    let late = task_ended(2_001 + cancel_ms, 1, "m-1", TaskEndReason::Stopped);
+    let max_cancellation_ms = Deployment::new(3, 40).max_cancellation_ms;
+    let late = task_ended(2_001 + max_cancellation_ms, 1, "m-1", TaskEndReason::Stopped);
     let events = cancelled_history_with(vec![late]);
     assert_eq!(violated_rules(events.clone()), ["ran_cancelled"]);
     assert_eq!(violated_rules(cancelled_history_with(Vec::new())), ["ran_cancelled"]);
--- a/crates/basaltrail/tests/loopback.rs
+++ b/crates/basaltrail/tests/loopback.rs
@@ -28,7 +28,8 @@
 
 /// Starts a store without faults and with limits that one controller does not reach.
 async fn start_store() -> SocketAddr {
-    let limits = Limits { rps: 1_000.0, write_rps: 1_000.0, txn_ops: 24, value_bytes: 16 * 1024 };
+    let limits =
+        Limits { rps: 1_000.0, write_rps: 1_000.0, txn_ops: 24, max_value_bytes: 16 * 1024 };
     StateService::start(Clock::start(), limits, 1).listen(0).await.unwrap()
 }
 
