--- a/crates/basaltrail-core/src/controller/client_requests.rs
+++ b/crates/basaltrail-core/src/controller/client_requests.rs
@@ -49,27 +49,32 @@
 
 impl Controller {
     /// Answers a submission or queues it.
-    pub(super) fn handle_submission(&mut self, id: RequestId, job: JobId, spec: Box<JobSpec>) {
-        if self.answer_from_outcome(id, job) || self.reject_if_unavailable(id) {
+    pub(super) fn handle_submission(
+        &mut self,
+        request_id: RequestId,
+        job: JobId,
+        spec: Box<JobSpec>,
+    ) {
+        if self.answer_from_outcome(request_id, job) || self.reject_if_unavailable(request_id) {
             return;
         }
-        let request = ClientRequest::new(id, RequestKind::Submit);
+        let request = ClientRequest::new(request_id, RequestKind::Submit);
         if self.job_cache.active.contains_key(&job) {
             return self.requests.queue_confirmation(self.now, job, request);
         }
         if self.machine_types.known().is_empty() {
             let reason = UnavailableReason::MachineTypesUnknown;
-            return self.answer_unavailable(id, RETRY_SOON_S, reason);
+            return self.answer_unavailable(request_id, RETRY_SOON_S, reason);
         }
         // Another controller may have accepted the job. The store is asked before the rejection is
         // answered.
         if let Some(rejection) = self.permanent_rejection(&spec) {
-            let request = ClientRequest::rejected(id, rejection);
+            let request = ClientRequest::rejected(request_id, rejection);
             return self.requests.queue_confirmation(self.now, job, request);
         }
         if self.job_cache.active.len() >= self.cfg.max_active_jobs() {
             let reason = UnavailableReason::TooManyJobs;
-            return self.answer_unavailable(id, RETRY_TOO_MANY_JOBS_S, reason);
+            return self.answer_unavailable(request_id, RETRY_TOO_MANY_JOBS_S, reason);
         }
         let mut queued =
             self.requests.submissions.iter_mut().chain(&mut self.requests.awaiting_quota);
@@ -92,7 +97,8 @@
             // As above, another controller may have accepted the job.
             Err(rejection) => {
                 self.count_rejection(&spec.team);
-                let request = ClientRequest::rejected(id, Rejection::NotAdmitted(rejection));
+                let request =
+                    ClientRequest::rejected(request_id, Rejection::NotAdmitted(rejection));
                 self.requests.queue_confirmation(self.now, job, request);
             }
         }
@@ -110,11 +116,16 @@
     }
 
     /// Answers a poll or a cancellation or queues it.
-    pub(super) fn handle_poll_or_cancel(&mut self, id: RequestId, job: JobId, kind: RequestKind) {
-        if self.answer_from_outcome(id, job) || self.reject_if_unavailable(id) {
+    pub(super) fn handle_poll_or_cancel(
+        &mut self,
+        request_id: RequestId,
+        job: JobId,
+        kind: RequestKind,
+    ) {
+        if self.answer_from_outcome(request_id, job) || self.reject_if_unavailable(request_id) {
             return;
         }
-        let request = ClientRequest::new(id, kind);
+        let request = ClientRequest::new(request_id, kind);
         if kind == RequestKind::Cancel {
             self.requests.waiting_count += 1;
             self.cancel(job, vec![request]);
@@ -124,17 +135,17 @@
     }
 
     /// Answers a request for a job whose outcome is cached. Returns false if it is not cached.
-    fn answer_from_outcome(&mut self, id: RequestId, job: JobId) -> bool {
+    fn answer_from_outcome(&mut self, request_id: RequestId, job: JobId) -> bool {
         if self.job_cache.outcome(job).is_none() {
             return false;
         }
         let Some(answer) = self.requests.job_answer(&self.job_cache, job) else { return false };
-        self.calls.answer(id, answer);
+        self.calls.answer(request_id, answer);
         true
     }
 
     /// Rejects a request if this controller is starting or overloaded. Returns whether it did.
-    fn reject_if_unavailable(&mut self, id: RequestId) -> bool {
+    fn reject_if_unavailable(&mut self, request_id: RequestId) -> bool {
         let max_waiting =
             (self.cfg.memory_mb * WAITING_REQUESTS_PER_MB).max(MIN_WAITING_LIMIT) as usize;
         let reason = if !self.job_watch.is_loaded() {
@@ -144,13 +155,18 @@
         } else {
             return false;
         };
-        self.answer_unavailable(id, RETRY_SOON_S, reason);
+        self.answer_unavailable(request_id, RETRY_SOON_S, reason);
         true
     }
 
     /// Answers 503 to a request that does not count as waiting.
-    fn answer_unavailable(&mut self, id: RequestId, retry_after_s: u32, reason: UnavailableReason) {
-        self.calls.answer(id, Answer::Unavailable { retry_after_s, reason });
+    fn answer_unavailable(
+        &mut self,
+        request_id: RequestId,
+        retry_after_s: u32,
+        reason: UnavailableReason,
+    ) {
+        self.calls.answer(request_id, Answer::Unavailable { retry_after_s, reason });
     }
 
     /// Answers 503 to waiting requests and removes them from the count of waiting requests.
@@ -166,8 +182,8 @@
     }
 
     /// Answers a waiting request and removes it from the count of waiting requests.
-    pub(super) fn answer_waiting(&mut self, id: RequestId, answer: Answer) {
+    pub(super) fn answer_waiting(&mut self, request_id: RequestId, answer: Answer) {
         self.requests.waiting_count = self.requests.waiting_count.saturating_sub(1);
-        self.calls.answer(id, answer);
+        self.calls.answer(request_id, answer);
     }
 }
--- a/crates/basaltrail-core/src/controller/cloud_replies.rs
+++ b/crates/basaltrail-core/src/controller/cloud_replies.rs
@@ -7,8 +7,8 @@
 
 impl Controller {
     /// Handles the reply to a cloud call, or its timeout.
-    pub(super) fn handle_cloud_reply(&mut self, call: CallId, reply: CloudReply) {
-        let Some(purpose) = self.calls.finish_cloud_call(call) else { return };
+    pub(super) fn handle_cloud_reply(&mut self, call_id: CallId, reply: CloudReply) {
+        let Some(purpose) = self.calls.finish_cloud_call(call_id) else { return };
         match purpose {
             CloudPurpose::MachineTypes => self.handle_cloud_machine_types(reply),
             CloudPurpose::Provision { token, request_name } => {
--- a/crates/basaltrail-core/src/controller/heartbeats.rs
+++ b/crates/basaltrail-core/src/controller/heartbeats.rs
@@ -10,7 +10,7 @@
 
 impl Controller {
     /// Answers a heartbeat.
-    pub(super) fn handle_heartbeat(&mut self, id: RequestId, heartbeat: &Heartbeat) {
+    pub(super) fn handle_heartbeat(&mut self, request_id: RequestId, heartbeat: &Heartbeat) {
         let decision = self.decide_answer(heartbeat);
         self.log_decision(heartbeat, &decision);
         let answer = match decision {
@@ -23,7 +23,7 @@
             }
         };
         self.check_renewal_invariant(heartbeat, &answer);
-        self.calls.answer(id, answer);
+        self.calls.answer(request_id, answer);
     }
 
     /// Returns the conditions under which a heartbeat is answered now.
--- a/crates/basaltrail-core/src/controller/inspection.rs
+++ b/crates/basaltrail-core/src/controller/inspection.rs
@@ -9,7 +9,7 @@
 
 impl Controller {
     /// Answers an operator's request for the report.
-    pub(super) fn answer_inspection(&mut self, id: RequestId) {
+    pub(super) fn answer_inspection(&mut self, request_id: RequestId) {
         let used_cpus = self.with_leader(|leader, ctx, _, _| leader.used_cpus_by_team(ctx));
         let used_cpus = used_cpus.filter(|_| self.is_leading());
         let teams =
@@ -21,7 +21,7 @@
             quotas_enforced: self.admission.quotas_enforced(),
             teams: teams.collect(),
         };
-        self.calls.answer(id, Answer::Limits(Box::new(report)));
+        self.calls.answer(request_id, Answer::Limits(Box::new(report)));
     }
 
     /// Returns the report of one team. `used_cpus` holds the CPUs in use by team; only the leader
--- a/crates/basaltrail-core/src/controller/store_replies.rs
+++ b/crates/basaltrail-core/src/controller/store_replies.rs
@@ -19,8 +19,8 @@
 
 impl Controller {
     /// Handles the reply to a store call, or its timeout.
-    pub(super) fn handle_store_reply(&mut self, call: CallId, reply: StoreReply) {
-        let Some(purpose) = self.calls.finish_store_call(call) else { return };
+    pub(super) fn handle_store_reply(&mut self, call_id: CallId, reply: StoreReply) {
+        let Some(purpose) = self.calls.finish_store_call(call_id) else { return };
         if !matches!(reply, StoreReply::Unknown | StoreReply::Unavailable) {
             self.last_store_reply_at = self.now;
         }
--- a/crates/basaltrail-core/src/store/calls.rs
+++ b/crates/basaltrail-core/src/store/calls.rs
@@ -159,14 +159,14 @@
 impl Calls {
     /// Removes a call to the store that was replied to, and returns its purpose; `None` if it was
     /// already removed.
-    pub fn finish_store_call(&mut self, call: CallId) -> Option<StorePurpose> {
-        self.store_calls.remove(&call)
+    pub fn finish_store_call(&mut self, call_id: CallId) -> Option<StorePurpose> {
+        self.store_calls.remove(&call_id)
     }
 
     /// Removes a call to the cloud that was replied to, and returns its purpose; `None` if it was
     /// already removed.
-    pub fn finish_cloud_call(&mut self, call: CallId) -> Option<CloudPurpose> {
-        self.cloud_calls.remove(&call)
+    pub fn finish_cloud_call(&mut self, call_id: CallId) -> Option<CloudPurpose> {
+        self.cloud_calls.remove(&call_id)
     }
 
     fn next_id(&mut self) -> CallId {
